--- a/weldquay/interface/__init__.py
+++ b/weldquay/interface/__init__.py
@@ -49,9 +49,16 @@
     JobClass,
     Settings,
 )
+from weldquay.interface.worker_snapshot import (
+    UNKNOWN_WORKER,
+    LoadChange,
+    SlowStartSend,
+    WorkerSnapshot,
+)
 
 __all__ = [
     "NO_LEASE",
+    "UNKNOWN_WORKER",
     "Action",
     "Adopted",
     "AttemptEnded",
@@ -70,6 +77,7 @@
     "LeaseState",
     "ListFailure",
     "ListKind",
+    "LoadChange",
     "LoadReport",
     "Log",
     "Membership",
@@ -84,10 +92,12 @@
     "Send",
     "SetTimer",
     "Settings",
+    "SlowStartSend",
     "StreamBegun",
     "Tell",
     "TimerDue",
     "Watch",
     "WorkerEntry",
+    "WorkerSnapshot",
     "WorkerState",
 ]
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 from typing import NamedTuple
-from typing import Any
 
 from weldquay.interface.settings import Settings
+from weldquay.interface.worker_snapshot import WorkerSnapshot
 
 
 class Outcome(Enum):
@@ -232,10 +231,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """What an earlier process of this dispatcher remembered of a worker, as its `remember` gave it."""
+    """The state of a worker in an earlier process of this dispatcher."""
 
     worker: int
-    memory: Mapping[str, Any]
+    snapshot: WorkerSnapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldquay/ledger/records.py
+++ b/weldquay/ledger/records.py
@@ -6,28 +6,22 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from typing import Any
 
-from weldquay.interface import JobClass, LoadReport, Request, WorkerEntry
+from weldquay.interface import (
+    JobClass,
+    LoadChange,
+    LoadReport,
+    Request,
+    SlowStartSend,
+    WorkerEntry,
+    WorkerSnapshot,
+)
 
 SECOND_NS = 1_000_000_000
 LAPSE_NS = 2 * SECOND_NS  # a report older than this no longer speaks for the worker
 TRIAL_NS = SECOND_NS  # a suspect worker is tried again after this, doubling
-OWN = {  # not told to a later process
-    "entry",
-    "live",
-    "report",
-    "own",
-    "drag",
-    "probe_out",
-    "used_ns",
-    "heard",
-    "place",
-    "cell",
-    "spot",
-    "check_ns",
-}
 
 
 @dataclass(slots=True, eq=False)
@@ -193,11 +187,50 @@
         )
         self.forget(now_ns - LAPSE_NS)
 
-    def remember(self) -> dict[str, Any]:
-        """What a later process of this dispatcher is to know of it; both read one clock."""
-        return {each.name: getattr(self, each.name) for each in fields(self) if each.name not in OWN}
+    def snapshot(self) -> WorkerSnapshot:
+        """What the process that replaces this one needs to know of the worker."""
+        return WorkerSnapshot(
+            free_slots=self.free,
+            free_memory=self.free_memory,
+            estimated_slots=self.size,
+            reported_ns=self.report_ns,
+            unreported_changes=tuple(LoadChange(*change) for change in self.changes),
+            unreported_slots=self.changed,
+            unreported_memory=self.changed_memory,
+            last_response_ns=self.job_sign_ns,
+            consecutive_rejections=self.refusals,
+            failure_score=self.errors,
+            backoff_until_ns=self.rest_ns,
+            next_probe_ns=self.next_probe_ns,
+            consecutive_probe_failures=self.strikes,
+            is_ejected=self.suspect,
+            next_trial_ns=self.trial_ns,
+            trial_backoff_ns=self.backoff_ns,
+            reinstated_ns=self.back_ns,
+            slow_start_sends=tuple(SlowStartSend(*send) for send in self.pushed),
+            slow_start_budget_ns=self.cold_room,
+            slow_start_budget_at_ns=self.cold_ns,
+        )
 
-    def recall(self, memory: dict[str, Any]) -> None:
-        """Take in what an earlier process knew of it, as it came over the wire."""
-        for name, value in memory.items():
-            setattr(self, name, deque(map(tuple, value)) if isinstance(value, list) else value)
+    def restore(self, snapshot: WorkerSnapshot) -> None:
+        """Replace the state with that of an earlier process; the entry, attempts and report stay."""
+        self.free = snapshot.free_slots
+        self.free_memory = snapshot.free_memory
+        self.size = snapshot.estimated_slots
+        self.report_ns = snapshot.reported_ns
+        self.changes = deque(snapshot.unreported_changes)
+        self.changed = snapshot.unreported_slots
+        self.changed_memory = snapshot.unreported_memory
+        self.job_sign_ns = snapshot.last_response_ns
+        self.refusals = snapshot.consecutive_rejections
+        self.errors = snapshot.failure_score
+        self.rest_ns = snapshot.backoff_until_ns
+        self.next_probe_ns = snapshot.next_probe_ns
+        self.strikes = snapshot.consecutive_probe_failures
+        self.suspect = snapshot.is_ejected
+        self.trial_ns = snapshot.next_trial_ns
+        self.backoff_ns = snapshot.trial_backoff_ns
+        self.back_ns = snapshot.reinstated_ns
+        self.pushed = deque(snapshot.slow_start_sends)
+        self.cold_room = snapshot.slow_start_budget_ns
+        self.cold_ns = snapshot.slow_start_budget_at_ns
--- a/weldquay/net/call_transfer.py
+++ b/weldquay/net/call_transfer.py
@@ -7,14 +7,14 @@
 
 import time
 from abc import ABC, abstractmethod
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable
 
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.net.calls import Answer, Attempt, Call, WorkerSide
 from weldquay.net.config import Config
 from weldquay.net.counters import Counters
+from weldquay.net.hot_restart_messages import MigratedAttempt, MigratedRequest
 from weldquay.net.messages import Figures
 
 
@@ -56,13 +56,14 @@
     @abstractmethod
     def _remove(self, attempt: Attempt) -> None: ...
 
-    def remember(self) -> dict[str, Any]:
-        """What the decisions know of each worker, by its id."""
-        return {self.worker_names[number]: told for number, told in self.dispatcher.remember().items()}
+    def worker_snapshots(self) -> dict[str, api.WorkerSnapshot]:
+        """The state of each worker, by its id."""
+        snapshots = self.dispatcher.snapshots()
+        return {self.worker_names[number]: snapshot for number, snapshot in snapshots.items()}
 
-    def recall(self, worker_id: str, told: Mapping[str, Any]) -> None:
-        """Take in what an earlier process knew of a worker."""
-        self._tell(api.Recalled(self._number(worker_id), told))
+    def restore_worker(self, worker_id: str, snapshot: api.WorkerSnapshot) -> None:
+        """Restore the state that an earlier process had of a worker."""
+        self._tell(api.Recalled(self._number(worker_id), snapshot))
 
     def may_pass(self, call: Call) -> bool:
         """True where a later process can go on with the call: nothing of it is half done here.
@@ -77,19 +78,25 @@
             and not self.workers.is_telling(call)
         )
 
-    def pass_on(self, call: Call) -> dict[str, Any]:
+    def pass_on(self, call: Call) -> MigratedRequest:
         """End a call here without an answer: a later process goes on with what this tells."""
-        attempts = [
-            [each.number, each.worker_id, each.sent_ns, each.deadline_ns, each.begun_ns]
-            for each in call.live.values()
-        ]
-        told = {
-            "class": self.config.class_names[call.job_class],
-            "opened_ns": call.opened_ns,
-            "deadline_ns": call.deadline_ns,
-            "sends": call.sends,
-            "attempts": attempts,
-        }
+        attempts = tuple(
+            MigratedAttempt(
+                number=attempt.number,
+                worker_id=attempt.worker_id,
+                sent_ns=attempt.sent_ns,
+                deadline_ns=attempt.deadline_ns,
+                started_ns=attempt.begun_ns,
+            )
+            for attempt in call.live.values()
+        )
+        migrated = MigratedRequest(
+            class_name=self.config.class_names[call.job_class],
+            opened_ns=call.opened_ns,
+            deadline_ns=call.deadline_ns,
+            attempts_sent=call.sends,
+            attempts=attempts,
+        )
         for attempt in list(call.live.values()):
             self._remove(attempt)
             self._tell(
@@ -97,26 +104,39 @@
             )
         self._close(call)
         self._tell(api.ClientGone(call.number))
-        return told
+        return migrated
 
     def adopt(
-        self, told: Mapping[str, Any], figures: Figures, payload: object, on_answer: Callable[[Answer], None]
+        self,
+        migrated: MigratedRequest,
+        figures: Figures,
+        payload: object,
+        on_answer: Callable[[Answer], None],
     ) -> Call:
         """Go on with a call as an earlier process told of it."""
         self.counters.add("calls_adopted")
         call = self._enter(
             figures,
-            self.config.class_names.index(told["class"]),
+            self.config.class_names.index(migrated.class_name),
             payload,
-            told["opened_ns"],
-            told["deadline_ns"],
+            migrated.opened_ns,
+            migrated.deadline_ns,
             on_answer,
         )
-        call.sends, now_ns = told["sends"], time.monotonic_ns()
+        call.sends, now_ns = migrated.attempts_sent, time.monotonic_ns()
         worker = sent_ns = begun_ns = 0
-        for number, worker_id, sent_ns, deadline_ns, begun_ns in told["attempts"]:
-            worker = self._number(worker_id)
-            attempt = Attempt(call, number, worker, worker_id, sent_ns, deadline_ns, 0, None, begun_ns, True)
+        for each in migrated.attempts:
+            worker, sent_ns, begun_ns = self._number(each.worker_id), each.sent_ns, each.started_ns
+            attempt = Attempt(
+                call,
+                each.number,
+                worker,
+                each.worker_id,
+                sent_ns,
+                each.deadline_ns,
+                begun_ns=begun_ns,
+                written=True,
+            )
             self._register(attempt)
         self._tell(
             api.Adopted(
--- a/weldquay/net/calls.py
+++ b/weldquay/net/calls.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 from weldquay import interface as api
 from weldquay.net.messages import Figures, MemberList
@@ -80,22 +80,6 @@
     ended: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class Passed:
-    """A client's connection that is handed over to a newer process.
-
-    file: its descriptor; ahead: the bytes that were read and are not parsed, with the request of its call;
-    resting: it is between two requests; since: when that began, on the monotonic clock (s); call: the state
-    of its call as `Exchange.pass_on` returns it, None without a call.
-    """
-
-    file: int
-    ahead: bytes
-    resting: bool
-    since: float
-    call: Mapping[str, Any] | None = None
-
-
 @dataclass(frozen=True, slots=True)
 class AdoptedCall:
     """A call taken over from an older process; answers: those that come before its connection is set up."""
--- a/weldquay/net/connection.py
+++ b/weldquay/net/connection.py
@@ -22,10 +22,11 @@
 
 import h11
 
-from weldquay.net.calls import AdoptedCall, Answer, Call, Overload, Passed, Served
+from weldquay.net.calls import AdoptedCall, Answer, Call, Overload, Served
 from weldquay.net.config import Config
 from weldquay.net.counters import Counters
 from weldquay.net.exchange import Exchange
+from weldquay.net.hot_restart_messages import MigratedConnection
 from weldquay.net.http_channel import HttpChannel, Progress, Rejection
 from weldquay.net.messages import (
     Body,
@@ -79,9 +80,8 @@
     max_ahead: int  # bytes; the limit for all clients together
     in_hand: set[str]  # ids of the open calls
     elsewhere: set[str]  # ids of the calls that are open at an older process
-    pass_on: (
-        Callable[[Passed], None] | None
-    )  # hands a connection over to a newer process; None: there is none
+    # Hands a connection over to a newer process; None: there is none.
+    pass_on: Callable[[MigratedConnection], None] | None
     pass_back: Callable[[bytes], None]  # forwards a call-back that matches nothing to an older process
 
     def forget_call(self, adopted: AdoptedCall | None) -> None:
@@ -96,7 +96,7 @@
         server: ConnectionOwner,
         reader: CountingReader,
         writer: asyncio.StreamWriter,
-        passed: Passed | None,
+        passed: MigratedConnection | None,
         adopted: AdoptedCall | None,
     ) -> None:
         self.server, self.reader, self.writer = server, reader, writer
@@ -108,8 +108,9 @@
         self.is_passing = False  # it is being handed over to a newer process
         self.adopted = adopted  # the call of its first request, if that was taken over from an older process
         self.state, self.since = State.READING, time.monotonic()
-        if passed is not None and passed.call is None:
-            self.state, self.since = State.IDLE if passed.resting else State.READING, passed.since
+        if passed is not None and passed.request is None:
+            self.state = State.IDLE if passed.is_idle else State.READING
+            self.since = passed.state_since or self.since
         self.linger_began, self.unsent = 0.0, 0  # when it began; bytes of the answer left then
         server.by_state[self.state][self] = None
 
@@ -154,18 +155,18 @@
             await self.writer.drain()
         if self.server.pass_on is None or self.is_lingering or self.writer.is_closing():
             return
-        ahead, told = self.channel.trailing + data, None
+        ahead, request = self.channel.trailing + data, None
         if self.call is not None:
             self.server.counters.add("calls_passed_on")
             assert self.channel.request is not None
             left_ns = self.call.deadline_ns - time.monotonic_ns()
             ahead = request_again(self.channel.request, bytes(self.channel.body), left_ns) + ahead
-            told = exchange.pass_on(self.call)
+            request = exchange.pass_on(self.call)
             self.server.in_hand.discard(self.call.id)
             self.call = None
         self.server.counters.add("clients_passed_on")
         file = os.dup(self.writer.get_extra_info("socket").fileno())
-        self.server.pass_on(Passed(file, ahead, self.state is State.IDLE, self.since, told))
+        self.server.pass_on(MigratedConnection(file, ahead, self.state is State.IDLE, self.since, request))
 
     def forget(self) -> None:
         """Remove the connection from the server's tables."""
--- a/weldquay/net/handover.py
+++ b/weldquay/net/handover.py
@@ -13,45 +13,51 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import suppress
-from dataclasses import dataclass
 from typing import Any, Protocol
 
 import ujson
 
 from weldquay.net.counters import Counters
+from weldquay.net.hot_restart_codec import UnknownMessageKind, decode, encode
+from weldquay.net.hot_restart_messages import (
+    PROTOCOL_VERSION,
+    AcceptingStopped,
+    BanChange,
+    ClientConnectionCount,
+    EndpointListChunk,
+    ForwardedCallback,
+    HotRestartMessage,
+    ListenerOffer,
+    ListenerRequest,
+    MigratedConnection,
+    MigrationEndConfirmed,
+    MigrationEnded,
+    NewerProcessReady,
+    OpenRequests,
+    WorkerStateMessage,
+)
+from weldquay.net.hot_restart_packet import Message as Message  # part of this module's interface
 from weldquay.net.persistence import place
 
 log = logging.getLogger(__name__)
 
-FORM = 1  # of these messages: a process that speaks another is left to start by itself
+FORM = PROTOCOL_VERSION
 MAX_MESSAGE = 160 * 1024  # a call-back or what was read ahead, and some more; the system's buffer holds it
 ASK_S = 1.5  # an older process that does not answer by then is left out
 TAKE_S = 1.5  # nor is it waited for any longer once this one is ready
 AGAIN_S = 0.01  # the system has too many descriptors on their way
 MAX_PIECE = MAX_MESSAGE // 2  # bytes of rows in one message
 
-
-@dataclass(frozen=True, slots=True)
-class Message:
-    """What one process tells the other.  Whoever takes a descriptor closes it."""
-
-    kind: str
-    told: dict[str, Any]
-    data: bytes = b""
-    file: int = -1
-
-    def encode(self) -> bytes:
-        """A packet: a line of JSON, then data."""
-        return ujson.dumps({"kind": self.kind, **self.told}, default=list).encode() + b"\n" + self.data
-
-    @classmethod
-    def decode(cls, packet: bytes, file: int = -1) -> Message:
-        """The message of a packet; ValueError where it is none."""
-        head, _, data = packet.partition(b"\n")
-        told = ujson.loads(head)
-        if not isinstance(told, dict) or not isinstance(kind := told.pop("kind", None), str):
-            raise ValueError("a message without its kind")
-        return cls(kind, told, data, file)
+RECEIVED_COUNTERS: dict[type[HotRestartMessage], str] = {
+    WorkerStateMessage: "handover_worker",
+    EndpointListChunk: "handover_members",
+    OpenRequests: "handover_open",
+    MigratedConnection: "handover_client",
+    ClientConnectionCount: "handover_held",
+    BanChange: "handover_ban",
+    ForwardedCallback: "handover_call-back",
+}
+UNKNOWN_KIND_COUNTER = "handover_unknown"
 
 
 def pieces(rows: Iterable[Any]) -> Iterator[list[Any]]:
@@ -171,16 +177,16 @@
 class Process(Protocol):
     """What the handover asks of this process."""
 
-    def offer(self) -> tuple[int, dict[str, Any]] | None:
+    def offer(self) -> ListenerOffer | None:
         """A copy of the listener and what goes with it, for a newer process; None where it is too late."""
 
     def hand_over(self) -> None:
         """The newer process is ready: pass on all that can be."""
 
-    def take(self, message: Message) -> None:
+    def take(self, message: HotRestartMessage) -> None:
         """Take in what the other process passes on."""
 
-    def alone(self, unsent: Iterable[Message]) -> None:
+    def alone(self, unsent: Iterable[HotRestartMessage]) -> None:
         """The other process has gone; what it did not take comes back."""
 
 
@@ -191,13 +197,13 @@
         self.path, self.counters, self.process = place(name, ".sock"), counters, process
         self.door: socket.socket | None = None
         self.link: Link | None = None
-        self.offered: Message | None = None
+        self.offered: ListenerOffer | None = None
         self.asked = False  # a newer process has the listener
         self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
     # --- the newer process ---
 
-    async def ask(self) -> Message | None:
+    async def ask(self) -> ListenerOffer | None:
         """What an older process offers, its listener; None where there is no such process, or no answer."""
         try:
             sock = door()
@@ -211,7 +217,8 @@
             if not isinstance(error, FileNotFoundError):
                 log.info("no older process at %s: %s", self.path, error)
             return None
-        self._begin(sock).send("ask", form=FORM)
+        self._begin(sock)
+        self.send(ListenerRequest())
         with suppress(TimeoutError):
             async with asyncio.timeout(ASK_S):
                 await self.answered.wait()
@@ -221,7 +228,7 @@
 
     async def finish(self) -> None:
         """Tell the older process that this one is ready, and wait until it has stopped accepting."""
-        self.send("ready")
+        self.send(NewerProcessReady())
         with suppress(TimeoutError):
             async with asyncio.timeout(TAKE_S):
                 await self.taken.wait()
@@ -264,29 +271,29 @@
 
     async def part(self) -> None:
         """Wait until the newer process has taken in all that was sent."""
-        self.send("end")
+        self.send(MigrationEnded())
         with suppress(TimeoutError):
             async with asyncio.timeout(TAKE_S):
                 await self.parted.wait()
 
     # --- both ---
 
-    def _begin(self, sock: socket.socket) -> Link:
+    def _begin(self, sock: socket.socket) -> None:
         """A link to the other process, with waits of its own.
 
         Guards against the events of an earlier link: set when it was lost, they would end this one's waits at
         once, and its last messages, connections with their calls, would be closed unread.
         """
         self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        self.link = Link(sock, self._take, self._lost)
-        return self.link
+        self.link = Link(sock, self._receive, self._lost)
 
-    def send(self, kind: str, data: bytes = b"", file: int = -1, **told: Any) -> None:
-        """Tell the other process, where there is one."""
+    def send(self, message: HotRestartMessage) -> None:
+        """Send a message to the other process, if there is one; a descriptor in it is closed here."""
+        packet = encode(message)
         if self.link is not None:
-            self.link.send(kind, data, file, **told)
-        elif file >= 0:
-            os.close(file)
+            self.link.send(packet.kind, packet.data, packet.file, **packet.told)
+        elif packet.file >= 0:
+            os.close(packet.file)
 
     def stop(self) -> None:
         """Leave: the other process goes on alone."""
@@ -297,34 +304,51 @@
         if self.link is not None:
             self.link.close()
 
-    def _take(self, message: Message) -> None:
-        match message.kind:
-            case "ask":
-                offer = self.process.offer() if message.told.get("form") == FORM else None
-                if offer is not None:
-                    self.asked = True
-                    self.send("offer", file=offer[0], **offer[1])
-                elif self.link is not None:
-                    self.link.close()
-            case "offer":
+    def _receive(self, packet: Message) -> None:
+        """Decode a packet and handle its message; one that cannot be used is dropped."""
+        try:
+            message = decode(packet)
+        except ValueError as error:
+            if isinstance(error, UnknownMessageKind):
+                self.counters.add(UNKNOWN_KIND_COUNTER)
+            log.warning("a message of the other process is ignored: %s", error)
+            if packet.file >= 0:
+                os.close(packet.file)
+        else:
+            self._take(message)
+
+    def _take(self, message: HotRestartMessage) -> None:
+        match message:
+            case ListenerRequest():
+                self._answer_request(message)
+            case ListenerOffer():
                 self.offered = message
                 self.answered.set()
-            case "ready":
+            case NewerProcessReady():
                 self.process.hand_over()
-                self.send("taken")
-            case "taken":
+                self.send(AcceptingStopped())
+            case AcceptingStopped():
                 self.taken.set()
-            case "end":
-                self.send("ended")
-            case "ended":
+            case MigrationEnded():
+                self.send(MigrationEndConfirmed())
+            case MigrationEndConfirmed():
                 self.parted.set()
             case _:
-                self.counters.add(f"handover_{message.kind}")
+                self.counters.add(RECEIVED_COUNTERS[type(message)])
                 self.process.take(message)
 
+    def _answer_request(self, request: ListenerRequest) -> None:
+        """Offer the listener, or end the link where that is not possible."""
+        offer = self.process.offer() if request.protocol_version == PROTOCOL_VERSION else None
+        if offer is not None:
+            self.asked = True
+            self.send(offer)
+        elif self.link is not None:
+            self.link.close()
+
     def _lost(self, unsent: list[Message]) -> None:
         self.link, self.asked = None, False
         self.answered.set()
         self.taken.set()
         self.parted.set()
-        self.process.alone(unsent)
+        self.process.alone([decode(packet) for packet in unsent])
--- a/weldquay/net/program.py
+++ b/weldquay/net/program.py
@@ -12,18 +12,26 @@
 from collections.abc import Iterable
 from contextlib import suppress
 from dataclasses import replace
-from functools import partial
-from typing import Any
 
 from weldquay.errors import OperatorError
-from weldquay.interface import LeaseState
 from weldquay.net.server import LINGER_S, ClientServer
-from weldquay.net.calls import Passed
 from weldquay.net.config import Config, ConfigError, reload
 from weldquay.net.counters import Counters
 from weldquay.net.exchange import Exchange
 from weldquay.net.loop_monitor import LoopMonitor
-from weldquay.net.handover import Handover, Message, pieces
+from weldquay.net.handover import Handover, pieces
+from weldquay.net.hot_restart_messages import (
+    NO_FILE,
+    BanChange,
+    ClientConnectionCount,
+    EndpointListChunk,
+    ForwardedCallback,
+    HotRestartMessage,
+    ListenerOffer,
+    MigratedConnection,
+    OpenRequests,
+    WorkerStateMessage,
+)
 from weldquay.net.persistence import BanList, StateFile
 from weldquay.net.messages import MessageError, callback, member_line, member_list
 from weldquay.net.operators import Operators
@@ -67,7 +75,7 @@
         self.reload_wanted = asyncio.Event()
         self.tasks = Tasks()
         self.bans, self.kept = BanList(config.name), StateFile(config.name, ".config")
-        self.inherited: list[Message] = []  # the older process's list
+        self.inherited: list[EndpointListChunk] = []  # the older process's list
         self.others = 0  # clients' connections at the older process
         self.before = Phase.STARTING  # the phase in which a newer process took over
         self.begun = self.out_since = time.monotonic()
@@ -99,7 +107,7 @@
         if self.inherited:
             self._inherit_list()
         await self.server.listen(-1 if offered is None else offered.file)
-        self.server.pass_back = partial(self.handover.send, "call-back")
+        self.server.pass_back = lambda body: self.handover.send(ForwardedCallback(body))
         exchange.start(self.workers, self.discovery)
         for worker_id in self.bans.read():
             exchange.ban(worker_id, True)
@@ -110,29 +118,29 @@
             await self._until_listed()
         await self.server.accept()
         self._enter(Phase.SERVING)
-        if offered is not None and offered.told["out_since"] is not None:
-            self.out_of_service(offered.told["out_since"])
+        if offered is not None and offered.out_of_service_since is not None:
+            self.out_of_service(offered.out_of_service_since)
         self.handover.listen()
         self.kept.write(self.config.document)
 
     def _inherit_list(self) -> None:
         """Begin with the older process's list, which is newer than what the file holds."""
-        told = self.inherited[0].told
+        first, last = self.inherited[0], self.inherited[-1]
         # Revisions of another discovery count otherwise: from 0 on it tells the whole list.
-        revision = told["revision"] if told["discovery"] == list(self.config.discovery) else 0
-        lines = [line for message in self.inherited for line in message.told["members"]]
+        revision = first.revision if first.discovery_address == self.config.discovery else 0
+        lines = [line for chunk in self.inherited for line in chunk.endpoints]
         self.config = replace(
             self.config,
             known=member_list({"revision": revision, "complete": True, "members": lines}),
-            lease=LeaseState(*self.inherited[-1].told.get("lease", ())),  # an earlier release tells none
+            lease=last.lease,
         )
         self.discovery.revision = revision
         self.exchange.config = self.config
 
-    async def _take_over(self, offered: Message) -> None:
+    async def _take_over(self, offered: ListenerOffer) -> None:
         """Take an older process's place, once the list of workers has come, or has not for long."""
         self.workers.limit(NEWER_PART)
-        for worker_id in offered.told["bans"]:
+        for worker_id in offered.banned_worker_ids:
             self.exchange.ban(worker_id, True)
         await self._until_listed()
         await self.handover.finish()
@@ -146,7 +154,7 @@
 
     # --- the other process of this dispatcher, while there is one ---
 
-    def offer(self) -> tuple[int, dict[str, Any]] | None:
+    def offer(self) -> ListenerOffer | None:
         """The listener, for a newer process, and room for its connections."""
         if self.phase not in (Phase.SERVING, Phase.OUT_OF_SERVICE) or self.server.listener is None:
             return None
@@ -155,17 +163,18 @@
         members = map(member_line, self.workers.members())
         for piece in pieces(members) if self.exchange.listed else ():
             self.handover.send(
-                "members",
-                revision=self.discovery.revision,
-                discovery=self.discovery.config.discovery,
-                lease=list(self.exchange.dispatcher.lease.state()),
-                members=piece,
+                EndpointListChunk(
+                    revision=self.discovery.revision,
+                    discovery_address=self.discovery.config.discovery,
+                    lease=self.exchange.dispatcher.lease.state(),
+                    endpoints=tuple(piece),
+                )
             )
-        told = {
-            "bans": sorted(self.exchange.bans),
-            "out_since": self.out_since if self.phase is Phase.OUT_OF_SERVICE else None,
-        }
-        return os.dup(self.server.listener.fileno()), told
+        return ListenerOffer(
+            file=os.dup(self.server.listener.fileno()),
+            banned_worker_ids=tuple(sorted(self.exchange.bans)),
+            out_of_service_since=self.out_since if self.phase is Phase.OUT_OF_SERVICE else None,
+        )
 
     def hand_over(self) -> None:
         """Pass on what is known, and the clients' connections; what is in hand ends here."""
@@ -174,67 +183,65 @@
         self.before = self.phase
         self._stop_emptying()
         self._enter(Phase.HANDED_OVER)
-        for worker_id, told in self.exchange.remember().items():
-            self.handover.send("worker", id=worker_id, memory=told, at=self.workers.address(worker_id))
+        for worker_id, snapshot in self.exchange.worker_snapshots().items():
+            host, port = self.workers.address(worker_id)
+            self.handover.send(WorkerStateMessage(worker_id, host, port, snapshot))
         for ids in pieces(self.server.in_hand):
-            self.handover.send("open", ids=ids)
-        self.handover.send("held", clients=len(self.server.connections))
-        self.server.hand_over(self._pass_client)
+            self.handover.send(OpenRequests(tuple(ids)))
+        self.handover.send(ClientConnectionCount(len(self.server.connections)))
+        self.server.hand_over(self.handover.send)
         self.tasks.start(self._tell_held(), "telling of the connections that are left")
 
-    def _pass_client(self, passed: Passed) -> None:
-        self.handover.send(
-            "client", passed.ahead, passed.file, resting=passed.resting, since=passed.since, call=passed.call
-        )
-
     async def _tell_held(self) -> None:
         """Tell the newer process how many connections it has to leave room for."""
         while self.handover.link is not None:
             await asyncio.sleep(HELD_S)
-            self.handover.send("held", clients=len(self.server.connections))
-
-    def take(self, message: Message) -> None:
-        """Take in what the other process tells; what an unknown kind says is left out."""
-        match message.kind:
-            case "worker":
-                self.workers.learn(message.told["id"], *message.told["at"])
-                self.exchange.recall(message.told["id"], message.told["memory"])
-            case "members":
+            self.handover.send(ClientConnectionCount(len(self.server.connections)))
+
+    def take(self, message: HotRestartMessage) -> None:
+        """Handle a message of the other process."""
+        match message:
+            case WorkerStateMessage():
+                self.workers.learn(message.worker_id, message.host, message.port)
+                self.exchange.restore_worker(message.worker_id, message.snapshot)
+            case EndpointListChunk():
                 self.inherited.append(message)
-            case "open":
-                self.server.elsewhere.update(message.told["ids"])
-            case "client" if message.file < 0:  # there was no descriptor left for it
+            case OpenRequests():
+                self.server.elsewhere.update(message.request_ids)
+            case MigratedConnection(file=file) if file == NO_FILE:  # there was no descriptor left for it
                 self.counters.add("handover_without_descriptor")
-            case "client":
+            case MigratedConnection():
                 if self.others:
                     self._leave_room(self.others - 1)
-                self.server.adopt(Passed(message.file, message.data, **message.told))
-            case "held":
-                self._leave_room(message.told["clients"])
-            case "ban":
-                self.exchange.ban(message.told["id"], message.told["on"])
-            case "call-back":
+                self.server.adopt(message)
+            case ClientConnectionCount():
+                self._leave_room(message.connections)
+            case BanChange():
+                self.exchange.ban(message.worker_id, message.is_banned)
+            case ForwardedCallback():
                 with suppress(MessageError):
-                    matched = self.exchange.call_back(callback(message.data, self.config.report_fields))
+                    matched = self.exchange.call_back(callback(message.body, self.config.report_fields))
                     # Guards against a call-back that overtakes its call: back it comes behind it.
                     if not matched and self.server.pass_on is not None:
-                        self.handover.send("call-back", message.data)
+                        self.handover.send(message)
 
     def _leave_room(self, others: int) -> None:
         """Count the clients' connections that the older process still holds."""
         self.others = others
         self.server.limit(NEWER_FILES + others)
 
-    def alone(self, unsent: Iterable[Message]) -> None:
+    def alone(self, unsent: Iterable[HotRestartMessage]) -> None:
         """The other process has gone: all room is this one's; if it was to take over, this one goes on."""
         self.server.limit(0)
         self.workers.limit(1)
         self.server.elsewhere.clear()
         self.server.pass_on = None
         for message in unsent:
-            if message.kind == "client" and self.phase not in (Phase.STOPPING, Phase.STOPPED):
+            if not isinstance(message, MigratedConnection | ListenerOffer) or message.file == NO_FILE:
+                continue
+            if isinstance(message, MigratedConnection) and self.phase not in (Phase.STOPPING, Phase.STOPPED):
                 self.take(message)
-            elif message.file >= 0:
+            else:
                 os.close(message.file)
         if self.phase is Phase.DRAINING:
             self.server.begin_closing()
@@ -275,7 +282,7 @@
             return False
         self.exchange.ban(worker_id, on)
         self.bans.write(self.exchange.bans)
-        self.handover.send("ban", id=worker_id, on=on)
+        self.handover.send(BanChange(worker_id, on))
         return True
 
     async def _empty(self) -> None:
--- a/weldquay/net/server.py
+++ b/weldquay/net/server.py
@@ -15,8 +15,9 @@
 from weldquay.net.config import Config
 from weldquay.net.connection import READ_SIZE, Connection, State
 from weldquay.net.counters import Counters
-from weldquay.net.calls import AdoptedCall, Answer, Passed
+from weldquay.net.calls import AdoptedCall, Answer
 from weldquay.net.exchange import Exchange
+from weldquay.net.hot_restart_messages import MigratedConnection, MigratedRequest
 from weldquay.net.http_channel import MAX_HEAD
 from weldquay.net.messages import figures, job_of
 from weldquay.net.streams import READABLE, CountingReader, poll_now
@@ -61,7 +62,7 @@
         # During a handover: pass_on hands a connection over to the newer process, pass_back forwards a
         # call-back that matches nothing here to the older one, and elsewhere has the ids of its open calls,
         # which new calls may not use.
-        self.pass_on: Callable[[Passed], None] | None = None
+        self.pass_on: Callable[[MigratedConnection], None] | None = None
         self.pass_back: Callable[[bytes], None] = lambda body: None
         self.elsewhere: set[str] = set()
         self.tasks = Tasks()
@@ -109,7 +110,7 @@
     def _protocol(
         self,
         ahead: bytes = b"",
-        passed: Passed | None = None,
+        passed: MigratedConnection | None = None,
         adopted: AdoptedCall | None = None,
     ) -> asyncio.StreamReaderProtocol:
         reader = CountingReader(READ_SIZE)
@@ -137,7 +138,7 @@
         """Lower the limit of connections by those that another process holds."""
         self.max_connections = max(MIN_CONNECTIONS, self.connection_limit - others)
 
-    def hand_over(self, pass_on: Callable[[Passed], None]) -> None:
+    def hand_over(self, pass_on: Callable[[MigratedConnection], None]) -> None:
         """Stop accepting, and hand each connection over between two requests, or with its call."""
         self.stop_accepting()
         self.pass_on = pass_on
@@ -145,20 +146,22 @@
             for connection in list(self.by_state[state]):
                 connection.begin_passing()
 
-    def adopt(self, passed: Passed) -> None:
+    def adopt(self, passed: MigratedConnection) -> None:
         """Take over a connection, and its call, from the older process.
 
         The call is taken over at once, since its call-backs may arrive before the connection is set up.
         """
-        known = passed.call is not None and passed.call["class"] in self.config.class_names
-        adopted = self._adopt_call(passed) if known else None
+        request = passed.request
+        adopted = None
+        if request is not None and request.class_name in self.config.class_names:
+            adopted = self._adopt_call(passed.unparsed, request)
         self.tasks.start(self._adopt(passed, adopted), "going on with a connection of the older process")
 
-    def _adopt_call(self, passed: Passed) -> AdoptedCall:
+    def _adopt_call(self, unparsed: bytes, migrated: MigratedRequest) -> AdoptedCall:
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        http.receive_data(passed.ahead)
+        http.receive_data(unparsed)
         request, body = http.next_event(), bytearray()
-        assert isinstance(request, h11.Request) and passed.call is not None
+        assert isinstance(request, h11.Request)
         while isinstance(event := http.next_event(), h11.Data):
             body += event.data
         told = figures(request.headers)
@@ -166,14 +169,14 @@
         job = job_of(request, body)
         self.elsewhere.discard(told.id)
         self.in_hand.add(told.id)
-        return AdoptedCall(self.exchange.adopt(passed.call, told, job, answers.append), answers)
+        return AdoptedCall(self.exchange.adopt(migrated, told, job, answers.append), answers)
 
-    async def _adopt(self, passed: Passed, adopted: AdoptedCall | None) -> None:
+    async def _adopt(self, passed: MigratedConnection, adopted: AdoptedCall | None) -> None:
         sock = socket.socket(fileno=passed.file)
         sock.setblocking(False)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
-                partial(self._protocol, passed.ahead, passed, adopted), sock
+                partial(self._protocol, passed.unparsed, passed, adopted), sock
             )
         except OSError:  # the client has gone
             sock.close()
@@ -227,7 +230,7 @@
         self,
         reader: CountingReader,
         writer: asyncio.StreamWriter,
-        passed: Passed | None,
+        passed: MigratedConnection | None,
         adopted: AdoptedCall | None,
     ) -> None:
         if len(self.connections) >= self.max_connections and not self._make_room():
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -33,7 +33,7 @@
         self.takes: dict[type, Callable[[Any], object]] = {
             Request: self._take, AttemptEnded: self._end_attempt, AttemptNote: self._note, Ending: self._end,
             ProbeEnded: self._end_probe, Membership: self._follow, Retuned: self._retune, Banned: self._ban,
-            Recalled: self._recall, Adopted: self._adopt, StreamBegun: self._begin_stream,
+            Recalled: self._restore, Adopted: self._adopt, StreamBegun: self._begin_stream,
             ClientGone: lambda event: self._close(event.request)}
 
     def step(self, now_ns: int, events: list[Event]) -> list[Action]:
--- a/weldquay/policy/members.py
+++ b/weldquay/policy/members.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
 
 from weldquay.fleet.subset import subset
-from weldquay.interface import Banned, ListKind, Membership, Probe, Recalled, SetTimer, WorkerState
+from weldquay.interface import (
+    Banned, ListKind, Membership, Probe, Recalled, SetTimer, WorkerSnapshot, WorkerState)
 from weldquay.ledger.records import Worker
 from weldquay.policy.health import Health
 
@@ -67,10 +67,10 @@
             worker.back_ns, worker.probe_out = self.now_ns, self.settings.may_probe
             self.out += [Probe(event.worker)] * worker.probe_out
 
-    def remember(self) -> dict[int, dict[str, Any]]:
-        """What a later process of this dispatcher is to know of each worker."""
-        return {number: worker.remember() for number, worker in self.workers.items()}
+    def snapshots(self) -> dict[int, WorkerSnapshot]:
+        """The state of each worker, for the process that replaces this one."""
+        return {number: worker.snapshot() for number, worker in self.workers.items()}
 
-    def _recall(self, event: Recalled) -> None:
+    def _restore(self, event: Recalled) -> None:
         if (worker := self.workers.get(event.worker)) is not None:
-            worker.recall(dict(event.memory))
+            worker.restore(event.snapshot)
