--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -12,7 +12,7 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Site, job, site, until
-from weldquay.net.calls import Passed
+from weldquay.net.hot_restart_messages import MigratedConnection
 from weldquay.net.outgoing import Connection
 from weldquay.net.known_worker import Worker
 
@@ -165,7 +165,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            worker, passed = here.workers[0], list[Passed]()
+            worker, passed = here.workers[0], list[MigratedConnection]()
 
             async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -13,6 +13,7 @@
 from weldquay.net import handover
 from weldquay.net.counters import Counters
 from weldquay.net.handover import Link
+from weldquay.net.hot_restart_messages import HotRestartMessage, ListenerOffer
 from weldquay.net.persistence import place
 from weldquay.net.program import Phase
 
@@ -119,14 +120,14 @@
 class Alone:
     """A process that offers a copy of standard input and takes in nothing else."""
 
-    def offer(self) -> tuple[int, dict[str, object]]:
+    def offer(self) -> ListenerOffer:
         """A descriptor that the asker closes."""
-        return os.dup(0), {}
+        return ListenerOffer(file=os.dup(0))
 
     def hand_over(self) -> None:
         """Nothing to pass on."""
 
-    def take(self, message: handover.Message) -> None:
+    def take(self, message: HotRestartMessage) -> None:
         """Nothing is taken in."""
 
     def alone(self, unsent: object) -> None:
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -8,6 +8,7 @@
 
 from weldquay import interface as api
 from weldquay.interface import Effect, Group, Outcome
+from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
 from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings, started
 
 RISKY = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN]
@@ -187,10 +188,12 @@
         drive.step(api.Request(number, 0, 5 * SECOND, hint_ns=100 * MS))
     later = Drive(workers=2)
     later.now = drive.now
-    told = drive.dispatcher.remember()
-    told = {worker: json.loads(json.dumps(memory, default=list)) for worker, memory in told.items()}
-    later.step(*(api.Recalled(worker, memory) for worker, memory in told.items()), api.Recalled(9, told[1]))
-    assert later.dispatcher.remember() == drive.dispatcher.remember()
+    told = {
+        worker: decode_worker_state(json.loads(json.dumps(encode_worker_state(snapshot))))
+        for worker, snapshot in drive.dispatcher.snapshots().items()
+    }
+    later.step(*(api.Recalled(worker, state) for worker, state in told.items()), api.Recalled(9, told[1]))
+    assert later.dispatcher.snapshots() == drive.dispatcher.snapshots()
     mine, theirs = (each.dispatcher.workers[1] for each in (later, drive))
     assert later.dispatcher._load(mine) == drive.dispatcher._load(theirs)
 
