--- /dev/null
+++ b/tests/test_hot_restart_codec.py
@@ -0,0 +1,284 @@
+"""The external form of the hot-restart messages, held against packets that release 725bba5 wrote."""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Iterator
+from dataclasses import Field, fields, replace
+from pathlib import Path
+from typing import Any, NamedTuple
+from unittest.mock import Mock
+
+import pytest
+
+from weldquay.interface import (
+    UNKNOWN_WORKER,
+    LeaseState,
+    LoadChange,
+    SlowStartSend,
+    WorkerEntry,
+    WorkerSnapshot,
+    WorkerState,
+)
+from weldquay.ledger.records import Worker
+from weldquay.net import hot_restart_messages as messages
+from weldquay.net.counters import Counters
+from weldquay.net.handover import Handover
+from weldquay.net.hot_restart_codec import MalformedMessage, UnknownMessageKind, decode, encode
+from weldquay.net.hot_restart_packet import Message
+from weldquay.net.worker_state_codec import decode_worker_state
+
+RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
+FILE = 77  # a descriptor's number; nothing is opened or closed here
+
+# A worker's state with another value for each name.
+STATE: dict[str, Any] = {
+    "free": 1.5, "free_memory": 2.5, "size": 3.5, "report_ns": 4, "changes": [[5, 1.0, 2.0]], "changed": 6.5,
+    "changed_memory": 7.5, "job_sign_ns": 8, "refusals": 9, "errors": 10.5, "rest_ns": 11,
+    "next_probe_ns": 12, "strikes": 13, "suspect": True, "trial_ns": 14, "backoff_ns": 15, "back_ns": 16,
+    "pushed": [[17, 1.25]], "cold_room": 18.5, "cold_ns": 19,
+}  # fmt: skip
+
+
+class Packet(NamedTuple):
+    """A recorded packet: its kind, its bytes, and its descriptor."""
+
+    kind: str
+    data: bytes
+    file: int
+
+
+def recorded() -> Iterator[Packet]:
+    """The packets of two hot restarts, in the order in which they were sent."""
+    for row in json.loads(RECORDED.read_text()):
+        yield Packet(row["kind"], row["packet"].encode("latin-1"), FILE if row["descriptor"] else -1)
+
+
+PACKETS = list(recorded())
+
+
+def of_kind(kind: str) -> list[Any]:
+    """The recorded messages of a kind, decoded."""
+    return [decode(Message.decode(each.data, each.file)) for each in PACKETS if each.kind == kind]
+
+
+def received(kind: str, **fields: Any) -> Any:
+    """The message of a packet with these fields."""
+    return decode(Message.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", FILE))
+
+
+@pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
+def test_a_decoded_message_is_encoded_to_the_same_bytes(packet: Packet) -> None:
+    """Names, their order, numbers and the descriptor are those of the recorded packet."""
+    message = decode(Message.decode(packet.data, packet.file))
+    encoded = encode(message)
+    assert encoded.encode() == packet.data
+    assert encoded.kind == packet.kind and encoded.file == packet.file
+
+
+@pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
+def test_unknown_names_are_ignored(packet: Packet) -> None:
+    """A later release may send more: at the top, in a worker's state, in a request, and in the lease."""
+    head, _, data = packet.data.partition(b"\n")
+    fields = json.loads(head)
+    more = {**fields, "__class__": "x", "snapshot": 1}
+    for inner in ("memory", "call"):
+        if fields.get(inner) is not None:
+            more[inner] = {**fields[inner], "live": {}, "unknown": [1]}
+    if "lease" in fields:
+        more["lease"] = [*fields["lease"], "unknown"]
+    later = Message.decode(json.dumps(more).encode() + b"\n" + data, packet.file)
+    assert decode(later) == decode(Message.decode(packet.data, packet.file))
+
+
+def test_all_kinds_are_recorded() -> None:
+    """Each kind of message is among the recorded ones, by its name and by its type."""
+    kinds = {each.kind for each in PACKETS}
+    assert kinds == {
+        "ask", "offer", "members", "ready", "taken", "worker", "open", "held", "client", "ban", "call-back",
+        "end", "ended",
+    }  # fmt: skip
+    assert {type(message) for kind in kinds for message in of_kind(kind)} == {
+        messages.ListenerRequest,
+        messages.ListenerOffer,
+        messages.EndpointListChunk,
+        messages.NewerProcessReady,
+        messages.AcceptingStopped,
+        messages.WorkerStateMessage,
+        messages.OpenRequests,
+        messages.ClientConnectionCount,
+        messages.MigratedConnection,
+        messages.BanChange,
+        messages.ForwardedCallback,
+        messages.MigrationEnded,
+        messages.MigrationEndConfirmed,
+    }
+
+
+def test_the_listener_and_the_list() -> None:
+    """The request, the list with its lease, and the offer in service and out of service."""
+    assert of_kind("ask") == [messages.ListenerRequest(1)]
+    assert of_kind("offer") == [
+        messages.ListenerOffer(FILE, ("w0",), None),
+        messages.ListenerOffer(FILE, (), 275.695290842),
+    ]
+    (chunk,) = of_kind("members")
+    assert (chunk.revision, chunk.discovery_address) == (1, ("127.0.0.1", 39129))
+    assert chunk.lease == LeaseState(277622397506, False, False)
+    assert [line["id"] for line in chunk.endpoints] == ["w0", "w1", "w2", "w3", "w4", "w5"]
+
+
+def test_a_worker_that_is_warming_up() -> None:
+    """The ban of w1 had been lifted before; it has an attempt out and several sends that count."""
+    (warming,) = [each for each in of_kind("worker") if each.worker_id == "w1"]
+    assert (warming.host, warming.port) == ("127.0.0.1", 45839)
+    state = warming.snapshot
+    assert (state.free_slots, state.free_memory, state.estimated_slots) == (4.0, 4.0, 4.0)
+    assert state.reported_ns == 271838268601 and state.last_response_ns == 272054602723
+    assert len(state.unreported_changes) == 9
+    assert state.unreported_changes[-1] == LoadChange(272056724703, 1.0, 0.0)
+    assert (state.unreported_slots, state.unreported_memory) == (1.0, 0.0)
+    assert (state.reinstated_ns, state.trial_backoff_ns) == (271837116376, 1_000_000_000)
+    assert state.slow_start_sends[0] == SlowStartSend(205103434, 857547031.1375)
+    assert len(state.slow_start_sends) == 5
+    assert (state.slow_start_budget_ns, state.slow_start_budget_at_ns) == (290443656.6101818, 272058012962)
+
+
+def test_each_name_of_a_workers_state_has_its_field() -> None:
+    """With a value of its own for each name, none is mistaken for another."""
+    state = received("worker", id="w", at=["h", 1], memory=STATE).snapshot
+    assert state == WorkerSnapshot(
+        free_slots=1.5,
+        free_memory=2.5,
+        estimated_slots=3.5,
+        reported_ns=4,
+        unreported_changes=(LoadChange(5, 1.0, 2.0),),
+        unreported_slots=6.5,
+        unreported_memory=7.5,
+        last_response_ns=8,
+        consecutive_rejections=9,
+        failure_score=10.5,
+        backoff_until_ns=11,
+        next_probe_ns=12,
+        consecutive_probe_failures=13,
+        is_ejected=True,
+        next_trial_ns=14,
+        trial_backoff_ns=15,
+        reinstated_ns=16,
+        slow_start_sends=(SlowStartSend(17, 1.25),),
+        slow_start_budget_ns=18.5,
+        slow_start_budget_at_ns=19,
+    )
+    encoded = json.loads(encode(messages.WorkerStateMessage("w", "h", 1, state)).encode())
+    assert encoded == {"kind": "worker", "id": "w", "memory": STATE, "at": ["h", 1]}
+    assert list(encoded["memory"]) == list(STATE)
+
+
+def test_a_worker_restores_its_snapshot() -> None:
+    """What 725bba5 sent becomes the worker's state, and its own snapshot is the same again."""
+    for message in of_kind("worker"):
+        worker = Worker(WorkerEntry(1, WorkerState.READY))
+        worker.strikes, worker.errors = 3, 1.0  # what a health check before it may have left
+        worker.restore(message.snapshot)
+        assert worker.snapshot() == message.snapshot
+        worker.note_change(300_000_000_000, 1.0, 0.0)  # the lists can be appended to
+        worker.pushed.clear()
+
+
+def test_a_fresh_worker_has_the_defaults_of_a_snapshot() -> None:
+    """So a name that is missing leaves what a worker starts with."""
+    assert Worker(WorkerEntry(1, WorkerState.READY)).snapshot() == UNKNOWN_WORKER
+
+
+@pytest.mark.parametrize(("name", "field"), [*zip(STATE, fields(WorkerSnapshot), strict=True)])
+def test_a_missing_name_of_a_workers_state_has_its_default(name: str, field: Field[Any]) -> None:
+    """One name is missing at a time; the others are read."""
+    whole = decode_worker_state(STATE)
+    part = decode_worker_state({each: value for each, value in STATE.items() if each != name})
+    default = getattr(UNKNOWN_WORKER, field.name)
+    assert part == replace(whole, **{field.name: default}) and part != whole
+
+
+def test_a_clients_connection_with_its_request() -> None:
+    """One between two requests, one whose attempt has started, one whose attempt has not."""
+    idle, waiting, started, *_ = of_kind("client")
+    assert idle == messages.MigratedConnection(FILE, b"", True, 272.174916748, None)
+    assert waiting.file == FILE and not waiting.is_idle and waiting.state_since == 272.056656803
+    assert waiting.unparsed.startswith(b"POST /lookup/a?b=1 HTTP/1.1\r\n")
+    assert waiting.unparsed.endswith(b"\r\n\r\ntext")
+    attempt = messages.MigratedAttempt(0, "w1", 272057147353, 277056602981, 0)
+    assert waiting.request == messages.MigratedRequest("lookup", 272056602981, 277056602981, 1, (attempt,))
+    assert [each.started_ns for each in started.request.attempts] == [272068152547]
+
+
+def test_the_other_messages() -> None:
+    """Open requests, the count of connections, a ban that was lifted, and a callback."""
+    assert of_kind("open") == [messages.OpenRequests(("h0", "d0", "c1", "c0"))]
+    assert of_kind("held") == [messages.ClientConnectionCount(5), messages.ClientConnectionCount(0)]
+    assert of_kind("ban") == [messages.BanChange("w0", False)]
+    (callback,) = of_kind("call-back")
+    assert callback.body == b'{"id": "h0", "from": "w5", "state": "done", "result": "early"}'
+
+
+@pytest.mark.parametrize(
+    ("kind", "fields", "expected"),
+    [
+        ("ask", {}, messages.ListenerRequest(None)),
+        ("offer", {}, messages.ListenerOffer(FILE, (), None)),
+        ("members", {}, messages.EndpointListChunk(0, None, LeaseState(), ())),
+        ("members", {"lease": [5]}, messages.EndpointListChunk(lease=LeaseState(5, False, False))),
+        ("members", {"lease": [5, True]}, messages.EndpointListChunk(lease=LeaseState(5, True, False))),
+        ("worker", {"id": "w", "at": ["h", 1]}, messages.WorkerStateMessage("w", "h", 1, UNKNOWN_WORKER)),
+        ("open", {}, messages.OpenRequests(())),
+        ("held", {}, messages.ClientConnectionCount(0)),
+        ("client", {}, messages.MigratedConnection(FILE, b"body", False, None, None)),
+        (
+            "client",
+            {"call": {}},
+            messages.MigratedConnection(FILE, b"body", request=messages.MigratedRequest()),
+        ),
+        ("ban", {"id": "w"}, messages.BanChange("w", True)),
+    ],
+)
+def test_missing_names_have_their_defaults(kind: str, fields: dict[str, Any], expected: object) -> None:
+    """An earlier release may send less."""
+    assert received(kind, **fields) == expected
+
+
+@pytest.mark.parametrize(
+    ("kind", "fields"),
+    [("worker", {"at": ["h", 1]}), ("worker", {"id": "w"}), ("ban", {"on": True})],
+)
+def test_a_message_without_its_id_or_address_is_refused(kind: str, fields: dict[str, Any]) -> None:
+    """There is no default for them."""
+    with pytest.raises(MalformedMessage):
+        received(kind, **fields)
+
+
+def test_an_unknown_kind_is_refused() -> None:
+    """The codec names it."""
+    with pytest.raises(UnknownMessageKind, match="later"):
+        received("later")
+
+
+def test_what_cannot_be_decoded_is_dropped_with_its_descriptor() -> None:
+    """An unknown kind is counted; neither it nor a malformed message reaches the process."""
+    process, counters = Mock(), Counters()
+    handover = Handover("toy", counters, process)
+    for kind in ("later", "worker"):
+        file = os.dup(0)
+        handover._receive(Message(kind, {}, file=file))
+        with pytest.raises(OSError):
+            os.fstat(file)
+    assert not process.method_calls and dict(counters.counts) == {"handover_unknown": 1}
+
+
+@pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
+def test_received_messages_are_counted_by_their_external_kind(packet: Packet) -> None:
+    """The counters' names are those of 725bba5; what the link itself handles is not counted."""
+    counters = Counters()
+    handover = Handover("toy", counters, Mock(offer=Mock(return_value=None)))
+    handover._receive(Message.decode(packet.data, packet.file))
+    own = {"ask", "offer", "ready", "taken", "end", "ended"}
+    assert dict(counters.counts) == ({} if packet.kind in own else {f"handover_{packet.kind}": 1})
