--- /dev/null
+++ b/tests/test_counter_names.py
@@ -0,0 +1,67 @@
+"""Counters that have a name for each member of a set: all members have theirs, as 725bba5 names them."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+from typing import get_args
+
+from weldquay import interface as api
+from weldquay.net.calls import Answer
+from weldquay.net.connection import State
+from weldquay.net.counter_names import (
+    ATTEMPT_COUNTERS,
+    LIST_COUNTERS,
+    PROBE_COUNTERS,
+    RESERVATION_COUNTERS,
+)
+from weldquay.net.exchange import ANSWER_COUNTERS
+from weldquay.net.operators import OPERATION_COUNTERS
+from weldquay.net.server import EVICTION_COUNTERS
+
+PLANNER = Path(__file__).parents[1] / "weldquay" / "planning" / "planner.py"
+OUTCOMES = [
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "moot",
+    "unknown",
+    "rejected",
+]
+
+
+def test_outcomes() -> None:
+    """Each outcome of an attempt and of a health check."""
+    assert set(ATTEMPT_COUNTERS) == set(PROBE_COUNTERS) == set(api.Outcome)
+    assert sorted(ATTEMPT_COUNTERS.values()) == sorted(f"attempts_{each}" for each in OUTCOMES)
+    assert sorted(PROBE_COUNTERS.values()) == sorted(f"probes_{each}" for each in OUTCOMES)
+    assert (ATTEMPT_COUNTERS[api.Outcome.OK], PROBE_COUNTERS[api.Outcome.OK]) == ("attempts_ok", "probes_ok")
+
+
+def test_answers_and_lists() -> None:
+    """Each answer to a client, and each kind of news of the list."""
+    assert set(ANSWER_COUNTERS) == set(get_args(Answer))
+    assert sorted(ANSWER_COUNTERS.values()) == ["answers_failed", "answers_overload", "answers_served"]
+    assert set(LIST_COUNTERS) == set(api.ListKind)
+    kinds = ["cached", "current", "delta", "failed", "full", "moved"]
+    assert sorted(LIST_COUNTERS.values()) == [f"lists_{kind}" for kind in kinds]
+
+
+def test_reservations() -> None:
+    """Each reason that a reservation ends for, those in the planner's source among them."""
+    reasons = set(re.findall(r'self\._end\([^"\n]*"(\w+)"\)|return "(\w+)"', PLANNER.read_text()))
+    named = {one or other for one, other in reasons}
+    assert len(named) >= 9 and named | {"placed", "job_over"} == set(RESERVATION_COUNTERS)
+    assert all(counter == f"holds_{reason}" for reason, counter in RESERVATION_COUNTERS.items())
+
+
+def test_evictions_and_operators() -> None:
+    """Connections with a call are never evicted; the other states have a counter."""
+    assert set(EVICTION_COUNTERS) == set(State) - {State.WAITING}
+    assert sorted(EVICTION_COUNTERS.values()) == ["evicted_leaving", "evicted_reading", "evicted_resting"]
+    verbs = ["in-service", "offline", "online", "out-of-service", "ready"]
+    assert sorted(OPERATION_COUNTERS.values()) == [f"operators_{verb}" for verb in verbs]
--- a/weldquay/lab/direct.py
+++ b/weldquay/lab/direct.py
@@ -18,6 +18,7 @@
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
+from weldquay.net.counter_names import ATTEMPT_COUNTERS, RESERVATION_COUNTERS
 from weldquay.policy.dispatcher import Dispatcher
 
 NET_NS = 250_000  # one way between any two parties
@@ -224,7 +225,7 @@
             case api.Watch():
                 self._tell(dispatcher, api.Membership(api.ListKind.DELTA))
             case api.HoldEnded():
-                self.counts[f"holds_{action.why}"] += 1
+                self.counts[RESERVATION_COUNTERS[action.why]] += 1
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
         client = self.clients[dispatcher].get(action.request)
@@ -254,7 +255,7 @@
             came_ns = self.begun_ns + client.record.arrival.at_ns
             fate = loads.judge(self.kinds[arrival.kind], arrival.work_ns, self.now_ns - came_ns)
             self._answer(dispatcher, attempt.request, fate, self.now_ns - came_ns - int(arrival.work_ns))
-        self.counts[f"attempts_{outcome.value}"] += 1
+        self.counts[ATTEMPT_COUNTERS[outcome]] += 1
         self._tell(
             dispatcher,
             api.AttemptEnded(
--- a/weldquay/net/connection.py
+++ b/weldquay/net/connection.py
@@ -55,7 +55,7 @@
 
 
 class State(Enum):
-    """The states of a connection; counters `evicted_*` have the values in their names."""
+    """The states of a connection."""
 
     READING = "reading"  # new, or in the middle of a request: its time is limited
     WAITING = "calling"  # a call waits for its answer
--- a/weldquay/net/exchange.py
+++ b/weldquay/net/exchange.py
@@ -17,6 +17,11 @@
 from weldquay.net.call_transfer import CallTransfer
 from weldquay.net.calls import Answer, Attempt, Call, Failed, Overload, DiscoverySide, Served, WorkerSide
 from weldquay.net.config import Config, numbered
+from weldquay.net.counter_names import (
+    ATTEMPT_COUNTERS,
+    PROBE_COUNTERS,
+    RESERVATION_COUNTERS,
+)
 from weldquay.net.counters import Counters
 from weldquay.net.list_intake import ListIntake
 from weldquay.net.messages import CallBack, Figures
@@ -26,6 +31,12 @@
 OVERDUE_NS = 10_000_000  # past its deadline by this much a call without an answer is failed here
 MS = 1_000_000
 
+ANSWER_COUNTERS: dict[type[Answer], str] = {
+    Served: "answers_served",
+    Overload: "answers_overload",
+    Failed: "answers_failed",
+}
+
 
 class Exchange(ListIntake, CallTransfer):
     """One dispatcher at work: events in, decisions, actions out."""
@@ -148,7 +159,7 @@
         """Give the final answer, unless the call has ended already."""
         if call is not None and call.open:
             self._close(call)
-            self.counters.add(f"answers_{type(answer).__name__.lower()}")
+            self.counters.add(ANSWER_COUNTERS[type(answer)])
             call.on_answer(answer)
 
     def _close(self, call: Call) -> None:
@@ -182,7 +193,7 @@
             return
         self._remove(attempt)
         call = attempt.call
-        self.counters.add(f"attempts_{outcome.value}")
+        self.counters.add(ATTEMPT_COUNTERS[outcome])
         call.ran = call.ran or not outcome.never_ran
         if outcome is api.Outcome.OK:
             self._answer(call, Served(result))
@@ -225,7 +236,7 @@
         self, worker_id: str, outcome: api.Outcome, latency_ns: int, load: api.LoadReport | None = None
     ) -> None:
         """Tell a probe's result."""
-        self.counters.add(f"probes_{outcome.value}")
+        self.counters.add(PROBE_COUNTERS[outcome])
         if (number := self.worker_numbers.get(worker_id)) is not None:
             self._tell(api.ProbeEnded(number, outcome, latency_ns, load))
 
@@ -297,7 +308,7 @@
 
     def _hold_ended(self, ended: api.HoldEnded) -> None:
         """Tell operators what became of room that was held."""
-        self.counters.add(f"holds_{ended.why}")
+        self.counters.add(RESERVATION_COUNTERS[ended.why])
         call = self.calls.get(ended.request)
         log.info(
             "room for call %s at %s: %s after %.0f ms, %.0f ms from the start expected at first",
@@ -322,7 +333,7 @@
         ):
             if call is not None:
                 call.sends += 1
-            self.counters.add("attempts_moot")
+            self.counters.add(ATTEMPT_COUNTERS[api.Outcome.MOOT])
             over = call is None or not call.open
             self._tell(api.AttemptEnded(action.request, number, action.worker, api.Outcome.MOOT, 0, over))
             return
--- a/weldquay/net/list_intake.py
+++ b/weldquay/net/list_intake.py
@@ -14,6 +14,7 @@
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.policy.members import MAX_DEPARTED
 from weldquay.net.calls import Call, WorkerSide
+from weldquay.net.counter_names import LIST_COUNTERS
 from weldquay.net.counters import Counters
 from weldquay.net.messages import Member, MemberList
 
@@ -44,7 +45,7 @@
 
     def follow(self, told: MemberList, kind: api.ListKind, lease: api.LeaseState = api.NO_LEASE) -> None:
         """Take in the list, or changes of it; lease: an earlier process's, of a cached list."""
-        self.counters.add(f"lists_{kind.value}")
+        self.counters.add(LIST_COUNTERS[kind])
         self._forget()
         for member in told.members:
             self._number(member.id)
@@ -89,7 +90,7 @@
 
     def list_failed(self, silent_ns: int, failure: api.ListFailure) -> None:
         """A call to discovery failed, or its watch has ended, so long after its last good news."""
-        self.counters.add("lists_failed")
+        self.counters.add(LIST_COUNTERS[api.ListKind.FAILED])
         self._tell(api.Membership(api.ListKind.FAILED, silent_ns=silent_ns, failure=failure))
 
     def _entry(self, member: Member) -> api.WorkerEntry:
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -24,6 +24,14 @@
 MAX_CALLERS = 8  # connections; beyond it the oldest one is closed
 REQUEST_TIMEOUT_S = 2.0  # from the connection's start to the last byte of the answer
 
+OPERATION_COUNTERS: dict[str, str] = {
+    "ready": "operators_ready",
+    "out-of-service": "operators_out-of-service",
+    "in-service": "operators_in-service",
+    "offline": "operators_offline",
+    "online": "operators_online",
+}
+
 
 class UnknownOperation(OperatorError):
     """A path or method that the operators' listener does not have."""
@@ -133,7 +141,7 @@
         except MessageError as error:
             return _not_found(UnknownOperation(str(error)))
         done = self._do(call)
-        self.counters.add(f"operators_{call.verb}" if done else "operators_refused")
+        self.counters.add(OPERATION_COUNTERS[call.verb] if done else "operators_refused")
         if call.verb != "ready":
             log.info("operators: %s: %s", f"{call.verb} {call.worker}".strip(), "yes" if done else "no")
         status = 200 if done else 404 if call.worker else 503
--- a/weldquay/net/server.py
+++ b/weldquay/net/server.py
@@ -36,6 +36,11 @@
 SWEEP_INTERVAL_S = 0.1
 AHEAD_FRACTION = 1 / 8  # of the memory for clients: the limit of what they send ahead of calls that wait
 POLL_INTERVAL_S = 0.01
+EVICTION_COUNTERS: dict[State, str] = {
+    State.READING: "evicted_reading",
+    State.IDLE: "evicted_resting",
+    State.LINGERING: "evicted_leaving",
+}
 LINGER_S = 1.0  # limit of a lingering close for a client that reads nothing
 
 
@@ -262,7 +267,7 @@
                 # Kept: an answer is not written out yet, or a request has arrived.
                 if connection.pending() or (state is not State.LINGERING and connection.unread()):
                     continue
-                self.counters.add(f"evicted_{state.value}")
+                self.counters.add(EVICTION_COUNTERS[state])
                 connection.evict()
                 return True
         return False
