--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -312,3 +312,24 @@
     path = Path(__file__).parents[1] / "deploy" / "room.json"
     assert figures.read(path) == figures.Figures()
     assert set(json.loads(path.read_text())) == set(figures.Figures.__struct_fields__)
+
+
+def test_the_files_keys_are_written_out() -> None:
+    """Each field has its key; a file of 725bba5 with all of them is read."""
+    keys = [
+        "on",
+        "least_slots",
+        "most_held",
+        "most_holds",
+        "hint_margin",
+        "slip",
+        "queue_part",
+        "worth_margin",
+        "most_hint_error",
+        "most_waiting",
+    ]
+    assert list(figures.KEYS.values()) == keys
+    assert list(figures.KEYS) == list(figures.Figures.__struct_fields__)
+    values = [False, 3, 0.25, 7, 1.5, 2.5, 0.5, 3.5, 0.75, 5.5]
+    read = figures.check(dict(zip(keys, values, strict=True)), "room")
+    assert [getattr(read, field) for field in figures.KEYS] == values
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -336,7 +336,7 @@
                 why = schema.note(field.type, "why")
                 if variable := schema.note(field.type, "variable"):
                     why = f"{why} ({variable} comes before it)".strip()
-                lines.append(f"| `{field.name}` | {schema.right(field.type)} | {default} | {why} |")
+                lines.append(f"| `{field.encode_name}` | {schema.right(field.type)} | {default} | {why} |")
         lines.append("")
     return "\n".join(lines)
 
--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -44,8 +44,9 @@
 def _missing(where: Where) -> Found:
     for steps, group, value in _groups(where):
         for field in msgspec.structs.fields(group):
-            if field.required and value.get(field.name) is None and not _from_variable(steps, field.name):
-                yield (*steps, field.name), f"{field.name} is missing: write {schema.right(field.type)}"
+            key = field.encode_name
+            if field.required and value.get(key) is None and not _from_variable(steps, key):
+                yield (*steps, key), f"{key} is missing: write {schema.right(field.type)}"
 
 
 def _from_variable(steps: Steps, name: str) -> bool:
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -240,7 +240,7 @@
 
 def keys(group: type[Struct]) -> dict[str, Any]:
     """The keys of a group and their types."""
-    return {field.name: field.type for field in msgspec.structs.fields(group)}
+    return {field.encode_name: field.type for field in msgspec.structs.fields(group)}
 
 
 def right(kind: Any) -> str:
--- a/weldquay/planning/figures.py
+++ b/weldquay/planning/figures.py
@@ -19,7 +19,22 @@
     remedy = "correct the key that is named; docs/room.md lists all of them with their bounds"
 
 
-class Figures(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+# The file's key of each field.
+KEYS = {
+    "on": "on",
+    "least_slots": "least_slots",
+    "most_held": "most_held",
+    "most_holds": "most_holds",
+    "hint_margin": "hint_margin",
+    "slip": "slip",
+    "queue_part": "queue_part",
+    "worth_margin": "worth_margin",
+    "most_hint_error": "most_hint_error",
+    "most_waiting": "most_waiting",
+}
+
+
+class Figures(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=KEYS):
     """When room is held, and how much.  Each key may be left out."""
 
     on: Annotated[bool, Meta(description="true or false")] = True
@@ -70,7 +85,7 @@
     """The figures from a decoded object, each key held against its range."""
     if not isinstance(told, dict):
         raise FiguresError(f"{name}: holds no JSON object")
-    known = {field.name: field.type for field in msgspec.structs.fields(Figures)}
+    known = {field.encode_name: field.type for field in msgspec.structs.fields(Figures)}
     for key, value in told.items():
         if key not in known:
             raise FiguresError(f"{name}: {key} is no key; there are {', '.join(known)}")
