--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -104,6 +104,41 @@
     asyncio.run(scenario())
 
 
+ERROR_CODES = {  # all of 725bba5, and two for hot-restart messages that it had no types for
+    "cannot-listen",
+    "catalogue-error",
+    "child-failed",
+    "config-error",
+    "config-unreadable",
+    "config-unset",
+    "description-error",
+    "discovery-silent",
+    "figures-error",
+    "machine-stalled",
+    "malformed-message",
+    "message-error",
+    "no-plot",
+    "not-reached",
+    "reading-error",
+    "reload-refused",
+    "site-mismatch",
+    "too-large",
+    "unavailable",
+    "unknown-message-kind",
+    "unknown-operation",
+    "unknown-table",
+    "unknown-worker",
+    "watch-closed",
+    "wire-error",
+}
+
+
+def test_the_codes_of_errors_stay_as_operators_know_them() -> None:
+    """Each class names its code itself; the codes of release 725bba5 are unchanged."""
+    codes = [vars(each)["error_code"] for each in kinds()]
+    assert set(codes) == ERROR_CODES and len(codes) == len(ERROR_CODES)
+
+
 def test_the_packages_import_each_other_in_one_direction() -> None:
     """No circle between packages, imports within functions included."""
     edges: dict[str, set[str]] = {}
--- a/weldquay/config/catalogue.py
+++ b/weldquay/config/catalogue.py
@@ -21,6 +21,7 @@
 class CatalogueError(OperatorError, ValueError):
     """A catalogue that cannot be used; one line says why."""
 
+    error_code = "catalogue-error"
     remedy = "name one of the catalogues that are listed, or the path of a file of your own"
 
 
--- a/weldquay/config/reading.py
+++ b/weldquay/config/reading.py
@@ -26,6 +26,7 @@
 class ReadingError(OperatorError, ValueError):
     """A file that cannot be read as a configuration; line and column count from 1, 0: not known."""
 
+    error_code = "reading-error"
     remedy = "correct the file where it is named; `weldquay config check FILE` says the same before a start"
 
     def __init__(self, text: str, line: int = 0, column: int = 0) -> None:
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -33,6 +33,7 @@
 class DescriptionError(OperatorError, ValueError):
     """A description from which no sound configuration can be made; the text says what is missing or wrong."""
 
+    error_code = "description-error"
     remedy = "correct the description at the name that is given, and run the command again"
 
 
--- a/weldquay/errors.py
+++ b/weldquay/errors.py
@@ -6,28 +6,23 @@
 
 from __future__ import annotations
 
-import re
 from typing import ClassVar
 
 
 class OperatorError(Exception):
     """The root of them.  what: one plain phrase; where: a file, a key or an address, unless that says it."""
 
+    error_code: ClassVar[str] = "operator-error"  # in answers and logs; external, so it stays as it is
     remedy: ClassVar[str] = ""
 
     def __init__(self, what: str, where: str = "") -> None:
         super().__init__(f"{where}: {what}" if where else what)
         self.what, self.where = what, where
 
-    @classmethod
-    def code(cls) -> str:
-        """The type's name as answers and logs give it: config-unset."""
-        return re.sub(r"(?<=[a-z])(?=[A-Z])", "-", cls.__name__).lower()
-
     def advice(self) -> str:
         """One line for a terminal or a log: what happened, and what to do."""
         return f"{' '.join(str(self).split())}; what to do: {self.remedy}"
 
     def told(self) -> dict[str, str]:
         """The same for an answer in JSON."""
-        return {"error": self.code(), "what": self.what, "where": self.where, "remedy": self.remedy}
+        return {"error": self.error_code, "what": self.what, "where": self.where, "remedy": self.remedy}
--- a/weldquay/lab/scale/check.py
+++ b/weldquay/lab/scale/check.py
@@ -25,6 +25,7 @@
 class MachineStalled(OperatorError):
     """In every window some process of the run stood still."""
 
+    error_code = "machine-stalled"
     remedy = "run it again when the machine has cores to spare"
 
 
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -32,12 +32,14 @@
 class TooLarge(OperatorError):
     """A point used more of the machine than a run may."""
 
+    error_code = "too-large"
     remedy = "play a smaller point: fewer dispatchers, workers or requests a second"
 
 
 class ChildFailed(OperatorError):
     """A process of the run ended or did not answer."""
 
+    error_code = "child-failed"
     remedy = "see its last lines on standard error; play the point alone"
 
 
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -21,6 +21,7 @@
 class UnknownTable(OperatorError):
     """A page names a table that nobody makes."""
 
+    error_code = "unknown-table"
     remedy = "correct the marker's name, or remove it with its end"
 
 
--- a/weldquay/lab/scale/plot.py
+++ b/weldquay/lab/scale/plot.py
@@ -24,6 +24,7 @@
 class NoPlot(OperatorError):
     """The plot's library is not there."""
 
+    error_code = "no-plot"
     remedy = "pip install -e '.[lab]'"
 
 
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -41,30 +41,35 @@
 class ConfigError(OperatorError):
     """The dispatcher cannot start, or take in a changed file; the text is one plain line for its operator."""
 
+    error_code = "config-error"
     remedy = "correct the value that is named; `weldquay config check FILE` lists all that is wrong"
 
 
 class ConfigUnset(ConfigError):
     """No file is named."""
 
+    error_code = "config-unset"
     remedy = "set GW_CONFIG to the path of the configuration file; example/config.json is one"
 
 
 class ConfigUnreadable(ConfigError):
     """The file cannot be read, or holds no JSON object."""
 
+    error_code = "config-unreadable"
     remedy = "see that the file is there, whole and readable for this user; write it anew where it is torn"
 
 
 class SiteMismatch(ConfigError):
     """The file says otherwise than the facts of the site that GW_CATALOGUE names."""
 
+    error_code = "site-mismatch"
     remedy = "correct the value, or name another site; `weldquay config explain RULE` tells why"
 
 
 class ReloadRefused(ConfigError):
     """A running dispatcher cannot take the file in; it goes on with the one that it has."""
 
+    error_code = "reload-refused"
     remedy = "put back what is named and send SIGHUP; `weldquay config diff OLD NEW` shows what differs"
 
 
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -42,6 +42,7 @@
 class DiscoverySilent(OperatorError):
     """The watch, or discovery before its answer, has told nothing for silent_s."""
 
+    error_code = "discovery-silent"
     remedy = "see that discovery runs and is reached from here; the last list is used meanwhile"
 
     def __init__(self, silent_s: float, answered: bool) -> None:
@@ -52,18 +53,21 @@
 class NotReached(DiscoverySilent):
     """No connection to discovery came up in silent_s."""
 
+    error_code = "not-reached"
     remedy = "see that discovery's address is right and that the network lets this machine through to it"
 
 
 class WatchClosed(OperatorError):
     """Discovery has ended the call, or its connection was lost."""
 
+    error_code = "watch-closed"
     remedy = "see that discovery runs; it is asked again, and the last list is used for a time"
 
 
 class Unavailable(OperatorError):
     """Discovery has answered that it is down or too busy."""
 
+    error_code = "unavailable"
     remedy = "see that discovery runs and has room for this fleet's calls; it is asked again"
 
 
--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, assert_never
 
+from weldquay.errors import OperatorError
 from weldquay.interface import NO_LEASE, LeaseState
 from weldquay.net.hot_restart_messages import (
     AcceptingStopped,
@@ -75,13 +76,19 @@
 ATTEMPTS = "attempts"
 
 
-class MalformedMessage(ValueError):
+class MalformedMessage(OperatorError, ValueError):
     """A message without an id or an address that it needs."""
 
+    error_code = "malformed-message"
+    remedy = "nothing for this restart; upgrade in steps of releases that have the same hot-restart protocol"
 
-class UnknownMessageKind(ValueError):
+
+class UnknownMessageKind(OperatorError, ValueError):
     """A message of a kind that this release does not have."""
 
+    error_code = "unknown-message-kind"
+    remedy = "nothing; a later release sends it, and this one can do without it"
+
 
 def encode(message: HotRestartMessage) -> Message:
     """The packet of a message."""
--- a/weldquay/net/messages.py
+++ b/weldquay/net/messages.py
@@ -36,6 +36,7 @@
 class MessageError(OperatorError):
     """A message that cannot be understood; the text says why."""
 
+    error_code = "message-error"
     remedy = "look at what its sender speaks: another version, or a service that is no part of this site"
 
 
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -36,12 +36,14 @@
 class UnknownOperation(OperatorError):
     """A path or method that the operators' listener does not have."""
 
+    error_code = "unknown-operation"
     remedy = "docs/on-call.md lists the calls; POST changes something, GET only looks"
 
 
 class UnknownWorker(OperatorError):
     """A worker id that neither a list nor a ban has named."""
 
+    error_code = "unknown-worker"
     remedy = "use the id as discovery's list gives it; one that was never listed cannot be taken out"
 
 
--- a/weldquay/net/program.py
+++ b/weldquay/net/program.py
@@ -61,6 +61,7 @@
 class CannotListen(OperatorError):
     """An address that is not to be had: another program has it, or this machine has not."""
 
+    error_code = "cannot-listen"
     remedy = "end the other program at that address, or change GW_LISTEN or GW_MGMT to one of this machine's"
 
 
--- a/weldquay/planning/figures.py
+++ b/weldquay/planning/figures.py
@@ -16,6 +16,7 @@
 class FiguresError(OperatorError, ValueError):
     """A file that cannot be taken; one line names the key, its value and what would be right."""
 
+    error_code = "figures-error"
     remedy = "correct the key that is named; docs/room.md lists all of them with their bounds"
 
 
--- a/weldquay/wire.py
+++ b/weldquay/wire.py
@@ -43,6 +43,7 @@
 class WireError(OperatorError):
     """A frame that does not follow the protocol; the text names what and where."""
 
+    error_code = "wire-error"
     remedy = "start the adapter with the simulator of the same protocol note; nothing else speaks this wire"
 
 
