--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+import gc
 import tempfile
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -18,6 +20,18 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path / "tmp"))
 
 
+@pytest.fixture(autouse=True, scope="module")
+def frozen_heap() -> Iterator[None]:
+    """Keep what earlier modules left out of the collector, as `DispatcherProcess.run` does at a start.
+
+    A full collection of pytest's and Hypothesis's objects stops the event loop for tens of milliseconds.
+    """
+    gc.collect()
+    gc.freeze()
+    yield
+    gc.unfreeze()
+
+
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Have the tests of KNOWN-RED.txt fail, or the run fails."""
     file = Path(config.rootpath) / known_red.FILE.name
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -13,7 +13,7 @@
 from tests.test_list_clock import Failing, Manner, busy, chunk, mute, reset
 from tests.test_discovery_client import HEAD, listed
 from weldquay.discovery.backoff import Backoff
-from weldquay.net import program
+from weldquay.net import dispatcher_process as program
 
 READY_S = 10.0  # nine in ten restarted processes
 
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -10,9 +10,9 @@
 import sys
 
 from weldquay.net.config import ConfigError, load, load_kept
-from weldquay.net.handover import answers
+from weldquay.net.hot_restart import is_peer_listening
 from weldquay.net.persistence import StateFile
-from weldquay.net.program import Program
+from weldquay.net.dispatcher_process import DispatcherProcess
 
 
 def main() -> int:
@@ -31,13 +31,13 @@
     except ConfigError as error:
         # Guards against a file that is broken just when an upgrade starts.
         name = os.environ.get("GW_NAME", "")
-        older = name and answers(name) and load_kept(os.environ, StateFile(name, ".config").read())
+        older = name and is_peer_listening(name) and load_kept(os.environ, StateFile(name, ".config").read())
         if not older:
             print(f"weldquay: {error.advice()}", file=sys.stderr)
             return 2
         logging.error("the older process's configuration is taken over, since %s", error.advice())
         config = older
-    return asyncio.run(Program(config).run())
+    return asyncio.run(DispatcherProcess(config).run())
 
 
 if __name__ == "__main__":
--- a/weldquay/adapter.py
+++ b/weldquay/adapter.py
@@ -19,13 +19,13 @@
 from weldquay.settings import Pairs, decode_settings
 
 if TYPE_CHECKING:
-    from weldquay.planning.figures import Figures
+    from weldquay.reservations.settings import ReservationSettings
 
 
 class Host:
     """The instances of one process.  They share nothing but this table."""
 
-    def __init__(self, room: Figures | None = None) -> None:
+    def __init__(self, room: ReservationSettings | None = None) -> None:
         self.room = room
         self.dispatchers: dict[int, Dispatcher] = {}
         self.fields: dict[int, tuple[str, ...]] = {}
@@ -43,7 +43,9 @@
                 pending[instance] = []
                 try:
                     settings, self.fields[instance] = decode_settings(Pairs.from_text(event.settings_text))
-                    self.dispatchers[instance] = Dispatcher(replace(settings, room=self.room), event.seed)
+                    self.dispatchers[instance] = Dispatcher(
+                        replace(settings, reservations=self.room), event.seed
+                    )
                 except Exception as error:  # told to the other side as FAULT, below
                     broken[instance] = f"{type(error).__name__}: {error}"
             else:
@@ -71,7 +73,7 @@
     return data
 
 
-def serve(source: BinaryIO, sink: BinaryIO, room: Figures | None = None) -> None:
+def serve(source: BinaryIO, sink: BinaryIO, room: ReservationSettings | None = None) -> None:
     """Answer batches until input ends; raise WireError where it breaks the protocol."""
     host = Host(room)
     frame = 0
@@ -106,9 +108,11 @@
     path, room = parser.parse_args().room, None
     try:
         if path:
-            from weldquay.planning import figures  # only where they are used: its library costs memory
+            from weldquay.reservations import (
+                settings as reservation_settings,
+            )  # only where they are used: its library costs memory
 
-            room = figures.read(Path(path))
+            room = reservation_settings.read(Path(path))
         serve(sys.stdin.buffer, sys.stdout.buffer, room)
     except (wire.WireError, ValueError) as error:
         print(f"weldquay: {error}", file=sys.stderr)
--- a/weldquay/candidates/outlook.py
+++ b/weldquay/candidates/availability.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from weldquay.ledger.records import Job, Worker
-from weldquay.planning.timetable import Own, Timetable, seen
+from weldquay.state.records import Job, Worker
+from weldquay.reservations.timetable import Own, Timetable, seen
 
 
-def outlook(
+def availability(
     worker: Worker,
     size: int,
     now_ns: int,
@@ -22,11 +22,11 @@
     the usual running time there; takes_ns: the expected running time of a job there.
     """
     own = []
-    for attempt in worker.live.values():
+    for attempt in worker.in_flight.values():
         begun_ns = attempt.started_ns or (0 if tells_start else attempt.sent_ns)
         age_ns = now_ns - begun_ns if begun_ns else -1
         need = attempt.job.request
         own.append(Own(takes_ns(attempt.job), age_ns, need.slots, need.memory))
-    used = size - (size if worker.free is None else worker.free) + worker.changed
-    memory = size - (size if worker.free_memory is None else worker.free_memory) + worker.changed_memory
+    used = size - (size if worker.free_slots is None else worker.free_slots) + worker.unreported_slots
+    memory = size - (size if worker.free_memory is None else worker.free_memory) + worker.unreported_memory
     return seen(size, own, used, memory, mean_ns)
--- a/weldquay/candidates/tables.py
+++ b/weldquay/candidates/inputs.py
@@ -5,30 +5,30 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from weldquay.estimators.runtime import Running
+from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.interface import Settings
-from weldquay.ledger.records import Job, Worker
-from weldquay.planning.planner import Planner
+from weldquay.state.records import Job, Worker
+from weldquay.reservations.scheduler import BackfillScheduler
 
 
-class Tables(Protocol):
+class CandidateInputs(Protocol):
     """What the index reads of the decision module's tables."""
 
     now_ns: int
     settings: Settings
-    held: dict[int, Job]
+    queued: dict[int, Job]
     workers: dict[int, Worker]
-    ready: list[Worker]
-    home: list[Worker]
-    back: set[int]
-    news: dict[int, Worker]
-    planner: Planner
-    running: Running
-    usual_size: float
+    ready_workers: list[Worker]
+    subset: list[Worker]
+    reinstated: set[int]
+    recently_reported: dict[int, Worker]
+    scheduler: BackfillScheduler
+    runtimes: RuntimeEstimator
+    mean_slots: float
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class CandidateLimits:
     """Figures of the decision module.
 
     fresh_ns: age up to which a report is fresh; start_ns: an attempt that has not told its start by then
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from weldquay.planning.figures import Figures
+from weldquay.reservations.settings import ReservationSettings
 
 Time = Annotated[int, Meta(gt=0, le=86_400_000_000_000, description="nanoseconds, above 0, at most a day")]
 Span = Annotated[int, Meta(ge=0, le=86_400_000_000_000, description="nanoseconds from 0, at most a day")]
@@ -215,7 +215,7 @@
     seed: Annotated[str, Meta(pattern=r"^[0-9A-Fa-f]{1,32}$", description="a hexadecimal number")] = "0"
     limits: Limits = Limits()
     known: Any = None
-    room: Figures | None = None
+    room: ReservationSettings | None = None
     access: Access = Access()
     origin: Annotated[Any, Meta(extra={"why": "where figures come from; not read by the program"})] = None
 
--- a/weldquay/discovery/backoff.py
+++ b/weldquay/discovery/backoff.py
@@ -21,7 +21,7 @@
 import random
 
 from weldquay.discovery.list_lease import CLOCK_NS, NOT_REACHED
-from weldquay.interface import ListFailure
+from weldquay.interface import DiscoveryFailure
 
 MIN_REFUSED_BOUND_NS = 1_000_000_000  # bound of the wait after a refused connection, few dispatchers
 REFUSED_INTERVAL_NS = (
@@ -51,29 +51,31 @@
     """
 
     def __init__(self, draw: random.Random, dispatchers: int, near: bool = False) -> None:
-        self.random, self.dispatchers, self.near = draw, dispatchers, near
+        self.random, self.dispatcher_count, self.is_local_agent = draw, dispatchers, near
         self.failures = 0
         self.deadline_ns = 0  # when what has been missed counts as told; past: no clock runs
 
     def initial_delay_ns(self, now_ns: int) -> int:
         """How long to wait with the first ask, which is the same moment at all where all start at once."""
-        if self.near:
+        if self.is_local_agent:
             return 0
         self.deadline_ns = now_ns + CLOCK_NS
-        return int(self.random.random() * min(MAX_DELAY_NS, INITIAL_INTERVAL_NS * (self.dispatchers - 1)))
+        return int(
+            self.random.random() * min(MAX_DELAY_NS, INITIAL_INTERVAL_NS * (self.dispatcher_count - 1))
+        )
 
     def reset(self) -> None:
         """An ask has succeeded."""
         self.failures = self.deadline_ns = 0
 
     def retry_delay_ns(
-        self, now_ns: int, most_ns: int, silent_ns: int = 0, failure: ListFailure = ListFailure.BUSY
+        self, now_ns: int, most_ns: int, silent_ns: int = 0, failure: DiscoveryFailure = DiscoveryFailure.BUSY
     ) -> int:
         """How long to wait after a failure, most_ns at most.
 
         silent_ns: since the last good news, or since the call that failed.
         """
-        if self.near:
+        if self.is_local_agent:
             return int(self.random.random() * LOCAL_AGENT_INTERVAL_NS)
         growth, self.failures = GROWTH ** min(self.failures, 20), self.failures + 1
         deadline_ns = now_ns - silent_ns + CLOCK_NS
@@ -83,10 +85,10 @@
         if deadline_ns <= now_ns:  # it is too late for what was missed first: the next has a clock of its own
             deadline_ns, left_ns = now_ns + CLOCK_NS, MAX_DELAY_NS
         self.deadline_ns = deadline_ns
-        space_ns = REFUSED_INTERVAL_NS * self.dispatchers
+        space_ns = REFUSED_INTERVAL_NS * self.dispatcher_count
         if failure in NOT_REACHED:
             bound_ns = min(left_ns, max(MIN_REFUSED_BOUND_NS, space_ns) * growth)
-        elif failure is ListFailure.BUSY and space_ns > MAX_DELAY_NS:
+        elif failure is DiscoveryFailure.BUSY and space_ns > MAX_DELAY_NS:
             # What keeps it from working off its queue is this very fleet, and asking sooner costs all of it
             # more time.  From the second failure on half of the wait is certain.
             if growth > 1:
@@ -97,5 +99,5 @@
                 )
             bound_ns = float(MAX_DELAY_NS)
         else:
-            bound_ns = min(left_ns, max(MIN_DELAY_NS, CALL_INTERVAL_NS * self.dispatchers) * growth)
+            bound_ns = min(left_ns, max(MIN_DELAY_NS, CALL_INTERVAL_NS * self.dispatcher_count) * growth)
         return int(self.random.random() * min(bound_ns, max(MIN_REFUSED_BOUND_NS, most_ns)))
--- a/weldquay/estimators/idle_timeout.py
+++ b/weldquay/estimators/idle_timeout.py
@@ -6,7 +6,7 @@
 BACK_NS = 10_000_000_000  # a learnt limit doubles after this long without a failure
 
 
-class IdleLimit:
+class IdleTimeoutEstimator:
     """Guards against connections that are dropped unseen while idle: each job sent on one may be lost."""
 
     def __init__(self, limit_ns: int) -> None:
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -8,7 +8,7 @@
 REMEMBER = 0.99  # weight of earlier reports at each new one
 
 
-class Interval:
+class ReportIntervalEstimator:
     """Learnt from how many of the reports that came soon after another were new.
 
     Within the interval a report is new with a chance of gap/interval, so the interval is the sum of the
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -11,7 +11,7 @@
 UNKNOWN = 0.6  # a kind that no answer has come from yet may be slower than the mean by this part
 
 
-class Running:
+class RuntimeEstimator:
     """Learnt running times; logarithms tame the few huge jobs."""
 
     def __init__(self, first_ns: Iterable[int]) -> None:
@@ -21,12 +21,12 @@
         self.slowness: dict[int, tuple[float, int]] = {}  # by machine kind: its part of that, samples
         self.service: dict[int, tuple[float, int]] = {}  # by kind: mean logarithm of told times, samples
         self.offered: list[bool] = []
-        self.changes = 0  # to means and paces so far
-        self.learnt: set[tuple[int, int]] = set()  # (class, kind) that changed; cleared by candidates
+        self.version = 0  # to means and paces so far
+        self.updated: set[tuple[int, int]] = set()  # (class, kind) that changed; cleared by candidates
         self.work_ns = 0.0  # mean work of the calls that came under these classes; 0: none yet
-        self.know(first_ns)
+        self.configure_classes(first_ns)
 
-    def know(self, first_ns: Iterable[int], offered: Iterable[bool] = ()) -> None:
+    def configure_classes(self, first_ns: Iterable[int], offered: Iterable[bool] = ()) -> None:
         """Take in the classes that have come; those known before keep what was learnt.
 
         offered: whether calls may still name each class; empty: all.
@@ -37,17 +37,17 @@
         self.offered = list(offered) or [True] * len(self.mean_ns)
         self.work_ns = 0.0
 
-    def learn(self, number: int, kind: int, run_ns: int) -> None:
+    def record_runtime(self, number: int, kind: int, run_ns: int) -> None:
         """A job of a class has run for so long on a machine of this kind."""
         self.mean_ns[number] += LEARN * (run_ns - self.mean_ns[number])
         mean, (slow, samples) = self.logs[number], self.slowness.get(kind, (0.0, 0))
         error = math.log(run_ns) - slow - (math.log(run_ns) if mean is None else mean)
         self.logs[number] = math.log(run_ns) - slow if mean is None else mean + LEARN * error
-        self.learnt.add((number, kind))
-        self.changes += 1
+        self.updated.add((number, kind))
+        self.version += 1
         self.slowness[kind] = slow + error * max(LEARN / 2, 1 / (samples + KIND_SAMPLES)), samples + 1
 
-    def told(self, kind: int, service_ms: float, drag: float) -> float:
+    def apply_service_time(self, kind: int, service_ms: float, drag: float) -> float:
         """A worker's slowness (logarithm of times its kind's usual) once its report of service time is heard.
 
         drag: what was known of it before, which weighs as much as the report.  Every dispatcher hears the
@@ -60,24 +60,24 @@
         self.service[kind] = mean + (value - mean) * max(LEARN, 1 / (samples + 1)), samples + 1
         return (drag + value - mean) / 2 if samples >= KIND_SAMPLES else drag
 
-    def mean(self) -> float:
+    def mean_runtime_ns(self) -> float:
         """Mean running time over the classes that are offered, in ns."""
         means = [mean for mean, offered in zip(self.mean_ns, self.offered, strict=True) if offered]
         return sum(means) / len(means)
 
-    def offer(self, work_ns: float) -> None:
+    def record_request(self, work_ns: float) -> None:
         """A call has come: its slots times its expected running time, in ns."""
-        self.work_ns = self.work()
+        self.work_ns = self.mean_work_ns()
         self.work_ns += LEARN * (min(work_ns, MAX_SAMPLE * self.work_ns) - self.work_ns)
 
-    def work(self) -> float:
+    def mean_work_ns(self) -> float:
         """Mean work of a call, in ns: of those that have come, else the mean running time."""
-        return self.work_ns or self.mean()
+        return self.work_ns or self.mean_runtime_ns()
 
-    def pace(self, kind: int) -> float:
+    def relative_runtime(self, kind: int) -> float:
         """How many times longer than on a mean machine jobs run on one of this kind."""
         return math.exp(self.slowness.get(kind, (0.0, 0))[0])
 
-    def doubt(self, kind: int) -> float:
+    def uncertainty(self, kind: int) -> float:
         """How many times slower than its pace a kind may be, until that is known: limits must hold before."""
         return 1 + UNKNOWN * KIND_SAMPLES / (self.slowness.get(kind, (0.0, 0))[1] + KIND_SAMPLES)
--- a/weldquay/fleet/slow_start.py
+++ b/weldquay/fleet/slow_start.py
@@ -34,16 +34,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class SlowStartPolicy:
     """When a worker that has just started falls over, as the settings tell it.
 
     cold_share: part of its capacity at its start, rising evenly until warm_after_ns; multiple: of what it can
     do at a moment, sent for window_ns, pushes it over.
     """
 
-    cold_share: float
-    warm_after_ns: int
-    multiple: float
+    initial_capacity_fraction: float
+    slow_start_ns: int
+    overload_multiple: float
     window_ns: int
 
     @property
@@ -51,14 +51,14 @@
         """Length of a slice."""
         return max(1, self.window_ns // SLICES)
 
-    def share(self, age_ns: float) -> float:
+    def capacity_fraction(self, age_ns: float) -> float:
         """Part of its capacity that a worker has at least, so long after its start."""
-        risen = min(1.0, max(0.0, age_ns) / self.warm_after_ns) if self.warm_after_ns > 0 else 1.0
-        return self.cold_share + (1 - self.cold_share) * risen
+        risen = min(1.0, max(0.0, age_ns) / self.slow_start_ns) if self.slow_start_ns > 0 else 1.0
+        return self.initial_capacity_fraction + (1 - self.initial_capacity_fraction) * risen
 
     def budget_ns(self, age_ns: float, capacity: float) -> float:
         """Work that the settings allow a worker of this capacity within a window, by what it can do then."""
-        return self.multiple * self.share(age_ns) * capacity * max(1, self.window_ns)
+        return self.overload_multiple * self.capacity_fraction(age_ns) * capacity * max(1, self.window_ns)
 
     def overload_threshold_ns(self, age_ns: float, capacity: float, mean_ns: float) -> float:
         """Work that pushes it over: N + 2 sqrt(N) + 2 calls of mean work, N being what the settings allow.
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cold:
+class WarmingWorker:
     """A worker that has just started, as one dispatcher sees it.
 
     number: the same at all dispatchers for this start of this worker, None where they have not heard of it at
@@ -82,56 +82,61 @@
     that come to the dispatcher within a slice, and those that wait; workers: that are cold, with this one.
     """
 
-    number: int | None
+    start_id: int | None
     age_ns: int
     capacity: float
-    me: int
-    dispatchers: int
+    dispatcher_index: int
+    dispatcher_count: int
     known_ns: int = 0
-    doubt: float = 1.0
-    mean_ns: float = 0.0
-    calls: float = 0.0
-    workers: int = 1
+    uncertainty: float = 1.0
+    mean_work_ns: float = 0.0
+    expected_requests: float = 0.0
+    warming_count: int = 1
 
 
-def room(rule: Rule, cold: Cold, sent: deque[tuple[int, float]]) -> float:
+def remaining_budget_ns(rule: SlowStartPolicy, cold: WarmingWorker, sent: deque[tuple[int, float]]) -> float:
     """Work that the dispatcher may still send, in ns; sent: the worker's age and the work of what it sent.
 
     What has left the window is dropped from sent.
     """
     window_ns = max(1, rule.window_ns)
     budget_ns = rule.budget_ns(cold.age_ns, cold.capacity)
-    may_ns, since_ns = BUDGET_FRACTION * budget_ns / cold.dispatchers, cold.age_ns - window_ns + 1
+    may_ns, since_ns = BUDGET_FRACTION * budget_ns / cold.dispatcher_count, cold.age_ns - window_ns + 1
     if cold.known_ns > max(0, since_ns):  # what its earlier process has sent in this window is not known
         may_ns *= (1 - BUDGET_FRACTION) / BUDGET_FRACTION
-    holds_job = may_ns >= MIN_SHARE_JOBS * cold.mean_ns
-    if cold.number is not None and cold.dispatchers > 1 and not holds_job:
-        may_ns, since_ns = _time_slot(rule, cold, cold.number)
+    holds_job = may_ns >= MIN_SHARE_JOBS * cold.mean_work_ns
+    if cold.start_id is not None and cold.dispatcher_count > 1 and not holds_job:
+        may_ns, since_ns = _time_slot(rule, cold, cold.start_id)
     while sent and sent[0][0] < since_ns:
         sent.popleft()
     return may_ns - sum(work_ns for _, work_ns in sent)
 
 
-def _time_slot(rule: Rule, cold: Cold, worker: int) -> tuple[float, int]:
+def _time_slot(rule: SlowStartPolicy, cold: WarmingWorker, worker: int) -> tuple[float, int]:
     """Work that the dispatcher may send in this slice, and the worker's age at the slice's begin."""
     number = max(0, cold.age_ns) // rule.slice_ns
     begin_ns = number * rule.slice_ns
     # Guards against a second use of a turn by a process that has just started, and cannot know of the first.
     if begin_ns < cold.known_ns:
         return 0.0, begin_ns
-    most_ns = rule.overload_threshold_ns(begin_ns, cold.capacity / cold.doubt, cold.mean_ns) / (SLICES + 1)
+    most_ns = rule.overload_threshold_ns(begin_ns, cold.capacity / cold.uncertainty, cold.mean_work_ns) / (
+        SLICES + 1
+    )
     whole_ns = SLOT_FRACTION * most_ns
     # A turn that holds no job is of use to nobody: fewer then, some slices without any.
-    mean_ns = max(1.0, cold.mean_ns)
+    mean_ns = max(1.0, cold.mean_work_ns)
     least_ns = min(most_ns, MIN_SLOT_JOBS * mean_ns)
     each_ns = max(whole_ns / max(1, int(whole_ns / (SLOT_JOBS * mean_ns))), least_ns)
     turns = whole_ns / each_ns
-    spare = cold.calls * cold.mean_ns / each_ns - cold.workers * turns / cold.dispatchers
+    spare = (
+        cold.expected_requests * cold.mean_work_ns / each_ns
+        - cold.warming_count * turns / cold.dispatcher_count
+    )
     over = max(1.0, min(MAX_OVERCOMMIT, 1 / max(spare, 1 / MAX_OVERCOMMIT)))
     # A part of a turn is one by chance: the same at each look of this slice.
-    chance = mix(mix(worker ^ _CHANCE) ^ mix(number << 32 | cold.me)) / (_MASK + 1)
+    chance = mix(mix(worker ^ _CHANCE) ^ mix(number << 32 | cold.dispatcher_index)) / (_MASK + 1)
     most = math.ceil(turns * MAX_OVERCOMMIT)
-    mine = rank(worker, number, cold.me, cold.dispatchers, most) + chance < turns * over
+    mine = rank(worker, number, cold.dispatcher_index, cold.dispatcher_count, most) + chance < turns * over
     return each_ns if mine else 0.0, begin_ns
 
 
--- a/weldquay/interface/actions.py
+++ b/weldquay/interface/actions.py
@@ -12,17 +12,17 @@
     begin_by_ns: begun later on the steps' clock, it could repeat an effect and ends as moot; 0: no limit.
     """
 
-    request: int
+    request_id: int
     worker: int
     timeout_ns: int = 0
-    begin_by_ns: int = 0
+    send_before_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, and trying again is harmless."""
 
-    request: int
+    request_id: int
     retry_after_ns: int = 0
 
 
@@ -30,14 +30,14 @@
 class Fail:
     """Final answer: failed; nothing is promised about the effect."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
     """Stop waiting for one attempt."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
@@ -57,19 +57,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close this dispatcher's idle connections to a worker."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchEndpoints:
     """Subscribe to changes of the worker list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """Send bytes to one other dispatcher, or to all where peer is None."""
 
     data: bytes
@@ -84,17 +84,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldEnded:
+class ReservationEnded:
     """Room held for a job is held no more: placed, queued at its worker, or given up for a reason.
 
     held_ns: for how long it was held; late_ns: how much later than expected at first that is.
     """
 
-    request: int
+    request_id: int
     worker: int
-    why: str
-    held_ns: int
-    late_ns: int
+    reason: str
+    reserved_ns: int
+    delay_ns: int
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Watch | Tell | Log | HoldEnded
+Action = (
+    Send
+    | Reject
+    | Fail
+    | Cancel
+    | SetTimer
+    | Probe
+    | CloseIdleConnections
+    | WatchEndpoints
+    | SendToPeer
+    | Log
+    | ReservationEnded
+)
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -11,62 +11,65 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended; REJECTED: the worker cannot use this job, and no other could."""
+    """How an attempt or a probe ended.
+
+    UNPROCESSABLE: the request itself is at fault, so that no other worker could serve it.
+    """
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    ABORTED_BEFORE_SEND = "moot"
     UNKNOWN = "unknown"
-    REJECTED = "rejected"
+    UNPROCESSABLE = "rejected"
 
     @property
-    def never_ran(self) -> bool:
+    def never_executed(self) -> bool:
         """True where the outcome proves that the worker never began the job."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ABORTED_BEFORE_SEND)
 
 
 class WorkerState(Enum):
-    """A worker's state in the membership list."""
+    """A worker's state in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class ListKind(Enum):
-    """What a membership event holds.
+class EndpointListKind(Enum):
+    """What an endpoint list update holds.
 
-    CURRENT, MOVED and FAILED hold no entries and leave the list as it was.  CURRENT: discovery has nothing
-    new.  MOVED: a reload has given discovery another address.
+    UNCHANGED, ADDRESS_CHANGED and FAILED hold no entries and leave the list as it was.  UNCHANGED: discovery
+    has no changes.  ADDRESS_CHANGED: a reload of the configuration gave discovery another address.
     """
 
     DELTA = "delta"
     FULL = "full"
     CACHED = "cached"
-    CURRENT = "current"
-    MOVED = "moved"
+    UNCHANGED = "current"
+    ADDRESS_CHANGED = "moved"
     FAILED = "failed"
 
 
-class ListFailure(Enum):
-    """How a call to discovery failed.
+class DiscoveryFailure(Enum):
+    """How a poll of discovery, or its watch, failed.
 
-    REFUSED: at once, by a refused or reset connection or a 503: discovery is down.  UNREACHED: no connection
-    came up.  CLOSED: an open watch ended.  SILENT: an open watch told nothing, not even an empty line.
-    UNANSWERED: discovery took the call and brought no news, or news that cannot be used.  BUSY, also where it
-    is not told: after a wait in discovery's queue.
+    REFUSED: at once, by a refused or reset connection or a 503: discovery is down.  CONNECT_TIMEOUT: no
+    connection was established.  CLOSED: an open watch ended.  HEARTBEAT_TIMEOUT: an open watch sent nothing,
+    not even an empty line.  RESPONSE_TIMEOUT: discovery accepted the request and sent no update, or an
+    invalid one.  BUSY: it failed after a wait in discovery's queue; also where the cause is unknown.
     """
 
     REFUSED = "refused"
-    UNREACHED = "unreached"
+    CONNECT_TIMEOUT = "unreached"
     CLOSED = "closed"
-    SILENT = "silent"
-    UNANSWERED = "unanswered"
+    HEARTBEAT_TIMEOUT = "silent"
+    RESPONSE_TIMEOUT = "unanswered"
     BUSY = "busy"
 
 
@@ -76,9 +79,9 @@
 
     free_slots: float | None = None
     free_memory: float | None = None
-    held: float | None = None
-    queued: float | None = None
-    busy_share: float | None = None
+    busy_requests: float | None = None
+    queued_requests: float | None = None
+    cpu_utilization: float | None = None
     service_ms: float | None = None  # its recent service time: the same news at every dispatcher
 
 
@@ -96,7 +99,7 @@
     zone: int = 0
     started_ns: int = 0
     weight: float = 1.0
-    common: int = 0
+    start_id: int = 0
 
 
 class LeaseState(NamedTuple):
@@ -115,44 +118,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Membership:
+class EndpointListUpdate:
     """News of the worker list.
 
     Of a call that failed: silent_ns since its last good news, or since it was made; and how it failed.  Of a
     cached list: the lease that an earlier process of this dispatcher had on it.
     """
 
-    kind: ListKind
+    kind: EndpointListKind
     entries: tuple[WorkerEntry, ...] = ()
-    silent_ns: int = 0
-    failure: ListFailure = ListFailure.BUSY
+    since_update_ns: int = 0
+    failure: DiscoveryFailure = DiscoveryFailure.BUSY
     lease: LeaseState = NO_LEASE
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class RequestReceived:
     """A client's request: the dispatcher now owes one final answer within time_left_ns."""
 
-    request: int
+    request_id: int
     job_class: int
     time_left_ns: int
     slots: float = 1.0
     memory: float = 0.0
-    hint_ns: int | None = None
+    runtime_hint_ns: int | None = None
     key: int = 0
-    repeat: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
     """An attempt's outcome; over says that the client has its answer."""
 
-    request: int
+    request_id: int
     attempt: int
     worker: int
     outcome: Outcome
     latency_ns: int
-    over: bool
+    request_finished: bool
     report: LoadReport | None = None
 
 
@@ -167,29 +170,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptNote:
+class AttemptProgress:
     """News of a running attempt: progress is the share done, or None when it has just started."""
 
-    request: int
+    request_id: int
     attempt: int
     worker: int
     progress: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBegun:
+class ResponseStarted:
     """The answer has begun to flow: the attempt is the client's from now on."""
 
-    request: int
+    request_id: int
     attempt: int
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -208,29 +211,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class ShutdownStarted:
     """The dispatcher ends after left_ns: by then all that is owed is answered."""
 
-    left_ns: int
+    time_left_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings, for the jobs that come from now on; numbers of classes stay, new ones come last."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Banned:
+class WorkerBanChanged:
     """Operators take a worker out, or (on False) put it back: it may have been restarted meanwhile."""
 
     worker: int
-    on: bool = True
+    is_banned: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class WorkerStateRestored:
     """The state of a worker in an earlier process of this dispatcher."""
 
     worker: int
@@ -238,11 +241,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class RequestMigrated:
     """A request that an earlier process of this dispatcher took; worker 0 means that no attempt is out."""
 
-    request: Request
-    born_ns: int
+    request: RequestReceived
+    first_received_ns: int
     attempts: int
     worker: int = 0
     sent_ns: int = 0
@@ -250,18 +253,18 @@
 
 
 Event = (
-    Membership
-    | Request
+    EndpointListUpdate
+    | RequestReceived
     | AttemptEnded
     | ProbeEnded
-    | AttemptNote
-    | StreamBegun
-    | ClientGone
+    | AttemptProgress
+    | ResponseStarted
+    | ClientDisconnected
     | TimerDue
     | PeerMessage
-    | Ending
-    | Retuned
-    | Banned
-    | Recalled
-    | Adopted
+    | ShutdownStarted
+    | SettingsChanged
+    | WorkerBanChanged
+    | WorkerStateRestored
+    | RequestMigrated
 )
--- a/weldquay/interface/settings.py
+++ b/weldquay/interface/settings.py
@@ -7,18 +7,18 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:  # its library is loaded only where room is held
-    from weldquay.planning.figures import Figures
+    from weldquay.reservations.settings import ReservationSettings
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a second run of a job would do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_BY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """The workers that drop the repeats of a keyed job."""
 
     ALL = "all"
@@ -30,17 +30,17 @@
 class JobClass:
     """One class of jobs.  In time means within aim_ns plus stretch times the job's own running time."""
 
-    aim_ns: int
-    give_up_ns: int
-    effect: Effect
-    group: Group = Group.ALL
-    window_ns: int = 0
-    worth: float = 1.0
-    late_value: float = 0.0
-    stretch: float = 0.0
-    kind: int = -1
-    stream: bool = False
-    offered: bool = True  # False: a reload has dropped it, and no call names it any more
+    latency_objective_ns: int
+    client_timeout_ns: int
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    idempotency_window_ns: int = 0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
+    runtime_allowance: float = 0.0
+    machine_kind: int = -1
+    streams_response: bool = False
+    is_offered: bool = True  # False: a reload has dropped it, and no call names it any more
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,33 +48,39 @@
     """What a dispatcher is told at its start."""
 
     classes: tuple[JobClass, ...]
-    dispatchers: int = 1
-    me: int = 0
+    dispatcher_count: int = 1
+    dispatcher_index: int = 0
     zone: int = 0
-    tick_ns: int = 1_000_000
-    asks_list: bool = False
-    list_expires: bool = False  # changes may be missed unseen: the list may be acted on for a time only
-    list_near: bool = False  # an agent on the dispatcher's own machine has the list: asking it costs nothing
-    ask_within_ns: int = 10_000_000_000
+    clock_resolution_ns: int = 1_000_000
+    polls_endpoint_list: bool = False
+    endpoint_list_expires: bool = (
+        False  # changes may be missed unseen: the list may be acted on for a time only
+    )
+    has_local_discovery_agent: bool = (
+        False  # an agent on the dispatcher's own machine has the list: asking it costs nothing
+    )
+    max_poll_delay_ns: int = 10_000_000_000
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
-    may_duplicate: bool = False
+    may_message_peers: bool = False
+    may_hedge: bool = False
     max_attempts: int = 1
     max_retry_after_ns: int = 0
-    progress_ns: int = 0
-    tells_start: bool = False
-    queue_in_order: bool = False  # a worker's first waiting job waits until it fits, and all others with it
-    conn_idle_ns: int = 15_000_000_000
+    progress_interval_ns: int = 0
+    reports_start: bool = False
+    workers_queue_in_order: bool = (
+        False  # a worker's first waiting job waits until it fits, and all others with it
+    )
+    connection_idle_timeout_ns: int = 15_000_000_000
     reports_in_answers: bool = False
     reports_in_probes: bool = False
-    worth_by_work: bool = False
-    cold_share: float = 1.0
-    warm_after_ns: int = 0
-    fall_multiple: float = 1.0
-    overload_for_ns: int = 0
-    probe_price: float = 0.0
-    cross_zone_price: float = 0.0
-    waste_price: float = 0.0
-    handshake_price: float = 0.0
-    room: Figures | None = None  # how room is held for large jobs; None: not at all
+    weights_per_work: bool = False
+    initial_capacity_fraction: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 0
+    probe_cost: float = 0.0
+    cross_zone_cost: float = 0.0
+    wasted_work_cost: float = 0.0
+    handshake_cost: float = 0.0
+    reservations: ReservationSettings | None = None  # how room is held for large jobs; None: not at all
--- a/weldquay/lab/direct.py
+++ b/weldquay/lab/direct.py
@@ -112,7 +112,7 @@
         self.records: list[loads.Record] = []
         self.sends_after: list[tuple[int, int]] = []  # (time, worker) of each send
         for number in range(len(settings)):
-            self._tell(number, api.Membership(api.ListKind.CACHED, self._entries()))
+            self._tell(number, api.EndpointListUpdate(api.EndpointListKind.CACHED, self._entries()))
         for arrival in arrivals:
             record = loads.Record(arrival)
             self.records.append(record)
@@ -127,7 +127,7 @@
                 self.states[n],
                 kind=KIND_NUMBERS.get(spec.kind, 1),
                 started_ns=self.started_ns[n],
-                common=n + 1,
+                start_id=n + 1,
             )
             for n, spec in enumerate(self.specs)
         )
@@ -170,7 +170,7 @@
         self.clients[arrival.dispatcher][number] = client
         self._tell(
             arrival.dispatcher,
-            api.Request(
+            api.RequestReceived(
                 number, arrival.kind, kind.give_up_ns, float(arrival.slots), arrival.memory, arrival.hint_ns
             ),
         )
@@ -207,12 +207,12 @@
         match action:
             case api.Send():
                 self._send(dispatcher, action)
-            case api.Refuse():
-                self._answer(dispatcher, action.request, loads.Fate.REFUSED)
+            case api.Reject():
+                self._answer(dispatcher, action.request_id, loads.Fate.REFUSED)
             case api.Fail():
-                self._answer(dispatcher, action.request, loads.Fate.FAILED)
+                self._answer(dispatcher, action.request_id, loads.Fate.FAILED)
             case api.Cancel():
-                attempt = self.attempts.get((dispatcher, action.request, action.attempt))
+                attempt = self.attempts.get((dispatcher, action.request_id, action.attempt))
                 if attempt is not None:
                     self._end(attempt, api.Outcome.CANCELLED)
                     self.after(NET_NS, lambda: self._cancel(attempt))
@@ -222,23 +222,30 @@
                 self.counts["probes"] += 1
                 sent_ns = self.now_ns
                 self.after(NET_NS, lambda: self._probe(dispatcher, action.worker, sent_ns))
-            case api.Watch():
-                self._tell(dispatcher, api.Membership(api.ListKind.DELTA))
-            case api.HoldEnded():
-                self.counts[RESERVATION_COUNTERS[action.why]] += 1
+            case api.WatchEndpoints():
+                self._tell(dispatcher, api.EndpointListUpdate(api.EndpointListKind.DELTA))
+            case api.ReservationEnded():
+                self.counts[RESERVATION_COUNTERS[action.reason]] += 1
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
-        client = self.clients[dispatcher].get(action.request)
+        client = self.clients[dispatcher].get(action.request_id)
         if client is None or self.now_ns >= client.deadline_ns:
             number = 0 if client is None else client.sends
             self._tell(
                 dispatcher,
-                api.AttemptEnded(action.request, number, action.worker, api.Outcome.MOOT, 0, client is None),
+                api.AttemptEnded(
+                    action.request_id,
+                    number,
+                    action.worker,
+                    api.Outcome.ABORTED_BEFORE_SEND,
+                    0,
+                    client is None,
+                ),
             )
             return
         self.counts["sends"] += 1
         self.sends_after.append((self.now_ns, action.worker))
-        attempt = _Attempt(client, dispatcher, action.request, client.sends, action.worker, self.now_ns)
+        attempt = _Attempt(client, dispatcher, action.request_id, client.sends, action.worker, self.now_ns)
         client.sends += 1
         self.attempts[attempt.key] = attempt
         self.after(NET_NS, lambda: self._come(attempt))
@@ -282,7 +289,7 @@
             self._look(attempt.worker)
         else:
             report = self._report(attempt.worker)
-            self.after(NET_NS, lambda: self._end(attempt, api.Outcome.FULL, report))
+            self.after(NET_NS, lambda: self._end(attempt, api.Outcome.OVERLOADED, report))
 
     def _cancel(self, attempt: _Attempt) -> None:
         self.workers[attempt.worker - 1].cancel(self.now_ns, attempt.job_id)
@@ -290,7 +297,9 @@
 
     def _report(self, worker: int) -> api.LoadReport:
         figures = self.workers[worker - 1].report(self.now_ns)
-        return api.LoadReport(float(figures.free_slots), figures.free_memory, queued=float(figures.waiting))
+        return api.LoadReport(
+            float(figures.free_slots), figures.free_memory, queued_requests=float(figures.waiting)
+        )
 
     def _probe(self, dispatcher: int, worker: int, sent_ns: int) -> None:
         if self.states[worker - 1] is api.WorkerState.GONE:
@@ -320,10 +329,10 @@
     def _happen(self, attempt: _Attempt, happening: model.Happening) -> None:
         if isinstance(happening, model.Started):
             if not attempt.ended:
-                note = api.AttemptNote(attempt.request, attempt.number, attempt.worker)
+                note = api.AttemptProgress(attempt.request, attempt.number, attempt.worker)
                 self.after(NET_NS, lambda: self._tell(attempt.dispatcher, note))
             return
-        outcome = api.Outcome.OK if isinstance(happening, model.Done) else api.Outcome.FULL
+        outcome = api.Outcome.OK if isinstance(happening, model.Done) else api.Outcome.OVERLOADED
         self.counts["wasted"] += attempt.ended and outcome is api.Outcome.OK
         report = self._report(attempt.worker)
         self.after(NET_NS, lambda: self._end(attempt, outcome, report))
@@ -333,7 +342,7 @@
     def tell_list(self) -> None:
         """Tell all dispatchers the list as it is now."""
         for number in range(len(self.dispatchers)):
-            self._tell(number, api.Membership(api.ListKind.FULL, self._entries()))
+            self._tell(number, api.EndpointListUpdate(api.EndpointListKind.FULL, self._entries()))
 
     def drain(self, worker: int) -> None:
         """A worker drains, and all are told at once."""
