--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -18,12 +18,12 @@
 
 from weldquay.discovery.backoff import Backoff
 from weldquay.fleet.subset import subset
-from weldquay.interface import ListFailure
+from weldquay.interface import DiscoveryFailure
 from weldquay.lab.http import Message, Server
 from weldquay.lab.scale.counts import CountingPool, Tally, hollow_address
 from weldquay.lab.scale.points import GIVE_UP_NS, JOBS, Point, job_body
 from weldquay.net.discovery_client import ANSWER_S, BEAT_S, LATE_S
-from weldquay.net.messages import Job, job_headers, watch_target
+from weldquay.net.messages import JobPayload, job_headers, watch_target
 from weldquay.policy.draw import LOOK_ENOUGH, LOOK_MOST
 from weldquay.policy.health import FRESH_NS, LOOK_WAIT_NS
 
@@ -84,11 +84,11 @@
         """Follow the list; after a failure ask again when the real one would."""
         while True:
             self.whole_ns = time.monotonic_ns()
-            failure = ListFailure.CLOSED
+            failure = DiscoveryFailure.CLOSED
             try:
                 await self._follow()
             except ConnectionRefusedError:
-                failure = ListFailure.REFUSED
+                failure = DiscoveryFailure.REFUSED
             except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
                 pass
             now_ns = time.monotonic_ns()
@@ -208,7 +208,7 @@
         address = self.workers[name]
         self.free[name] = self.free.get(name, 1.0) - 1
         body = job_body().encode()
-        job = Job(f"/{JOBS[0].name}/run".encode(), body)
+        job = JobPayload(f"/{JOBS[0].name}/run".encode(), body)
         left_ns = begun_ns + GIVE_UP_NS - time.monotonic_ns()
         lines = [b"POST %s HTTP/1.1" % job.target]
         lines += [b"%s: %s" % pair for pair in job_headers(call, job, left_ns, address)]
--- a/weldquay/net/connection.py
+++ b/weldquay/net/client_connection.py
@@ -22,22 +22,22 @@
 
 import h11
 
-from weldquay.net.calls import AdoptedCall, Answer, Call, Overload, Served
+from weldquay.net.requests import AcceptedRequest, Answer, ClientRequest, Rejected, Completed
 from weldquay.net.config import Config
 from weldquay.net.counters import Counters
-from weldquay.net.exchange import Exchange
+from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.hot_restart_messages import MigratedConnection
 from weldquay.net.http_channel import HttpChannel, Progress, Rejection
 from weldquay.net.messages import (
     Body,
-    Figures,
+    RequestMetadata,
     MessageError,
-    callback,
+    parse_callback,
     class_name,
-    figures,
-    job_of,
-    last_answer,
-    request_again,
+    parse_request_metadata,
+    job_payload,
+    closing_response,
+    serialize_request,
     retry_after,
 )
 from weldquay.net.streams import HUNG_UP, CountingReader, has_event, unread
@@ -68,27 +68,27 @@
 
     config: Config
     counters: Counters
-    exchange: Exchange
+    coordinator: RequestCoordinator
     tasks: Tasks
     serving: Callable[[], bool]
     closing: bool  # every connection closes after its answer
-    refusing: bool  # calls are refused
+    rejecting: bool  # calls are refused
     classes: dict[bytes, int]  # the number of each offered class, by its name
-    connections: dict[Connection, None]
-    by_state: dict[State, dict[Connection, None]]  # the connections in each state
-    ahead: int  # bytes that clients have sent ahead of calls that wait
-    max_ahead: int  # bytes; the limit for all clients together
-    in_hand: set[str]  # ids of the open calls
-    elsewhere: set[str]  # ids of the calls that are open at an older process
+    connections: dict[ClientConnection, None]
+    by_state: dict[State, dict[ClientConnection, None]]  # the connections in each state
+    buffered_bytes: int  # bytes that clients have sent ahead of calls that wait
+    max_buffered_bytes: int  # bytes; the limit for all clients together
+    open_request_ids: set[str]  # ids of the open calls
+    peer_request_ids: set[str]  # ids of the calls that are open at an older process
     # Hands a connection over to a newer process; None: there is none.
-    pass_on: Callable[[MigratedConnection], None] | None
-    pass_back: Callable[[bytes], None]  # forwards a call-back that matches nothing to an older process
+    migrate_connection: Callable[[MigratedConnection], None] | None
+    return_callback: Callable[[bytes], None]  # forwards a call-back that matches nothing to an older process
 
-    def forget_call(self, adopted: AdoptedCall | None) -> None:
+    def discard_migrated(self, adopted: AcceptedRequest | None) -> None:
         """End an adopted call whose client has gone."""
 
 
-class Connection:
+class ClientConnection:
     """A connection that a client or a match worker opened; it carries one request at a time."""
 
     def __init__(
@@ -97,11 +97,11 @@
         reader: CountingReader,
         writer: asyncio.StreamWriter,
         passed: MigratedConnection | None,
-        adopted: AdoptedCall | None,
+        adopted: AcceptedRequest | None,
     ) -> None:
         self.server, self.reader, self.writer = server, reader, writer
         self.channel = HttpChannel()
-        self.call: Call | None = None
+        self.call: ClientRequest | None = None
         self.ahead = 0  # bytes received while a call waits
         self.overrun = False  # more was received than is kept: the connection closes after the answer
         self.has_received = False  # any byte has been received
@@ -125,7 +125,7 @@
             del self.server.by_state[self.state][self]
             self.state, self.since = state, time.monotonic()
             self.server.by_state[state][self] = None
-            if state is State.IDLE and self.server.pass_on is not None:
+            if state is State.IDLE and self.server.migrate_connection is not None:
                 asyncio.get_running_loop().call_soon(self.begin_passing)
 
     def begin_passing(self) -> None:
@@ -145,28 +145,32 @@
         """
         while more := await self.reader.read(READ_SIZE):
             data += more
-        server, exchange = self.server, self.server.exchange
-        while self.call is not None and (server.pass_on is None or not exchange.may_pass(self.call)):
+        server, exchange = self.server, self.server.coordinator
+        while self.call is not None and (
+            server.migrate_connection is None or not exchange.can_migrate(self.call)
+        ):
             if has_event(self.writer, HUNG_UP):  # the client has gone; no read would show it
                 return
             await asyncio.sleep(PASS_POLL_S)
         if self.call is None:
             self.writer.transport.set_write_buffer_limits(high=0)
             await self.writer.drain()
-        if self.server.pass_on is None or self.is_lingering or self.writer.is_closing():
+        if self.server.migrate_connection is None or self.is_lingering or self.writer.is_closing():
             return
         ahead, request = self.channel.trailing + data, None
         if self.call is not None:
             self.server.counters.add("calls_passed_on")
             assert self.channel.request is not None
             left_ns = self.call.deadline_ns - time.monotonic_ns()
-            ahead = request_again(self.channel.request, bytes(self.channel.body), left_ns) + ahead
-            request = exchange.pass_on(self.call)
-            self.server.in_hand.discard(self.call.id)
+            ahead = serialize_request(self.channel.request, bytes(self.channel.body), left_ns) + ahead
+            request = exchange.migrate_request(self.call)
+            self.server.open_request_ids.discard(self.call.id)
             self.call = None
         self.server.counters.add("clients_passed_on")
         file = os.dup(self.writer.get_extra_info("socket").fileno())
-        self.server.pass_on(MigratedConnection(file, ahead, self.state is State.IDLE, self.since, request))
+        self.server.migrate_connection(
+            MigratedConnection(file, ahead, self.state is State.IDLE, self.since, request)
+        )
 
     def forget(self) -> None:
         """Remove the connection from the server's tables."""
@@ -200,14 +204,14 @@
         """The connection has ended: end its open call."""
         self.forget()
         self._count_ahead(0)
-        self.server.forget_call(self.adopted)
+        self.server.discard_migrated(self.adopted)
         if self.call is not None:
-            self.server.in_hand.discard(self.call.id)
-            self.server.exchange.client_gone(self.call)
+            self.server.open_request_ids.discard(self.call.id)
+            self.server.coordinator.client_disconnected(self.call)
             self.call = None
 
     def _count_ahead(self, size: int) -> None:
-        self.server.ahead += size - self.ahead
+        self.server.buffered_bytes += size - self.ahead
         self.ahead = size
 
     def on_timeout(self, now: float) -> None:
@@ -260,7 +264,8 @@
         """
         size = self.ahead + len(data)
         if size > AHEAD_ALLOWANCE and (
-            size > MAX_AHEAD_PER_CLIENT or self.server.ahead + len(data) > self.server.max_ahead
+            size > MAX_AHEAD_PER_CLIENT
+            or self.server.buffered_bytes + len(data) > self.server.max_buffered_bytes
         ):
             self.overrun = True
         if not self.overrun:
@@ -301,7 +306,7 @@
         """Write an answer and close the connection; without h11, whose cost would exceed all the rest."""
         request = self.channel.request
         head = request is not None and request.method == b"HEAD"
-        self.writer.write(last_answer(status, body, head))
+        self.writer.write(closing_response(status, body, head))
         self._linger()
 
     def _handle_request(self) -> None:
@@ -323,8 +328,10 @@
             elif request.method != b"POST":
                 self._reject(405, "only POST")
             elif job_class is None:
-                if not self.server.exchange.call_back(callback(body, self.server.config.report_fields)):
-                    self.server.pass_back(bytes(body))
+                if not self.server.coordinator.handle_callback(
+                    parse_callback(body, self.server.config.report_fields)
+                ):
+                    self.server.return_callback(bytes(body))
                 self._respond(204)
             else:
                 self._open_call(request, job_class, body)
@@ -333,37 +340,37 @@
 
     def _open_call(self, request: h11.Request, job_class: int, body: Body) -> None:
         """Pass a call to the exchange, or go on with the one that was taken over."""
-        told: Figures = figures(request.headers)
+        told: RequestMetadata = parse_request_metadata(request.headers)
         if (adopted := self.adopted) is not None:
-            self.adopted, self.call, adopted.call.on_answer = None, adopted.call, self._answer
+            self.adopted, self.call, adopted.request.on_answer = None, adopted.request, self._answer
             self._enter(State.WAITING)
             for answer in adopted.answers:
                 self._answer(answer)
             return
-        if self.server.refusing:
+        if self.server.rejecting:
             self.server.counters.add("calls_out_of_service")
             self._respond_overload(self.server.config.settings.max_retry_after_ns)
             return
-        if told.id in self.server.in_hand or told.id in self.server.elsewhere:
+        if told.id in self.server.open_request_ids or told.id in self.server.peer_request_ids:
             self._reject(409, "a call with this id is in hand")
             return
-        job = job_of(request, body)
+        job = job_payload(request, body)
         self._count_ahead(len(self.channel.trailing))
-        self.call = self.server.exchange.open(job_class, told, job, self._answer)
+        self.call = self.server.coordinator.submit(job_class, told, job, self._answer)
         if self.call is None:
             self._respond_overload(self.server.config.settings.max_retry_after_ns)
         else:
-            self.server.in_hand.add(told.id)
+            self.server.open_request_ids.add(told.id)
             self._enter(State.WAITING)
 
     def _answer(self, answer: Answer) -> None:
         """Write the final answer of the open call."""
         assert self.call is not None
-        self.server.in_hand.discard(self.call.id)
+        self.server.open_request_ids.discard(self.call.id)
         self.call = None
-        if isinstance(answer, Served):
+        if isinstance(answer, Completed):
             self._respond(200, answer.result.encode())
-        elif isinstance(answer, Overload):
+        elif isinstance(answer, Rejected):
             self._respond_overload(answer.retry_after_ns)
         else:
             self._respond(502, b"failed")
--- a/weldquay/net/server.py
+++ b/weldquay/net/client_server.py
@@ -13,13 +13,13 @@
 
 from weldquay.limits import BASE_MB, BYTES_EACH, RESERVE
 from weldquay.net.config import Config
-from weldquay.net.connection import READ_SIZE, Connection, State
+from weldquay.net.client_connection import READ_SIZE, ClientConnection, State
 from weldquay.net.counters import Counters
-from weldquay.net.calls import AdoptedCall, Answer
-from weldquay.net.exchange import Exchange
+from weldquay.net.requests import AcceptedRequest, Answer
+from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.hot_restart_messages import MigratedConnection, MigratedRequest
 from weldquay.net.http_channel import MAX_HEAD
-from weldquay.net.messages import figures, job_of
+from weldquay.net.messages import parse_request_metadata, job_payload
 from weldquay.net.streams import READABLE, CountingReader, poll_now
 from weldquay.net.tasks import Tasks
 
@@ -48,33 +48,33 @@
     """The listener, its connections and the ids of the open calls."""
 
     def __init__(
-        self, config: Config, counters: Counters, exchange: Exchange, serving: Callable[[], bool]
+        self, config: Config, counters: Counters, exchange: RequestCoordinator, serving: Callable[[], bool]
     ) -> None:
-        self.config, self.counters, self.exchange, self.serving = config, counters, exchange, serving
+        self.config, self.counters, self.coordinator, self.serving = config, counters, exchange, serving
         self.closing = False  # every connection closes after its answer
-        self.refusing = False  # calls are refused
-        self.retune(config)
-        self.connections: dict[Connection, None] = {}
+        self.rejecting = False  # calls are refused
+        self.reconfigure(config)
+        self.connections: dict[ClientConnection, None] = {}
         # In each state the oldest first; of READING the one that has received nothing for the longest time.
-        self.by_state: dict[State, dict[Connection, None]] = {state: {} for state in State}
+        self.by_state: dict[State, dict[ClientConnection, None]] = {state: {} for state in State}
         self.max_connections = self.connection_limit = min(
             config.sockets - config.sockets * 3 // 10 - RESERVE,
             (config.memory_mb - BASE_MB) * 1024 * 1024 // BYTES_EACH,
         )
-        self.ahead = 0  # bytes that clients have sent while their calls wait
-        self.max_ahead = int((config.memory_mb - BASE_MB) * 1024 * 1024 * AHEAD_FRACTION)
-        self.in_hand: set[str] = set()  # ids of the open calls
+        self.buffered_bytes = 0  # bytes that clients have sent while their calls wait
+        self.max_buffered_bytes = int((config.memory_mb - BASE_MB) * 1024 * 1024 * AHEAD_FRACTION)
+        self.open_request_ids: set[str] = set()  # ids of the open calls
         # During a handover: pass_on hands a connection over to the newer process, pass_back forwards a
         # call-back that matches nothing here to the older one, and elsewhere has the ids of its open calls,
         # which new calls may not use.
-        self.pass_on: Callable[[MigratedConnection], None] | None = None
-        self.pass_back: Callable[[bytes], None] = lambda body: None
-        self.elsewhere: set[str] = set()
+        self.migrate_connection: Callable[[MigratedConnection], None] | None = None
+        self.return_callback: Callable[[bytes], None] = lambda body: None
+        self.peer_request_ids: set[str] = set()
         self.tasks = Tasks()
         self.listener: socket.socket | None = None
         self.server: asyncio.Server | None = None
 
-    def retune(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """Use other settings for the calls from now on."""
         self.config = config
         self.classes = {
@@ -116,7 +116,7 @@
         self,
         ahead: bytes = b"",
         passed: MigratedConnection | None = None,
-        adopted: AdoptedCall | None = None,
+        adopted: AcceptedRequest | None = None,
     ) -> asyncio.StreamReaderProtocol:
         reader = CountingReader(READ_SIZE)
         if ahead:
@@ -139,19 +139,19 @@
         assert self.listener is not None
         return int(self.listener.getsockname()[1])
 
-    def limit(self, others: int) -> None:
+    def reserve_connections(self, others: int) -> None:
         """Lower the limit of connections by those that another process holds."""
         self.max_connections = max(MIN_CONNECTIONS, self.connection_limit - others)
 
-    def hand_over(self, pass_on: Callable[[MigratedConnection], None]) -> None:
+    def start_migration(self, pass_on: Callable[[MigratedConnection], None]) -> None:
         """Stop accepting, and hand each connection over between two requests, or with its call."""
         self.stop_accepting()
-        self.pass_on = pass_on
+        self.migrate_connection = pass_on
         for state in (State.IDLE, State.READING, State.WAITING):
             for connection in list(self.by_state[state]):
                 connection.begin_passing()
 
-    def adopt(self, passed: MigratedConnection) -> None:
+    def accept_migrated(self, passed: MigratedConnection) -> None:
         """Take over a connection, and its call, from the older process.
 
         The call is taken over at once, since its call-backs may arrive before the connection is set up.
@@ -162,21 +162,21 @@
             adopted = self._adopt_call(passed.unparsed, request)
         self.tasks.start(self._adopt(passed, adopted), "going on with a connection of the older process")
 
-    def _adopt_call(self, unparsed: bytes, migrated: MigratedRequest) -> AdoptedCall:
+    def _adopt_call(self, unparsed: bytes, migrated: MigratedRequest) -> AcceptedRequest:
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
         http.receive_data(unparsed)
         request, body = http.next_event(), bytearray()
         assert isinstance(request, h11.Request)
         while isinstance(event := http.next_event(), h11.Data):
             body += event.data
-        told = figures(request.headers)
+        told = parse_request_metadata(request.headers)
         answers: list[Answer] = []
-        job = job_of(request, body)
-        self.elsewhere.discard(told.id)
-        self.in_hand.add(told.id)
-        return AdoptedCall(self.exchange.adopt(migrated, told, job, answers.append), answers)
+        job = job_payload(request, body)
+        self.peer_request_ids.discard(told.id)
+        self.open_request_ids.add(told.id)
+        return AcceptedRequest(self.coordinator.accept_migrated(migrated, told, job, answers.append), answers)
 
-    async def _adopt(self, passed: MigratedConnection, adopted: AdoptedCall | None) -> None:
+    async def _adopt(self, passed: MigratedConnection, adopted: AcceptedRequest | None) -> None:
         sock = socket.socket(fileno=passed.file)
         sock.setblocking(False)
         try:
@@ -185,13 +185,13 @@
             )
         except OSError:  # the client has gone
             sock.close()
-            self.forget_call(adopted)
+            self.discard_migrated(adopted)
 
-    def forget_call(self, adopted: AdoptedCall | None) -> None:
+    def discard_migrated(self, adopted: AcceptedRequest | None) -> None:
         """End an adopted call whose client has gone."""
         if adopted is not None:
-            self.in_hand.discard(adopted.call.id)
-            self.exchange.client_gone(adopted.call)
+            self.open_request_ids.discard(adopted.request.id)
+            self.coordinator.client_disconnected(adopted.request)
 
     def begin_closing(self) -> None:
         """Close the idle connections, and the others after their answers."""
@@ -201,7 +201,7 @@
 
     def reopen(self) -> None:
         """Accept calls and keep connections again."""
-        self.closing = self.refusing = False
+        self.closing = self.rejecting = False
 
     async def stop(self, linger_s: float = LINGER_S) -> None:
         """Close the listener and all connections after their answers are written; after linger_s (s) at once.
@@ -209,7 +209,7 @@
         New calls are refused.  The system's queue is emptied first, since closing the listener would reset
         the connections in it.
         """
-        self.closing = self.refusing = True
+        self.closing = self.rejecting = True
         try:
             async with asyncio.timeout(linger_s):
                 while (
@@ -236,14 +236,14 @@
         reader: CountingReader,
         writer: asyncio.StreamWriter,
         passed: MigratedConnection | None,
-        adopted: AdoptedCall | None,
+        adopted: AcceptedRequest | None,
     ) -> None:
         if len(self.connections) >= self.max_connections and not self._make_room():
             self.counters.add("clients_over_limit")
             writer.transport.abort()
-            self.forget_call(adopted)
+            self.discard_migrated(adopted)
             return
-        connection = Connection(self, reader, writer, passed, adopted)
+        connection = ClientConnection(self, reader, writer, passed, adopted)
         self.connections[connection] = None
         self.counters.add("client_connections")
         try:
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -13,11 +13,11 @@
 from weldquay.config import reading
 from weldquay.errors import OperatorError
 from weldquay.limits import LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT
-from weldquay.net.messages import MemberList, MessageError, member_list
+from weldquay.net.messages import EndpointList, MessageError, endpoint_list_from_json
 from weldquay.settings import Pairs, decode_settings
 
 if TYPE_CHECKING:
-    from weldquay.planning.figures import Figures
+    from weldquay.reservations.settings import ReservationSettings
 
 # What a reload takes from the file; the rest stays as it was at the start.
 MOVABLE = {
@@ -99,7 +99,7 @@
     max_open: int
     sockets: int
     memory_mb: int
-    known: MemberList
+    known: EndpointList
     lease: api.LeaseState  # that an earlier process had on the known list
     document: dict[str, Any]  # as it was read
 
@@ -144,18 +144,20 @@
 
 def _room_file(path: str) -> dict[str, Any]:
     """The operators' figures for holding room, as they stand in a file of their own."""
-    from weldquay.planning import figures  # only where they are used: its library costs memory
+    from weldquay.reservations import (
+        settings as reservation_settings,
+    )  # only where they are used: its library costs memory
 
-    return figures.read_file(Path(path))
+    return reservation_settings.read_file(Path(path))
 
 
-def _room(document: dict[str, Any]) -> Figures | None:
+def _room(document: dict[str, Any]) -> ReservationSettings | None:
     """The figures for holding room, where there are any."""
     if (told := document.get("room")) is None:
         return None
-    from weldquay.planning import figures
+    from weldquay.reservations import settings as reservation_settings
 
-    return figures.check(told, "room")
+    return reservation_settings.check(told, "room")
 
 
 def load_kept(environ: Mapping[str, str], document: object) -> Config | None:
@@ -214,7 +216,7 @@
     A dropped class keeps its number and its rules, for the jobs that came with it.
     """
     rules = {
-        name: replace(each, offered=False)
+        name: replace(each, is_offered=False)
         for name, each in zip(running.class_names, running.settings.classes, strict=True)
     }
     rules.update(zip(fresh.class_names, fresh.settings.classes, strict=True))  # new names come last
@@ -231,7 +233,7 @@
     if len(set(class_names)) < len(class_names):
         raise ValueError("two classes have the same name")
     for name, rules in zip(class_names, settings.classes, strict=True):
-        if rules.give_up_ns <= 0 or rules.aim_ns <= 0:
+        if rules.client_timeout_ns <= 0 or rules.latency_objective_ns <= 0:
             raise ValueError(f"class {name} has a deadline that is no positive number")
     if pairs.whole("caps.max_attempts", 1) < 1:
         raise ValueError("caps.max_attempts is no positive number")
@@ -250,10 +252,10 @@
         # Discovery on sockets answers only when asked, whatever mode the deployment's simulator has.
         settings=replace(
             settings,
-            asks_list=True,
-            list_expires=True,
-            list_near=not settings.asks_list,
-            room=_room(document),
+            polls_endpoint_list=True,
+            endpoint_list_expires=True,
+            has_local_discovery_agent=not settings.polls_endpoint_list,
+            reservations=_room(document),
         ),
         class_names=class_names,
         offered=frozenset(class_names),
@@ -270,13 +272,13 @@
     )
 
 
-def _known(told: object) -> MemberList:
+def _known(told: object) -> EndpointList:
     """The list as it was last had; it only helps at the start: a torn one is left out and asked anew."""
     try:
-        return MemberList(0, True, ()) if told is None else member_list(told)
+        return EndpointList(0, True, ()) if told is None else endpoint_list_from_json(told)
     except MessageError as error:
         log.warning("known is left out: %s", error)
-        return MemberList(0, True, ())
+        return EndpointList(0, True, ())
 
 
 def _limit(limits: dict[str, Any], name: str, default: int, least: int) -> int:
--- a/weldquay/net/counter_names.py
+++ b/weldquay/net/counter_names.py
@@ -5,41 +5,41 @@
 
 from __future__ import annotations
 
-from weldquay.interface import ListKind, Outcome
+from weldquay.interface import EndpointListKind, Outcome
 
 ATTEMPT_COUNTERS: dict[Outcome, str] = {
     Outcome.OK: "attempts_ok",
     Outcome.ERROR: "attempts_error",
-    Outcome.FULL: "attempts_full",
+    Outcome.OVERLOADED: "attempts_full",
     Outcome.TIMEOUT: "attempts_timeout",
     Outcome.CONNECT_FAILED: "attempts_connect_failed",
     Outcome.RESET: "attempts_reset",
     Outcome.CANCELLED: "attempts_cancelled",
-    Outcome.MOOT: "attempts_moot",
+    Outcome.ABORTED_BEFORE_SEND: "attempts_moot",
     Outcome.UNKNOWN: "attempts_unknown",
-    Outcome.REJECTED: "attempts_rejected",
+    Outcome.UNPROCESSABLE: "attempts_rejected",
 }
 
 PROBE_COUNTERS: dict[Outcome, str] = {
     Outcome.OK: "probes_ok",
     Outcome.ERROR: "probes_error",
-    Outcome.FULL: "probes_full",
+    Outcome.OVERLOADED: "probes_full",
     Outcome.TIMEOUT: "probes_timeout",
     Outcome.CONNECT_FAILED: "probes_connect_failed",
     Outcome.RESET: "probes_reset",
     Outcome.CANCELLED: "probes_cancelled",
-    Outcome.MOOT: "probes_moot",
+    Outcome.ABORTED_BEFORE_SEND: "probes_moot",
     Outcome.UNKNOWN: "probes_unknown",
-    Outcome.REJECTED: "probes_rejected",
+    Outcome.UNPROCESSABLE: "probes_rejected",
 }
 
-LIST_COUNTERS: dict[ListKind, str] = {
-    ListKind.DELTA: "lists_delta",
-    ListKind.FULL: "lists_full",
-    ListKind.CACHED: "lists_cached",
-    ListKind.CURRENT: "lists_current",
-    ListKind.MOVED: "lists_moved",
-    ListKind.FAILED: "lists_failed",
+LIST_COUNTERS: dict[EndpointListKind, str] = {
+    EndpointListKind.DELTA: "lists_delta",
+    EndpointListKind.FULL: "lists_full",
+    EndpointListKind.CACHED: "lists_cached",
+    EndpointListKind.UNCHANGED: "lists_current",
+    EndpointListKind.ADDRESS_CHANGED: "lists_moved",
+    EndpointListKind.FAILED: "lists_failed",
 }
 
 RESERVATION_COUNTERS: dict[str, str] = {
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -19,9 +19,9 @@
 from weldquay import interface as api
 from weldquay.errors import OperatorError
 from weldquay.net.config import Config
-from weldquay.net.exchange import Exchange
-from weldquay.net.lines import Values
-from weldquay.net.messages import MessageError, members, watch_target
+from weldquay.net.request_coordinator import RequestCoordinator
+from weldquay.net.json_stream import JsonStreamParser
+from weldquay.net.messages import MessageError, parse_endpoint_list, watch_target
 from weldquay.net.tasks import Tasks
 
 log = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
 VALUE_S = 3.0  # a value is whole by then: one that never ends would pass for a watch that tells of no change
 
 
-class DiscoverySilent(OperatorError):
+class DiscoveryTimeout(OperatorError):
     """The watch, or discovery before its answer, has told nothing for silent_s."""
 
     error_code = "discovery-silent"
@@ -50,7 +50,7 @@
         self.silent_s, self.answered = silent_s, answered
 
 
-class NotReached(DiscoverySilent):
+class DiscoveryUnreachable(DiscoveryTimeout):
     """No connection to discovery came up in silent_s."""
 
     error_code = "not-reached"
@@ -74,8 +74,8 @@
 class DiscoveryClient:
     """Discovery as the exchange's DiscoverySide.  Every watch is answered; its end is told as a failure."""
 
-    def __init__(self, config: Config, exchange: Exchange) -> None:
-        self.config, self.exchange = config, exchange
+    def __init__(self, config: Config, exchange: RequestCoordinator) -> None:
+        self.config, self.coordinator = config, exchange
         self.tasks = Tasks()
         self.revision = config.known.revision
         self.watching: asyncio.Task[None] | None = None
@@ -84,12 +84,12 @@
         self.answered = False  # the head of the call's answer has come
         self.whole_at = 0.0  # when something whole last came, or the call was made
 
-    def move(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """Follow discovery to its new address, from the whole list on: its revisions may be counted anew."""
         moved, self.config = config.discovery != self.config.discovery, config
         if moved:
             self.revision = 0
-            self.exchange.list_moved()
+            self.coordinator.discovery_address_changed()
             self.watch()
 
     def watch(self) -> None:
@@ -103,35 +103,37 @@
         await self.tasks.stop()
 
     async def _watch(self) -> None:
-        self.whole_at, failure = time.monotonic(), api.ListFailure.CLOSED
+        self.whole_at, failure = time.monotonic(), api.DiscoveryFailure.CLOSED
         try:
             await self._follow()
         except (OSError, h11.RemoteProtocolError, OperatorError) as error:
-            if isinstance(error, DiscoverySilent):
-                self.exchange.counters.add("lists_silent" if error.answered else "lists_unanswered")
+            if isinstance(error, DiscoveryTimeout):
+                self.coordinator.counters.add("lists_silent" if error.answered else "lists_unanswered")
             failure = self._failure(error)
             if not self.failures:  # the first of a row: an outage is told once
                 told = error.advice() if isinstance(error, OperatorError) else str(error)
                 log.info("the watch on discovery ended: %s", told or type(error).__name__)
             self.failures += 1
-        self.exchange.list_failed(int((time.monotonic() - self.whole_at) * 1e9), failure)
+        self.coordinator.discovery_failed(int((time.monotonic() - self.whole_at) * 1e9), failure)
 
-    def _failure(self, error: Exception) -> api.ListFailure:
+    def _failure(self, error: Exception) -> api.DiscoveryFailure:
         """How a call to discovery failed."""
-        if isinstance(error, NotReached):
-            return api.ListFailure.UNREACHED
-        if isinstance(error, DiscoverySilent):
+        if isinstance(error, DiscoveryUnreachable):
+            return api.DiscoveryFailure.CONNECT_TIMEOUT
+        if isinstance(error, DiscoveryTimeout):
             is_mute = not self.asked and error.silent_s < VALUE_S
-            return api.ListFailure.SILENT if is_mute else api.ListFailure.UNANSWERED
+            return (
+                api.DiscoveryFailure.HEARTBEAT_TIMEOUT if is_mute else api.DiscoveryFailure.RESPONSE_TIMEOUT
+            )
         if not isinstance(error, OSError | WatchClosed | Unavailable):
-            return api.ListFailure.UNANSWERED
+            return api.DiscoveryFailure.RESPONSE_TIMEOUT
         if not self.asked:
-            return api.ListFailure.CLOSED
+            return api.DiscoveryFailure.CLOSED
         if self.answered:
-            return api.ListFailure.UNANSWERED
+            return api.DiscoveryFailure.RESPONSE_TIMEOUT
         # It told nothing: it is down and says so at once, or so late that it must be behind.
         late = time.monotonic() - self.asked > BUSY_S
-        return api.ListFailure.BUSY if late else api.ListFailure.REFUSED
+        return api.DiscoveryFailure.BUSY if late else api.DiscoveryFailure.REFUSED
 
     async def _follow(self) -> None:
         """Tell the exchange of each value of a watch, until the watch ends."""
@@ -140,13 +142,13 @@
         try:
             http = h11.Connection(h11.CLIENT)
             writer.write(self._request(http))
-            values, late = Values(), False
+            values, late = JsonStreamParser(), False
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
                     patience_s = self._patience_s()
                     if patience_s <= 0 and late:
-                        raise DiscoverySilent(time.monotonic() - self.whole_at, self.answered)
+                        raise DiscoveryTimeout(time.monotonic() - self.whole_at, self.answered)
                     late = patience_s <= 0
                     http.receive_data(await self._read(reader, max(LEAST_S, patience_s)))
                 elif isinstance(event, h11.Response):
@@ -162,12 +164,12 @@
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """A connection to discovery; NotReached where none comes up, OSError where it is refused."""
-        connect_s = NEAR_S if self.config.settings.list_near else CONNECT_S
+        connect_s = NEAR_S if self.config.settings.has_local_discovery_agent else CONNECT_S
         try:
             async with asyncio.timeout(connect_s):
                 return await asyncio.open_connection(*self.config.discovery)
         except TimeoutError:
-            raise NotReached(connect_s, answered=False) from None
+            raise DiscoveryUnreachable(connect_s, answered=False) from None
 
     def _request(self, http: h11.Connection) -> bytes:
         """The bytes of the call for a watch from the known revision on."""
@@ -192,7 +194,7 @@
         now = time.monotonic()
         if self.answered:
             return min(BEAT_S + LATE_S, self.whole_at + VALUE_S - now)
-        return self.asked + (NEAR_S if self.config.settings.list_near else ANSWER_S) - now
+        return self.asked + (NEAR_S if self.config.settings.has_local_discovery_agent else ANSWER_S) - now
 
     async def _read(self, reader: asyncio.StreamReader, patience_s: float) -> bytes:
         """What comes next.
@@ -203,7 +205,7 @@
         try:
             await asyncio.wait({reading}, timeout=patience_s)
             if not reading.done():
-                raise DiscoverySilent(time.monotonic() - self.whole_at, self.answered)
+                raise DiscoveryTimeout(time.monotonic() - self.whole_at, self.answered)
             if not reading.result():
                 raise WatchClosed("it closed")
             return reading.result()
@@ -215,15 +217,17 @@
             log.info("discovery answers again after %d calls that failed", self.failures)
             self.failures = 0
         if self.asked:
-            self.exchange.counters.peak("longest_list_ms", (time.monotonic() - self.asked) * 1000)
+            self.coordinator.counters.peak("longest_list_ms", (time.monotonic() - self.asked) * 1000)
             self.asked = 0.0
         if not value:
-            self.exchange.list_current()
+            self.coordinator.endpoint_list_unchanged()
             return
-        changes = members(value)
-        if changes.revision < self.revision and not changes.complete:
+        changes = parse_endpoint_list(value)
+        if changes.revision < self.revision and not changes.is_complete:
             # Guards against changes that are older than the list: they would undo a drain.
             before, self.revision = self.revision, 0
             raise MessageError(f"its revision went back from {before} to {changes.revision}")
         self.revision = changes.revision
-        self.exchange.follow(changes, api.ListKind.FULL if changes.complete else api.ListKind.DELTA)
+        self.coordinator.apply_endpoint_list(
+            changes, api.EndpointListKind.FULL if changes.is_complete else api.EndpointListKind.DELTA
+        )
--- a/weldquay/net/program.py
+++ b/weldquay/net/dispatcher_process.py
@@ -14,12 +14,12 @@
 from dataclasses import replace
 
 from weldquay.errors import OperatorError
-from weldquay.net.server import LINGER_S, ClientServer
+from weldquay.net.client_server import LINGER_S, ClientServer
 from weldquay.net.config import Config, ConfigError, reload
 from weldquay.net.counters import Counters
-from weldquay.net.exchange import Exchange
+from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.loop_monitor import LoopMonitor
-from weldquay.net.handover import Handover, pieces
+from weldquay.net.hot_restart import HotRestart, split_into_messages
 from weldquay.net.hot_restart_messages import (
     NO_FILE,
     BanChange,
@@ -33,12 +33,12 @@
     WorkerStateMessage,
 )
 from weldquay.net.persistence import BanList, StateFile
-from weldquay.net.messages import MessageError, callback, member_line, member_list
+from weldquay.net.messages import MessageError, parse_callback, endpoint_to_json, endpoint_list_from_json
 from weldquay.net.operators import Operators
-from weldquay.net.phases import Phase as Phase  # part of this module's interface
+from weldquay.net.lifecycle import Phase as Phase  # part of this module's interface
 from weldquay.net.discovery_client import DiscoveryClient
 from weldquay.net.tasks import Tasks
-from weldquay.net.workers import Workers
+from weldquay.net.worker_client import HttpWorkerClient
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
     remedy = "end the other program at that address, or change GW_LISTEN or GW_MGMT to one of this machine's"
 
 
-class Program:
+class DispatcherProcess:
     """One dispatcher, from start to exit."""
 
     def __init__(self, config: Config) -> None:
@@ -80,7 +80,7 @@
         self.others = 0  # clients' connections at the older process
         self.before = Phase.STARTING  # the phase in which a newer process took over
         self.begun = self.out_since = time.monotonic()
-        self.emptying: asyncio.Task[None] | None = None
+        self.draining_task: asyncio.Task[None] | None = None
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -92,36 +92,36 @@
 
     def _listed(self) -> bool:
         """True once the list is confirmed, or has not been for long: requests wait for discovery then."""
-        return self.exchange.listed or time.monotonic() - self.begun > LIST_S
+        return self.coordinator.is_endpoint_list_confirmed or time.monotonic() - self.begun > LIST_S
 
     async def start(self) -> None:
         """Open the listener and begin to serve; OSError where the address is not to be had."""
-        exchange = Exchange(self.config, self.counters)
-        self.exchange = exchange
-        self.workers = Workers(self.config, self.counters, exchange)
+        exchange = RequestCoordinator(self.config, self.counters)
+        self.coordinator = exchange
+        self.workers = HttpWorkerClient(self.config, self.counters, exchange)
         self.discovery = DiscoveryClient(self.config, exchange)
         self.server = ClientServer(self.config, self.counters, exchange, self.serving)
         self.operators = Operators(self.config.mgmt, self.counters, self)
         await self.operators.listen()
-        self.handover = Handover(self.config.name, self.counters, self)
-        offered = await self.handover.ask()
+        self.hot_restart = HotRestart(self.config.name, self.counters, self)
+        offered = await self.hot_restart.ask()
         if self.inherited:
             self._inherit_list()
         await self.server.listen(-1 if offered is None else offered.file)
-        self.server.pass_back = lambda body: self.handover.send(ForwardedCallback(body))
+        self.server.return_callback = lambda body: self.hot_restart.send(ForwardedCallback(body))
         exchange.start(self.workers, self.discovery)
         for worker_id in self.bans.read():
             exchange.ban(worker_id, True)
         self.tasks.start(self._reload(), "reloading of the configuration")
         if offered is not None:
             await self._take_over(offered)
-        elif self.config.settings.list_near:
+        elif self.config.settings.has_local_discovery_agent:
             await self._until_listed()
         await self.server.accept()
         self._enter(Phase.SERVING)
         if offered is not None and offered.out_of_service_since is not None:
             self.out_of_service(offered.out_of_service_since)
-        self.handover.listen()
+        self.hot_restart.listen()
         self.kept.write(self.config.document)
 
     def _inherit_list(self) -> None:
@@ -132,116 +132,118 @@
         lines = [line for chunk in self.inherited for line in chunk.endpoints]
         self.config = replace(
             self.config,
-            known=member_list({"revision": revision, "complete": True, "members": lines}),
+            known=endpoint_list_from_json({"revision": revision, "complete": True, "members": lines}),
             lease=last.lease,
         )
         self.discovery.revision = revision
-        self.exchange.config = self.config
+        self.coordinator.config = self.config
 
     async def _take_over(self, offered: ListenerOffer) -> None:
         """Take an older process's place, once the list of workers has come, or has not for long."""
-        self.workers.limit(NEWER_PART)
+        self.workers.limit_connections(NEWER_PART)
         for worker_id in offered.banned_worker_ids:
-            self.exchange.ban(worker_id, True)
+            self.coordinator.ban(worker_id, True)
         await self._until_listed()
-        await self.handover.finish()
+        await self.hot_restart.finish()
 
     async def _until_listed(self) -> None:
         """Wait for what discovery has: what an agent on this machine has counts as told from the start."""
         with suppress(TimeoutError):
             async with asyncio.timeout(LIST_S):
-                while not (self.exchange.listed or self.drain_begun.is_set()):
+                while not (self.coordinator.is_endpoint_list_confirmed or self.drain_begun.is_set()):
                     await asyncio.sleep(LOOK_S)
 
     # --- the other process of this dispatcher, while there is one ---
 
-    def offer(self) -> ListenerOffer | None:
+    def offer_listener(self) -> ListenerOffer | None:
         """The listener, for a newer process, and room for its connections."""
         if self.phase not in (Phase.SERVING, Phase.OUT_OF_SERVICE) or self.server.listener is None:
             return None
-        self.server.limit(NEWER_FILES)
-        self.workers.limit(1 - NEWER_PART)
-        members = map(member_line, self.workers.members())
-        for piece in pieces(members) if self.exchange.listed else ():
-            self.handover.send(
+        self.server.reserve_connections(NEWER_FILES)
+        self.workers.limit_connections(1 - NEWER_PART)
+        members = map(endpoint_to_json, self.workers.listed_endpoints())
+        for piece in split_into_messages(members) if self.coordinator.is_endpoint_list_confirmed else ():
+            self.hot_restart.send(
                 EndpointListChunk(
                     revision=self.discovery.revision,
                     discovery_address=self.discovery.config.discovery,
-                    lease=self.exchange.dispatcher.lease.state(),
+                    lease=self.coordinator.dispatcher.lease.state(),
                     endpoints=tuple(piece),
                 )
             )
         return ListenerOffer(
             file=os.dup(self.server.listener.fileno()),
-            banned_worker_ids=tuple(sorted(self.exchange.bans)),
+            banned_worker_ids=tuple(sorted(self.coordinator.bans)),
             out_of_service_since=self.out_since if self.phase is Phase.OUT_OF_SERVICE else None,
         )
 
-    def hand_over(self) -> None:
+    def start_migration(self) -> None:
         """Pass on what is known, and the clients' connections; what is in hand ends here."""
         if self.phase not in (Phase.SERVING, Phase.OUT_OF_SERVICE):
             return
         self.before = self.phase
         self._stop_emptying()
         self._enter(Phase.HANDED_OVER)
-        for worker_id, snapshot in self.exchange.worker_snapshots().items():
+        for worker_id, snapshot in self.coordinator.worker_snapshots().items():
             host, port = self.workers.address(worker_id)
-            self.handover.send(WorkerStateMessage(worker_id, host, port, snapshot))
-        for ids in pieces(self.server.in_hand):
-            self.handover.send(OpenRequests(tuple(ids)))
-        self.handover.send(ClientConnectionCount(len(self.server.connections)))
-        self.server.hand_over(self.handover.send)
+            self.hot_restart.send(WorkerStateMessage(worker_id, host, port, snapshot))
+        for ids in split_into_messages(self.server.open_request_ids):
+            self.hot_restart.send(OpenRequests(tuple(ids)))
+        self.hot_restart.send(ClientConnectionCount(len(self.server.connections)))
+        self.server.start_migration(self.hot_restart.send)
         self.tasks.start(self._tell_held(), "telling of the connections that are left")
 
     async def _tell_held(self) -> None:
         """Tell the newer process how many connections it has to leave room for."""
-        while self.handover.link is not None:
+        while self.hot_restart.link is not None:
             await asyncio.sleep(HELD_S)
-            self.handover.send(ClientConnectionCount(len(self.server.connections)))
+            self.hot_restart.send(ClientConnectionCount(len(self.server.connections)))
 
-    def take(self, message: HotRestartMessage) -> None:
+    def handle_message(self, message: HotRestartMessage) -> None:
         """Handle a message of the other process."""
         match message:
             case WorkerStateMessage():
-                self.workers.learn(message.worker_id, message.host, message.port)
-                self.exchange.restore_worker(message.worker_id, message.snapshot)
+                self.workers.add_departed_worker(message.worker_id, message.host, message.port)
+                self.coordinator.restore_worker(message.worker_id, message.snapshot)
             case EndpointListChunk():
                 self.inherited.append(message)
             case OpenRequests():
-                self.server.elsewhere.update(message.request_ids)
+                self.server.peer_request_ids.update(message.request_ids)
             case MigratedConnection(file=file) if file == NO_FILE:  # there was no descriptor left for it
                 self.counters.add("handover_without_descriptor")
             case MigratedConnection():
                 if self.others:
                     self._leave_room(self.others - 1)
-                self.server.adopt(message)
+                self.server.accept_migrated(message)
             case ClientConnectionCount():
                 self._leave_room(message.connections)
             case BanChange():
-                self.exchange.ban(message.worker_id, message.is_banned)
+                self.coordinator.ban(message.worker_id, message.is_banned)
             case ForwardedCallback():
                 with suppress(MessageError):
-                    matched = self.exchange.call_back(callback(message.body, self.config.report_fields))
+                    matched = self.coordinator.handle_callback(
+                        parse_callback(message.body, self.config.report_fields)
+                    )
                     # Guards against a call-back that overtakes its call: back it comes behind it.
-                    if not matched and self.server.pass_on is not None:
-                        self.handover.send(message)
+                    if not matched and self.server.migrate_connection is not None:
+                        self.hot_restart.send(message)
 
     def _leave_room(self, others: int) -> None:
         """Count the clients' connections that the older process still holds."""
         self.others = others
-        self.server.limit(NEWER_FILES + others)
+        self.server.reserve_connections(NEWER_FILES + others)
 
-    def alone(self, unsent: Iterable[HotRestartMessage]) -> None:
+    def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
         """The other process has gone: all room is this one's; if it was to take over, this one goes on."""
-        self.server.limit(0)
-        self.workers.limit(1)
-        self.server.elsewhere.clear()
-        self.server.pass_on = None
+        self.server.reserve_connections(0)
+        self.workers.limit_connections(1)
+        self.server.peer_request_ids.clear()
+        self.server.migrate_connection = None
         for message in unsent:
             if not isinstance(message, MigratedConnection | ListenerOffer) or message.file == NO_FILE:
                 continue
             if isinstance(message, MigratedConnection) and self.phase not in (Phase.STOPPING, Phase.STOPPED):
-                self.take(message)
+                self.handle_message(message)
             else:
                 os.close(message.file)
         if self.phase is Phase.DRAINING:
@@ -266,7 +268,7 @@
         if self.phase is Phase.SERVING:
             self.out_since = time.monotonic() if since is None else since
             self._enter(Phase.OUT_OF_SERVICE)
-            self.emptying = self.tasks.start(self._empty(), "emptying for the operators")
+            self.draining_task = self.tasks.start(self._empty(), "emptying for the operators")
         return self.phase is Phase.OUT_OF_SERVICE
 
     def in_service(self) -> bool:
@@ -279,11 +281,11 @@
 
     def ban(self, worker_id: str, on: bool) -> bool:
         """Take a match worker out, or put it back, however often it was taken out."""
-        if not self.exchange.knows(worker_id):
+        if not self.coordinator.is_known_worker(worker_id):
             return False
-        self.exchange.ban(worker_id, on)
-        self.bans.write(self.exchange.bans)
-        self.handover.send(BanChange(worker_id, on))
+        self.coordinator.ban(worker_id, on)
+        self.bans.write(self.coordinator.bans)
+        self.hot_restart.send(BanChange(worker_id, on))
         return True
 
     async def _empty(self) -> None:
@@ -291,22 +293,22 @@
         await asyncio.sleep(self.out_since + SEEN_S - time.monotonic())
         self.server.begin_closing()
         await asyncio.sleep(self.out_since + EMPTY_S - time.monotonic())
-        self.server.refusing = True
+        self.server.rejecting = True
 
     def _stop_emptying(self) -> None:
-        if self.emptying is not None:
-            self.emptying.cancel()
-            self.emptying = None
+        if self.draining_task is not None:
+            self.draining_task.cancel()
+            self.draining_task = None
 
     async def finish(self) -> None:
         """Serve what still comes, until nothing is owed to a client or by a worker; then end."""
-        longest_s = max(each.give_up_ns for each in self.config.settings.classes) / 1e9
+        longest_s = max(each.client_timeout_ns for each in self.config.settings.classes) / 1e9
         left_s = min(longest_s, LONGEST_S) + KILL_S - LAST_S
         last = asyncio.get_running_loop().time() + left_s
         self._stop_emptying()
         handed_over = self.phase is Phase.HANDED_OVER
         self._enter(Phase.DRAINING)
-        self.exchange.end(left_s)  # SIGKILL would leave what is owed then without any answer
+        self.coordinator.begin_shutdown(left_s)  # SIGKILL would leave what is owed then without any answer
         if not handed_over:  # else connections go to the newer process after their answers
             await asyncio.sleep(min(STAY_S, STAY_PART * left_s))
             self._enter(Phase.CLOSING)
@@ -317,7 +319,7 @@
                 while handed_over and self.server.connections:
                     await asyncio.sleep(LOOK_S)
                 if handed_over:
-                    await self.handover.part()
+                    await self.hot_restart.part()
         self._enter(Phase.STOPPING)
         await self.tasks.stop()
         await self.discovery.stop()
@@ -325,12 +327,12 @@
         now = asyncio.get_running_loop().time()
         await self.server.stop(min(LINGER_S, max(0.0, last + LAST_S * 0.8 - now)))
         await self.workers.stop()
-        self.handover.stop()
+        self.hot_restart.stop()
         self._enter(Phase.STOPPED)
 
     async def _settled(self) -> None:
         """Return once nothing is owed to a client or by a worker."""
-        while self.exchange.owes or self.workers.busy:
+        while self.coordinator.has_pending_work or self.workers.busy:
             await asyncio.sleep(LOOK_S)
 
     async def run(self) -> int:
@@ -374,9 +376,9 @@
             else:
                 self.counters.add("reloads")
                 self.kept.write(self.config.document)
-                self.discovery.move(self.config)
-                for part in (self.exchange, self.server, self.workers):
-                    part.retune(self.config)
+                self.discovery.reconfigure(self.config)
+                for part in (self.coordinator, self.server, self.workers):
+                    part.reconfigure(self.config)
                 if others:
                     log.warning("only a new start takes in what changed in: %s", ", ".join(others))
             self._enter(before)
--- a/weldquay/net/list_intake.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -13,24 +13,24 @@
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.policy.members import MAX_DEPARTED
-from weldquay.net.calls import Call, WorkerSide
+from weldquay.net.requests import ClientRequest, WorkerClient
 from weldquay.net.counter_names import LIST_COUNTERS
 from weldquay.net.counters import Counters
-from weldquay.net.messages import Member, MemberList
+from weldquay.net.messages import Endpoint, EndpointList
 
 log = logging.getLogger(__name__)
 
 MS = 1_000_000
 
 
-class ListIntake(ABC):
+class EndpointListAdapter(ABC):
     """The base of `Exchange` that takes in the list; `Exchange` has the events and the calls."""
 
     counters: Counters
-    workers: WorkerSide
+    workers: WorkerClient
     dispatcher: Dispatcher
     events: list[api.Event]
-    calls: dict[int, Call]
+    calls: dict[int, ClientRequest]
     bans: set[str]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -43,24 +43,26 @@
     @abstractmethod
     def _tell(self, event: api.Event) -> None: ...
 
-    def follow(self, told: MemberList, kind: api.ListKind, lease: api.LeaseState = api.NO_LEASE) -> None:
+    def apply_endpoint_list(
+        self, told: EndpointList, kind: api.EndpointListKind, lease: api.LeaseState = api.NO_LEASE
+    ) -> None:
         """Take in the list, or changes of it; lease: an earlier process's, of a cached list."""
         self.counters.add(LIST_COUNTERS[kind])
-        self._forget()
-        for member in told.members:
+        self._discard_departed()
+        for member in told.endpoints:
             self._number(member.id)
-        self.workers.follow(told)
-        entries = tuple(self._entry(member) for member in told.members)
-        self._tell(api.Membership(kind, entries, lease=lease))
+        self.workers.apply_endpoint_list(told)
+        entries = tuple(self._entry(member) for member in told.endpoints)
+        self._tell(api.EndpointListUpdate(kind, entries, lease=lease))
 
-    def _forget(self) -> None:
+    def _discard_departed(self) -> None:
         """Guard against ids that change for years: what the decisions have forgotten goes here too."""
         most = len(self.dispatcher.workers) + MAX_DEPARTED  # a handover tells of departed ones too
         if len(self.worker_numbers) > most and not self.events:
             for worker_id, number in list(self.worker_numbers.items()):
                 if number not in self.dispatcher.workers and worker_id not in self.bans:
                     del self.worker_numbers[worker_id], self.worker_names[number]
-                    self.workers.forget(worker_id)
+                    self.workers.discard_worker(worker_id)
 
     def _number(self, worker_id: str) -> int:
         """The number of a worker, a new one where it has none."""
@@ -70,30 +72,32 @@
             self.worker_numbers[worker_id], self.worker_names[number] = number, worker_id
         return self.worker_numbers[worker_id]
 
-    def list_current(self) -> None:
+    def endpoint_list_unchanged(self) -> None:
         """Discovery tells that nothing has changed."""
-        self._tell(api.Membership(api.ListKind.CURRENT))
+        self._tell(api.EndpointListUpdate(api.EndpointListKind.UNCHANGED))
 
-    def list_moved(self) -> None:
+    def discovery_address_changed(self) -> None:
         """A reload has given discovery another address."""
-        self._tell(api.Membership(api.ListKind.MOVED))
+        self._tell(api.EndpointListUpdate(api.EndpointListKind.ADDRESS_CHANGED))
 
     @property
-    def listed(self) -> bool:
+    def is_endpoint_list_confirmed(self) -> bool:
         """True once discovery has told this process, or the one before it, which workers there are."""
         return self.dispatcher.lease.granted
 
     @property
-    def list_lease_until_ns(self) -> int:
+    def endpoint_list_expires_ns(self) -> int:
         """Until when attempts may begin by the list that is known, on the monotonic clock; 0: not at all."""
         return self.dispatcher.lease.until_ns
 
-    def list_failed(self, silent_ns: int, failure: api.ListFailure) -> None:
+    def discovery_failed(self, silent_ns: int, failure: api.DiscoveryFailure) -> None:
         """A call to discovery failed, or its watch has ended, so long after its last good news."""
-        self.counters.add(LIST_COUNTERS[api.ListKind.FAILED])
-        self._tell(api.Membership(api.ListKind.FAILED, silent_ns=silent_ns, failure=failure))
+        self.counters.add(LIST_COUNTERS[api.EndpointListKind.FAILED])
+        self._tell(
+            api.EndpointListUpdate(api.EndpointListKind.FAILED, since_update_ns=silent_ns, failure=failure)
+        )
 
-    def _entry(self, member: Member) -> api.WorkerEntry:
+    def _entry(self, member: Endpoint) -> api.WorkerEntry:
         """A member in the module's numbers and on its clock; a start before the clock's is long ago."""
         started_ns = member.up_since_ms * MS - self.epoch_ns if member.up_since_ms else 0
         return api.WorkerEntry(
@@ -107,9 +111,9 @@
             zlib.crc32(f"{member.id} {member.up_since_ms}".encode()),
         )
 
-    def _watch_lease(self, now_ns: int) -> None:
+    def _log_lease_changes(self, now_ns: int) -> None:
         """Tell operators when requests begin to wait for discovery, and when that is over."""
-        has_expired = now_ns >= self.list_lease_until_ns
+        has_expired = now_ns >= self.endpoint_list_expires_ns
         if has_expired and self.calls and not self.waits_for_list:
             self.waits_for_list = True
             self.counters.add("list_leases_expired")
--- a/weldquay/net/handover.py
+++ b/weldquay/net/hot_restart.py
@@ -37,7 +37,7 @@
     WorkerStateMessage,
 )
 from weldquay.net.hot_restart_packet import Message as Message  # part of this module's interface
-from weldquay.net.persistence import place
+from weldquay.net.persistence import state_path
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 UNKNOWN_KIND_COUNTER = "handover_unknown"
 
 
-def pieces(rows: Iterable[Any]) -> Iterator[list[Any]]:
+def split_into_messages(rows: Iterable[Any]) -> Iterator[list[Any]]:
     """Rows in as many lists as messages need: by their sizes, as ids and addresses may be long."""
     piece, size = list[Any](), 0
     for row in rows:
@@ -74,7 +74,7 @@
         yield piece
 
 
-class Link:
+class ProcessLink:
     """A connection to the other process: whole messages both ways, in order."""
 
     def __init__(
@@ -157,46 +157,46 @@
         self.take(message)
 
 
-def door() -> socket.socket:
+def open_socket() -> socket.socket:
     """A unix socket for the handover; OSError where the system allows none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     return sock
 
 
-def answers(name: str) -> bool:
+def is_peer_listening(name: str) -> bool:
     """True where an older process of this dispatcher listens; False where there are no unix sockets."""
     try:
-        with door() as sock:
-            return sock.connect_ex(str(place(name, ".sock"))) == 0
+        with open_socket() as sock:
+            return sock.connect_ex(str(state_path(name, ".sock"))) == 0
     except OSError as error:
         log.info("no handover: %s", error)
         return False
 
 
-class Process(Protocol):
+class HotRestartDelegate(Protocol):
     """What the handover asks of this process."""
 
-    def offer(self) -> ListenerOffer | None:
+    def offer_listener(self) -> ListenerOffer | None:
         """A copy of the listener and what goes with it, for a newer process; None where it is too late."""
 
-    def hand_over(self) -> None:
+    def start_migration(self) -> None:
         """The newer process is ready: pass on all that can be."""
 
-    def take(self, message: HotRestartMessage) -> None:
+    def handle_message(self, message: HotRestartMessage) -> None:
         """Take in what the other process passes on."""
 
-    def alone(self, unsent: Iterable[HotRestartMessage]) -> None:
+    def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
         """The other process has gone; what it did not take comes back."""
 
 
-class Handover:
+class HotRestart:
     """This process's end of the way to the other one, which is the older one or the newer one."""
 
-    def __init__(self, name: str, counters: Counters, process: Process) -> None:
-        self.path, self.counters, self.process = place(name, ".sock"), counters, process
+    def __init__(self, name: str, counters: Counters, process: HotRestartDelegate) -> None:
+        self.path, self.counters, self.process = state_path(name, ".sock"), counters, process
         self.door: socket.socket | None = None
-        self.link: Link | None = None
+        self.link: ProcessLink | None = None
         self.offered: ListenerOffer | None = None
         self.asked = False  # a newer process has the listener
         self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -206,7 +206,7 @@
     async def ask(self) -> ListenerOffer | None:
         """What an older process offers, its listener; None where there is no such process, or no answer."""
         try:
-            sock = door()
+            sock = open_socket()
         except OSError as error:  # a system without unix sockets: a start without handover
             log.warning("no handover, this process starts by itself: %s", error)
             return None
@@ -239,7 +239,7 @@
         """Wait for a newer process; one that came before, and what it left, is replaced by a rename."""
         fresh = self.path.with_suffix(f".{os.getpid()}")
         try:
-            listening = door()
+            listening = open_socket()
         except OSError as error:
             log.warning("no newer process can take over from this one: %s", error)
             return
@@ -285,7 +285,7 @@
         once, and its last messages, connections with their calls, would be closed unread.
         """
         self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        self.link = Link(sock, self._receive, self._lost)
+        self.link = ProcessLink(sock, self._receive, self._lost)
 
     def send(self, message: HotRestartMessage) -> None:
         """Send a message to the other process, if there is one; a descriptor in it is closed here."""
@@ -325,7 +325,7 @@
                 self.offered = message
                 self.answered.set()
             case NewerProcessReady():
-                self.process.hand_over()
+                self.process.start_migration()
                 self.send(AcceptingStopped())
             case AcceptingStopped():
                 self.taken.set()
@@ -335,11 +335,11 @@
                 self.parted.set()
             case _:
                 self.counters.add(RECEIVED_COUNTERS[type(message)])
-                self.process.take(message)
+                self.process.handle_message(message)
 
     def _answer_request(self, request: ListenerRequest) -> None:
         """Offer the listener, or end the link where that is not possible."""
-        offer = self.process.offer() if request.protocol_version == PROTOCOL_VERSION else None
+        offer = self.process.offer_listener() if request.protocol_version == PROTOCOL_VERSION else None
         if offer is not None:
             self.asked = True
             self.send(offer)
@@ -351,4 +351,4 @@
         self.answered.set()
         self.taken.set()
         self.parted.set()
-        self.process.alone([decode(packet) for packet in unsent])
+        self.process.on_peer_lost([decode(packet) for packet in unsent])
--- a/weldquay/net/lines.py
+++ b/weldquay/net/json_stream.py
@@ -15,7 +15,7 @@
 _MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings whole, so that brackets in them do not count
 
 
-class Values:
+class JsonStreamParser:
     """Takes in bytes as they come; hands out whole values, and b"" for each empty line."""
 
     def __init__(self) -> None:
--- a/weldquay/net/messages.py
+++ b/weldquay/net/messages.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
+class JobPayload:
     """What passes on to a worker unchanged: method, path and query, body, the headers the page names.
 
     Source: the protocol's page, dispatchers to match workers. A worker that sees a job not as its client
@@ -56,40 +56,40 @@
     key: bytes | None = None  # Idempotency-Key: some workers drop a repeat of it
 
 
-def job_of(request: h11.Request, body: Body) -> Job:
+def job_payload(request: h11.Request, body: Body) -> JobPayload:
     """The job a call hands in, from its head as h11 gives it (names in lower case) and its body."""
     values = dict(request.headers)
     key = values.get(b"idempotency-key")
-    return Job(request.target, body, values.get(b"content-type"), request.method, key)
+    return JobPayload(request.target, body, values.get(b"content-type"), request.method, key)
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class RequestMetadata:
     """What the head of a call says of its job."""
 
     id: str
     time_left_ns: int | None
     slots: float = 1.0
     memory: float = 0.0
-    hint_ns: int | None = None
+    runtime_hint_ns: int | None = None
     key: int = 0
-    repeat: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class CallBack:
+class Callback:
     """What a worker tells of a job.  outcome is None for news of a running one."""
 
     id: str
-    worker: str
+    worker_id: str
     outcome: api.Outcome | None
     progress: float | None = None
     result: str = ""
-    load: api.LoadReport | None = None
+    load_report: api.LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class Endpoint:
     """A line of discovery's list."""
 
     id: str
@@ -104,12 +104,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberList:
+class EndpointList:
     """Discovery's list, or the lines of it that changed."""
 
     revision: int
-    complete: bool
-    members: tuple[Member, ...] = field(default=())
+    is_complete: bool
+    endpoints: tuple[Endpoint, ...] = field(default=())
 
 
 _OPERATOR_CALLS = {
@@ -145,7 +145,7 @@
     return path.removeprefix(b"/").split(b"/", 1)[0]
 
 
-def last_answer(status: int, body: bytes, head: bool = False) -> bytes:
+def closing_response(status: int, body: bytes, head: bool = False) -> bytes:
     """A whole answer after which the connection closes; the answer to HEAD goes without its body."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s" % (
         status,
@@ -155,7 +155,7 @@
     )
 
 
-def request_again(request: h11.Request, body: bytes, left_ns: int) -> bytes:
+def serialize_request(request: h11.Request, body: bytes, left_ns: int) -> bytes:
     """The bytes of a request that was read, with its body as one piece and the time that is left."""
     told = {b"x-time-left-ms": b"%d" % max(0, left_ns // MS), b"content-length": b"%d" % len(body)}
     lines = [b"%s %s HTTP/%s" % (request.method, request.target, request.http_version)]
@@ -168,24 +168,24 @@
     return b"\r\n".join([*lines, b"", body])
 
 
-def figures(headers: Headers) -> Figures:
+def parse_request_metadata(headers: Headers) -> RequestMetadata:
     """The figures of a call from its headers (names in lower case, as h11 gives them)."""
     values = dict(headers)
     facts = _facts(values.get(b"x-facts", b""))
     left_ms = _whole_ms(values.get(b"x-time-left-ms"))
     hint_us = _number("X-Weight-Hint", values.get(b"x-weight-hint"), MAX_MS * 1000)
-    return Figures(
-        call_id(values.get(b"x-correlation-id", b"")),
+    return RequestMetadata(
+        parse_correlation_id(values.get(b"x-correlation-id", b"")),
         None if left_ms is None else left_ms * MS,
         slots=facts.get("slots", facts.get("width", 1.0)),
         memory=facts.get("memory", facts.get("ram_units", 0.0)),
-        hint_ns=None if hint_us is None else int(hint_us * 1000),
+        runtime_hint_ns=None if hint_us is None else int(hint_us * 1000),
         key=_key(values.get(b"cookie", b"")),
-        repeat=values.get(b"x-repeat") == b"1",
+        is_retry=values.get(b"x-repeat") == b"1",
     )
 
 
-def call_id(value: bytes) -> str:
+def parse_correlation_id(value: bytes) -> str:
     """A call's id, checked: it becomes part of a path at the worker."""
     text = value.decode("latin-1")
     if not text:
@@ -244,24 +244,24 @@
         raise MessageError(f"not valid JSON: {error}") from None
 
 
-def callback(data: Body, fields: Mapping[str, str]) -> CallBack:
+def parse_callback(data: Body, fields: Mapping[str, str]) -> Callback:
     """A worker's call-back; fields tells what the names in a load report mean."""
     told = read_json(data)
     if not isinstance(told, dict):
         raise MessageError("a call-back is a JSON object")
     state = told.get("state")
     call, worker = _string(told, "id"), _string(told, "from")
-    load = load_of(told.get("load"), fields)
+    load = load_report_from_json(told.get("load"), fields)
     if state == "started":
-        return CallBack(call, worker, None)
+        return Callback(call, worker, None)
     if state == "running":
-        return CallBack(call, worker, None, progress=_share(told.get("share")))
+        return Callback(call, worker, None, progress=_share(told.get("share")))
     if state == "done":
-        return CallBack(call, worker, api.Outcome.OK, result=_string(told, "result"), load=load)
-    outcome = {"failed": api.Outcome.ERROR, "returned": api.Outcome.FULL, "lost": api.Outcome.RESET}
+        return Callback(call, worker, api.Outcome.OK, result=_string(told, "result"), load_report=load)
+    outcome = {"failed": api.Outcome.ERROR, "returned": api.Outcome.OVERLOADED, "lost": api.Outcome.RESET}
     if not isinstance(state, str) or state not in outcome:
         raise MessageError("a call-back's state is unknown")
-    return CallBack(call, worker, outcome[state], load=load)
+    return Callback(call, worker, outcome[state], load_report=load)
 
 
 def _string(told: Mapping[str, Any], name: str) -> str:
@@ -277,7 +277,7 @@
     return float(value)
 
 
-def load_of(told: object, fields: Mapping[str, str]) -> api.LoadReport | None:
+def load_report_from_json(told: object, fields: Mapping[str, str]) -> api.LoadReport | None:
     """A load report from its JSON object; None where it is absent, short of a field or has a bad figure."""
     if not isinstance(told, dict) or not fields:
         return None
@@ -290,22 +290,22 @@
     return load_report(values)
 
 
-def load_in(data: Body | None, fields: Mapping[str, str]) -> api.LoadReport | None:
+def parse_load_report(data: Body | None, fields: Mapping[str, str]) -> api.LoadReport | None:
     """A load report from a header or a body; a report that cannot be read is no report."""
     if not data:
         return None
     try:
-        return load_of(read_json(data), fields)
+        return load_report_from_json(read_json(data), fields)
     except MessageError:
         return None
 
 
-def members(data: Body) -> MemberList:
+def parse_endpoint_list(data: Body) -> EndpointList:
     """Discovery's list, or a line of a watch."""
-    return member_list(read_json(data))
+    return endpoint_list_from_json(read_json(data))
 
 
-def member_list(told: object) -> MemberList:
+def endpoint_list_from_json(told: object) -> EndpointList:
     """A list from its JSON value."""
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
         raise MessageError("a list of members is a JSON object with members")
@@ -313,10 +313,10 @@
     if isinstance(revision, bool) or not isinstance(revision, int):
         raise MessageError("revision is no whole number")
     lines = tuple(_member(line) for line in told["members"])
-    return MemberList(revision, told.get("complete") is True, lines)
+    return EndpointList(revision, told.get("complete") is True, lines)
 
 
-def _member(told: object) -> Member:
+def _member(told: object) -> Endpoint:
     if not isinstance(told, dict):
         raise MessageError("a member is a JSON object")
     host, colon, port = _string(told, "host_port").rpartition(":")
@@ -328,7 +328,7 @@
     cell, weight, since = told.get("cell", 0), told.get("size", 1.0), told.get("up_since_ms", 0)
     if not all(isinstance(value, int | float) and math.isfinite(value) for value in (cell, weight, since)):
         raise MessageError("cell, size or up_since_ms is no figure")
-    return Member(
+    return Endpoint(
         _string(told, "id"),
         host.strip("[]"),
         int(port),
@@ -341,7 +341,7 @@
     )
 
 
-def member_line(member: Member) -> dict[str, Any]:
+def endpoint_to_json(member: Endpoint) -> dict[str, Any]:
     """A member in discovery's form."""
     phases = {state: phase for phase, state in _STATES.items()}
     return {
@@ -356,7 +356,7 @@
     }
 
 
-def job_headers(call: str, job: Job, time_left_ns: int, host: str) -> list[tuple[bytes, bytes]]:
+def job_headers(call: str, job: JobPayload, time_left_ns: int, host: str) -> list[tuple[bytes, bytes]]:
     """The headers of a job on its way to a worker."""
     headers = [
         (b"Host", host.encode()),
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -13,7 +13,7 @@
 from weldquay.errors import OperatorError
 from weldquay.net.config import Address
 from weldquay.net.counters import Counters
-from weldquay.net.messages import MessageError, OperatorCall, last_answer, operator_call
+from weldquay.net.messages import MessageError, OperatorCall, closing_response, operator_call
 from weldquay.net.tasks import Tasks
 
 log = logging.getLogger(__name__)
@@ -49,7 +49,7 @@
 
 def _not_found(error: OperatorError) -> bytes:
     """A 404 answer with the error as JSON."""
-    return last_answer(404, ujson.dumps(error.told()).encode() + b"\n")
+    return closing_response(404, ujson.dumps(error.told()).encode() + b"\n")
 
 
 class Control(Protocol):
@@ -139,7 +139,7 @@
             assert request is not None
             call = operator_call(request.method, request.target)
         except h11.RemoteProtocolError as error:
-            return last_answer(error.error_status_hint, str(error).encode())
+            return closing_response(error.error_status_hint, str(error).encode())
         except MessageError as error:
             return _not_found(UnknownOperation(str(error)))
         done = self._do(call)
@@ -149,7 +149,7 @@
         status = 200 if done else 404 if call.worker else 503
         if status == 404:
             return _not_found(UnknownWorker("no list and no ban has named it", call.worker))
-        return last_answer(status, b"yes\n" if done else b"no\n")
+        return closing_response(status, b"yes\n" if done else b"no\n")
 
     def _do(self, call: OperatorCall) -> bool:
         match call.verb:
--- a/weldquay/net/persistence.py
+++ b/weldquay/net/persistence.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-def place(name: str, suffix: str) -> Path:
+def state_path(name: str, suffix: str) -> Path:
     """A file of this dispatcher in $TMPDIR."""
     return Path(tempfile.gettempdir()) / f"weldquay-{quote(name, safe='')}{suffix}"
 
@@ -24,7 +24,7 @@
     """A JSON file that is whole at every moment, since it is replaced by a rename."""
 
     def __init__(self, name: str, suffix: str) -> None:
-        self.path = place(name, suffix)
+        self.path = state_path(name, suffix)
 
     def read(self) -> Any:
         """What it holds; None where there is no file, or, logged, none that can be understood."""
--- a/weldquay/net/outgoing.py
+++ b/weldquay/net/worker_connection.py
@@ -16,20 +16,20 @@
 MAX_HEAD = 16 * 1024
 
 
-class NotWritten(Exception):
+class RequestNotSent(Exception):
     """The request's last byte was never written: the worker has not begun it."""
 
 
-class Moot(NotWritten):
+class AttemptAborted(RequestNotSent):
     """The request was not written, and nothing tells against the worker: it is not to have it any more."""
 
 
-class Broken(Exception):
+class ConnectionLost(Exception):
     """The connection broke after the request was written and before its answer was whole."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class WorkerResponse:
     """A worker's answer."""
 
     status: int
@@ -37,7 +37,7 @@
     body: bytes
 
 
-class Connection:
+class WorkerConnection:
     """One connection to a worker, for one request at a time."""
 
     def __init__(self, reader: CountingReader, writer: asyncio.StreamWriter) -> None:
@@ -48,7 +48,7 @@
 
     async def ask(
         self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: Body = b""
-    ) -> Reply:
+    ) -> WorkerResponse:
         """Send a request and read its answer."""
         parts = (
             self.http.send_with_data_passthrough(h11.Request(method=method, target=target, headers=headers))
@@ -62,13 +62,13 @@
             self.writer.writelines(parts)
             await self.writer.drain()
         except OSError as error:
-            raise NotWritten from error
+            raise RequestNotSent from error
         try:
             return await self._read()
         except (OSError, h11.RemoteProtocolError) as error:
-            raise Broken from error
+            raise ConnectionLost from error
 
-    async def _read(self) -> Reply:
+    async def _read(self) -> WorkerResponse:
         status, headers, body = 0, dict[bytes, bytes](), bytearray()
         while True:
             event = self.http.next_event()
@@ -81,7 +81,7 @@
                 if len(body) > MAX_BODY:
                     raise h11.RemoteProtocolError("the answer is too large")
             elif isinstance(event, h11.EndOfMessage):
-                return Reply(status, headers, bytes(body))
+                return WorkerResponse(status, headers, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
                 raise h11.RemoteProtocolError("the connection ended before the answer")
 
--- a/weldquay/net/known_worker.py
+++ b/weldquay/net/worker_endpoint.py
@@ -4,19 +4,19 @@
 
 from dataclasses import dataclass, field
 
-from weldquay.net.messages import Member
-from weldquay.net.outgoing import Connection
+from weldquay.net.messages import Endpoint
+from weldquay.net.worker_connection import WorkerConnection
 
 
 @dataclass(slots=True, eq=False)
-class Worker:
+class WorkerEndpoint:
     """A match worker as discovery last told of it, with its idle connections, last used last."""
 
-    member: Member
-    banned: bool = False  # by operators
-    idle: list[Connection] = field(default_factory=list)
+    endpoint: Endpoint
+    is_banned: bool = False  # by operators
+    idle_connections: list[WorkerConnection] = field(default_factory=list)
 
     @property
     def host(self) -> str:
         """The Host header of requests to it."""
-        return f"{self.member.host}:{self.member.port}"
+        return f"{self.endpoint.host}:{self.endpoint.port}"
--- a/weldquay/planning/figures.py
+++ b/weldquay/reservations/settings.py
@@ -13,7 +13,7 @@
 LARGEST = 64 * 1024  # bytes of a file; what is larger is no file of these few keys
 
 
-class FiguresError(OperatorError, ValueError):
+class ReservationSettingsError(OperatorError, ValueError):
     """A file that cannot be taken; one line names the key, its value and what would be right."""
 
     error_code = "figures-error"
@@ -35,7 +35,7 @@
 }
 
 
-class Figures(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=KEYS):
+class ReservationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=KEYS):
     """When room is held, and how much.  Each key may be left out."""
 
     on: Annotated[bool, Meta(description="true or false")] = True
@@ -60,7 +60,7 @@
     ] = 4.0
 
 
-def read(path: Path) -> Figures:
+def read(path: Path) -> ReservationSettings:
     """The figures from a file."""
     return check(read_file(path), str(path))
 
@@ -71,30 +71,30 @@
         with path.open("rb") as file:
             data = file.read(LARGEST + 1)
     except OSError as error:
-        raise FiguresError(f"{path}: cannot be read: {error.strerror}") from None
+        raise ReservationSettingsError(f"{path}: cannot be read: {error.strerror}") from None
     if len(data) > LARGEST:
-        raise FiguresError(f"{path}: larger than {LARGEST} bytes; it has but a few keys")
+        raise ReservationSettingsError(f"{path}: larger than {LARGEST} bytes; it has but a few keys")
     try:
         told = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise FiguresError(f"{path}: not valid JSON: {error}") from None
+        raise ReservationSettingsError(f"{path}: not valid JSON: {error}") from None
     check(told, str(path))
     return told  # type: ignore[no-any-return]
 
 
-def check(told: object, name: str) -> Figures:
+def check(told: object, name: str) -> ReservationSettings:
     """The figures from a decoded object, each key held against its range."""
     if not isinstance(told, dict):
-        raise FiguresError(f"{name}: holds no JSON object")
-    known = {field.encode_name: field.type for field in msgspec.structs.fields(Figures)}
+        raise ReservationSettingsError(f"{name}: holds no JSON object")
+    known = {field.encode_name: field.type for field in msgspec.structs.fields(ReservationSettings)}
     for key, value in told.items():
         if key not in known:
-            raise FiguresError(f"{name}: {key} is no key; there are {', '.join(known)}")
+            raise ReservationSettingsError(f"{name}: {key} is no key; there are {', '.join(known)}")
         try:
             msgspec.convert(value, known[key])
         except msgspec.ValidationError:
             right = known[key].__metadata__[0].description
-            raise FiguresError(
+            raise ReservationSettingsError(
                 f"{name}: {key} is {msgspec.json.encode(value).decode()}: write {right}"
             ) from None
-    return msgspec.convert(told, Figures)
+    return msgspec.convert(told, ReservationSettings)
--- a/weldquay/settings.py
+++ b/weldquay/settings.py
@@ -10,8 +10,16 @@
 
 from weldquay import interface as api
 
-_EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-_GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+_EFFECTS = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.IDEMPOTENT_BY_KEY,
+    "fragile": api.Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
 
 
 class Pairs:
@@ -104,17 +112,17 @@
             raise ValueError(f"setting {at}group is unknown: {group!r}")
         classes.append(
             api.JobClass(
-                aim_ns=pairs.whole(at + "aim_ns"),
-                give_up_ns=pairs.whole(at + "give_up_ns"),
-                effect=_EFFECTS[effect],
-                group=_GROUPS[group],
-                window_ns=pairs.whole(at + "window_ns", 0),
-                worth=pairs.real(at + "worth", 1.0),
-                late_value=pairs.real(at + "late_value", 0.0),
-                stretch=pairs.real(at + "aim_stretch", 0.0)
+                latency_objective_ns=pairs.whole(at + "aim_ns"),
+                client_timeout_ns=pairs.whole(at + "give_up_ns"),
+                idempotency=_EFFECTS[effect],
+                deduplication_scope=_GROUPS[group],
+                idempotency_window_ns=pairs.whole(at + "window_ns", 0),
+                priority_weight=pairs.real(at + "worth", 1.0),
+                late_weight=pairs.real(at + "late_value", 0.0),
+                runtime_allowance=pairs.real(at + "aim_stretch", 0.0)
                 + (_listed("family_info.class_stretch", stretches, number, 0.0)),
-                kind=int(_listed("family_info.class_kind", kinds, number, -1)),
-                stream=pairs.flag(at + "stream"),
+                machine_kind=int(_listed("family_info.class_kind", kinds, number, -1)),
+                streams_response=pairs.flag(at + "stream"),
             )
         )
     return _settings(pairs, tuple(classes)), _field_names(pairs)
@@ -164,33 +172,33 @@
     dispatchers, me = _place(pairs)
     return api.Settings(
         classes=classes,
-        dispatchers=dispatchers,
-        me=me,
+        dispatcher_count=dispatchers,
+        dispatcher_index=me,
         zone=pairs.whole("zone", 0),
-        tick_ns=pairs.whole("granularity_ns", 1_000_000),
-        asks_list=pairs.text("discovery", "push") == "ask",
-        ask_within_ns=pairs.whole("safety.ask_within_ns", 10_000_000_000),
+        clock_resolution_ns=pairs.whole("granularity_ns", 1_000_000),
+        polls_endpoint_list=pairs.text("discovery", "push") == "ask",
+        max_poll_delay_ns=pairs.whole("safety.ask_within_ns", 10_000_000_000),
         may_cancel=pairs.flag("caps.cancel"),
         may_probe=pairs.flag("caps.probes"),
-        may_tell=pairs.flag("caps.peers"),
-        may_duplicate=pairs.flag("caps.may_duplicate"),
+        may_message_peers=pairs.flag("caps.peers"),
+        may_hedge=pairs.flag("caps.may_duplicate"),
         max_attempts=max(1, pairs.whole("caps.max_attempts", 1)),
         max_retry_after_ns=(
             pairs.whole("caps.max_retry_after_ns", 0) if pairs.flag("caps.retry_after") else 0
         ),
-        progress_ns=pairs.whole("family_info.progress_ns", 0),
-        conn_idle_ns=pairs.whole("caps.conn_idle_ns", 15_000_000_000),
-        tells_start=pairs.flag("family_info.tells_start"),
-        queue_in_order=pairs.text("family_info.queue_order", "") == "fifo",
+        progress_interval_ns=pairs.whole("family_info.progress_ns", 0),
+        connection_idle_timeout_ns=pairs.whole("caps.conn_idle_ns", 15_000_000_000),
+        reports_start=pairs.flag("family_info.tells_start"),
+        workers_queue_in_order=pairs.text("family_info.queue_order", "") == "fifo",
         reports_in_answers=via == "inline",
         reports_in_probes=via in ("inline", "on_probe"),
-        worth_by_work=pairs.text("worth_by", "request") == "work",
-        cold_share=pairs.real("safety.cold_share"),
-        warm_after_ns=pairs.whole("safety.warm_after_ns"),
-        fall_multiple=pairs.real("safety.fall_multiple"),
-        overload_for_ns=pairs.whole("safety.overload_for_ns"),
-        probe_price=pairs.real("tariffs.probe", 0.0),
-        cross_zone_price=pairs.real("tariffs.cross_zone", 0.0),
-        handshake_price=pairs.real("tariffs.handshake", 0.0),
-        waste_price=pairs.real("tariffs.waste", 0.0),
+        weights_per_work=pairs.text("worth_by", "request") == "work",
+        initial_capacity_fraction=pairs.real("safety.cold_share"),
+        slow_start_ns=pairs.whole("safety.warm_after_ns"),
+        overload_multiple=pairs.real("safety.fall_multiple"),
+        overload_window_ns=pairs.whole("safety.overload_for_ns"),
+        probe_cost=pairs.real("tariffs.probe", 0.0),
+        cross_zone_cost=pairs.real("tariffs.cross_zone", 0.0),
+        handshake_cost=pairs.real("tariffs.handshake", 0.0),
+        wasted_work_cost=pairs.real("tariffs.waste", 0.0),
     )
--- a/weldquay/wire.py
+++ b/weldquay/wire.py
@@ -16,15 +16,20 @@
 _OUTCOMES = {
     10: api.Outcome.OK,
     20: api.Outcome.ERROR,
-    30: api.Outcome.FULL,
+    30: api.Outcome.OVERLOADED,
     40: api.Outcome.TIMEOUT,
     50: api.Outcome.CONNECT_FAILED,
     60: api.Outcome.RESET,
     70: api.Outcome.CANCELLED,
-    80: api.Outcome.MOOT,
+    80: api.Outcome.ABORTED_BEFORE_SEND,
 }
 _STATES = {0: api.WorkerState.GONE, 1: api.WorkerState.READY, 2: api.WorkerState.DRAINING}
-_LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
+_LISTS = {
+    0: api.EndpointListKind.DELTA,
+    1: api.EndpointListKind.FULL,
+    2: api.EndpointListKind.CACHED,
+    3: api.EndpointListKind.FAILED,
+}
 
 _ENTRY = struct.Struct("<HHBIHQf")
 _REQUEST = struct.Struct("<IBIQQQffH")
@@ -126,7 +131,7 @@
         return api.AttemptEnded(call, hop, worker, outcome, latency, bool(over), report)
     if code == 257:
         call, kind, _tenant, key, left, hint, slots, memory, flags = reader.take(_REQUEST)
-        return api.Request(
+        return api.RequestReceived(
             call,
             kind,
             left,
@@ -138,7 +143,7 @@
         )
     if code == 260:
         call, hop, worker, what, amount = reader.take(_NOTE)
-        return api.AttemptNote(call, hop, worker, None if what == 1 else float(amount))
+        return api.AttemptProgress(call, hop, worker, None if what == 1 else float(amount))
     if code == 266:
         latency, status, worker, n = reader.take(_PROBED)
         report = _report(reader, n, fields)
@@ -146,12 +151,12 @@
     if code == 259:
         return api.TimerDue(reader.take(_U32)[0])
     if code == 261:
-        return api.ClientGone(reader.take(_U32)[0])
+        return api.ClientDisconnected(reader.take(_U32)[0])
     if code == 262:
         return Killed()
     if code == 264:
         call, hop, worker, _latency = reader.take(_BEGUN)
-        return api.StreamBegun(call, hop, worker)
+        return api.ResponseStarted(call, hop, worker)
     if code == 258:
         sender, size = reader.take(struct.Struct("<HH"))
         return api.PeerMessage(sender, reader.take_bytes(size))
@@ -160,7 +165,7 @@
         if kind not in _LISTS:
             raise WireError(f"record {reader.record}: unknown list kind {kind}")
         rows = _Reader(reader.take_bytes(n * _ENTRY.size))
-        return api.Membership(_LISTS[kind], tuple(_entry(rows, reader.record) for _ in range(n)))
+        return api.EndpointListUpdate(_LISTS[kind], tuple(_entry(rows, reader.record) for _ in range(n)))
     if code == 267:
         seed, size = reader.take(_POWER_ON)
         return PowerOn(seed, reader.take_bytes(size).decode("utf-8", "replace"))
@@ -187,28 +192,28 @@
 def _encode_action(action: api.Action) -> bytes:
     match action:
         case api.Send():
-            return struct.pack("<HIQI", 320, action.request, action.timeout_ns, action.worker)
-        case api.Refuse():
-            return struct.pack("<HIQ", 321, action.request, action.retry_after_ns)
+            return struct.pack("<HIQI", 320, action.request_id, action.timeout_ns, action.worker)
+        case api.Reject():
+            return struct.pack("<HIQ", 321, action.request_id, action.retry_after_ns)
         case api.Fail():
-            return struct.pack("<HI", 322, action.request)
+            return struct.pack("<HI", 322, action.request_id)
         case api.Cancel():
-            return struct.pack("<HIH", 323, action.request, action.attempt)
+            return struct.pack("<HIH", 323, action.request_id, action.attempt)
         case api.SetTimer():
             return struct.pack("<HQI", 324, action.delay_ns, action.token)
         case api.Probe():
             return struct.pack("<HI", 325, action.worker)
-        case api.CloseIdle():
+        case api.CloseIdleConnections():
             return struct.pack("<HI", 326, action.worker)
-        case api.Tell():
+        case api.SendToPeer():
             peer = _EVERY_PEER if action.peer is None else action.peer
             return struct.pack("<HIH", 327, peer, len(action.data)) + action.data
         case api.Log():
             text = action.text.encode()[:60_000]
             return struct.pack("<HH", 328, len(text)) + text
-        case api.Watch():
+        case api.WatchEndpoints():
             return struct.pack("<HB", 330, 1)
-        case api.HoldEnded():
+        case api.ReservationEnded():
             return b""  # news for operators; the simulator has no record for it
 
 
