--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -124,10 +124,10 @@
 def memory(workers: int) -> int:
     """What the scheduler's holds take at their most."""
     from weldquay.reservations.scheduler import WorkerOffer, BackfillScheduler, CapacityRequest
-    from weldquay.reservations.timetable import Running, Timetable
+    from weldquay.reservations.timetable import RunningJob, Timetable
 
-    scheduler = BackfillScheduler(ReservationSettings(most_holds=256, most_held=0.5))
-    told = Timetable(4.0, 4.0, [Running(SECOND, 2.0)])
+    scheduler = BackfillScheduler(ReservationSettings(max_reservations=256, max_reserved_fraction=0.5))
+    told = Timetable(4.0, 4.0, [RunningJob(SECOND, 2.0)])
     tracemalloc.start()
     for number in range(JOBS):
         scheduler.request_capacity(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -160,11 +160,11 @@
     """At a start and at a reload; a key that goes is at its default again, a bad file changes nothing."""
     environ = with_room(tmp_path, '{"least_slots": 8, "slip": 2}')
     running = load(environ)
-    assert running.settings.reservations is not None and running.settings.reservations.least_slots == 8
+    assert running.settings.reservations is not None and running.settings.reservations.min_slots == 8
     with_room(tmp_path, '{"least_slots": 6}')
     moved, others = reload(environ, running)
     assert moved.settings.reservations is not None and not others
-    assert (moved.settings.reservations.least_slots, moved.settings.reservations.slip) == (6, 3.0)
+    assert (moved.settings.reservations.min_slots, moved.settings.reservations.max_delay) == (6, 3.0)
     with_room(tmp_path, '{"least_slots": 0}')
     with pytest.raises(ConfigError, match="least_slots is 0: write a number of slots from 2") as caught:
         reload(environ, running)
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import re
-from pathlib import Path
 from typing import get_args
 
 from weldquay import interface as api
@@ -18,8 +16,8 @@
 from weldquay.net.request_coordinator import ANSWER_COUNTERS
 from weldquay.net.operators import OPERATION_COUNTERS
 from weldquay.net.client_server import EVICTION_COUNTERS
+from weldquay.reservations.records import ReservationEndReason
 
-PLANNER = Path(__file__).parents[1] / "weldquay" / "reservations" / "scheduler.py"
 OUTCOMES = [
     "ok",
     "error",
@@ -52,10 +50,9 @@
 
 
 def test_reservations() -> None:
-    """Each reason that a reservation ends for, those in the planner's source among them."""
-    reasons = set(re.findall(r'self\._end\([^"\n]*"(\w+)"\)|return "(\w+)"', PLANNER.read_text()))
-    named = {one or other for one, other in reasons}
-    assert len(named) >= 9 and named | {"placed", "job_over"} == set(RESERVATION_COUNTERS)
+    """Each reason that a reservation ends for."""
+    reasons = {reason.value for reason in ReservationEndReason}
+    assert len(reasons) == 12 and reasons == set(RESERVATION_COUNTERS)
     assert all(counter == f"holds_{reason}" for reason, counter in RESERVATION_COUNTERS.items())
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -303,6 +303,6 @@
 
 def test_without_figures_nothing_is_held() -> None:
     """Off costs nothing: no hold is ever sought."""
-    drive, _ = crowded(room=ReservationSettings(on=False))
+    drive, _ = crowded(room=ReservationSettings(is_enabled=False))
     drive.step(large(), after=MS)
     assert not drive.dispatcher.scheduler.by_request and not drive.dispatcher.scheduler.counts
--- a/weldquay/candidates/availability.py
+++ b/weldquay/candidates/availability.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from weldquay.state.records import Job, Worker
-from weldquay.reservations.timetable import Own, Timetable, seen
+from weldquay.reservations.timetable import OwnAttempt, Timetable, estimate_timetable
 
 
 def availability(
@@ -26,7 +26,7 @@
         begun_ns = attempt.started_ns or (0 if tells_start else attempt.sent_ns)
         age_ns = now_ns - begun_ns if begun_ns else -1
         need = attempt.job.request
-        own.append(Own(takes_ns(attempt.job), age_ns, need.slots, need.memory))
+        own.append(OwnAttempt(takes_ns(attempt.job), age_ns, need.slots, need.memory))
     used = size - (size if worker.free_slots is None else worker.free_slots) + worker.unreported_slots
     memory = size - (size if worker.free_memory is None else worker.free_memory) + worker.unreported_memory
-    return seen(size, own, used, memory, mean_ns)
+    return estimate_timetable(size, own, used, memory, mean_ns)
--- /dev/null
+++ b/weldquay/reservations/placement.py
@@ -0,0 +1,103 @@
+"""Judge where and when a request for capacity can be placed, and whether a reservation pays."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # msgspec is imported only where reservations are configured
+    from weldquay.reservations.settings import ReservationSettings
+from weldquay.reservations.records import CapacityRequest, Reservation, ReservationEndReason, WorkerOffer
+from weldquay.reservations.timetable import ExpectedStart
+
+START_TOLERANCE_NS = 5_000_000  # a job that is expected to start within this time is sent at once
+PREEMPTION_RATIO = 1.5  # of priority weights, from which a request takes over another's reservation
+SCARCITY_EXPONENT = 4  # other work misses a slot in proportion to the utilization to this power
+
+
+@dataclass(frozen=True, slots=True)
+class Placement:
+    """An offer with the expected start of the job there, and its expected end in ns from now."""
+
+    offer: WorkerOffer
+    start: ExpectedStart
+    end_ns: float
+
+
+def rejection_reason(
+    settings: ReservationSettings,
+    request: CapacityRequest,
+    hint_error: float,
+    worker_count: int,
+    queued_count: int,
+) -> ReservationEndReason | None:
+    """Return why nothing may be reserved for the request at present, None where it may be.
+
+    hint_error: mean deviation of the logarithm of hints; queued_count: requests without a worker.
+    """
+    if not request.has_hint:
+        return ReservationEndReason.NO_HINT
+    if hint_error > settings.max_hint_error:
+        return ReservationEndReason.INACCURATE_HINTS
+    if queued_count > settings.max_queued_per_worker * max(1, worker_count):
+        return ReservationEndReason.OVERLOAD
+    return None
+
+
+def may_take_over(request: CapacityRequest, reservation: Reservation) -> bool:
+    """Return True where the reservation is the request's own or that of a request of far lower priority."""
+    return (
+        reservation.request == request.request
+        or request.priority_weight >= PREEMPTION_RATIO * reservation.priority_weight
+    )
+
+
+def is_worthwhile(
+    settings: ReservationSettings,
+    request: CapacityRequest,
+    start: ExpectedStart,
+    utilization: float,
+    mean_slot_value: float,
+) -> bool:
+    """Return True where the job is worth more than what the slots would run otherwise.
+
+    utilization: fraction of the fleet's slots in use; mean_slot_value: mean priority weight of sent jobs.
+    Slots that stay idle until the start cost in proportion to the utilization.  Slots that the job itself
+    uses cost only where nearly all slots are in use.
+    """
+    slot_ns = request.slots * request.run_ns
+    lost_slot_ns = utilization * start.idle_slot_ns + utilization**SCARCITY_EXPONENT * slot_ns
+    return request.priority_weight * slot_ns >= settings.value_margin * (mean_slot_value * lost_slot_ns)
+
+
+def joins_queue(settings: ReservationSettings, placement: Placement, traffic_fraction: float) -> bool:
+    """Return True where the start is near enough for the job to join the worker's queue.
+
+    traffic_fraction: of the workers' traffic, this dispatcher's own.
+    """
+    start = placement.start
+    # Without idle slots before the start nobody can delay it, so that the choice can stay open.
+    lead = settings.queue_fraction * (1 - traffic_fraction) if start.idle_slot_ns > 0 else 0.0
+    return start.wait_ns <= START_TOLERANCE_NS + lead * placement.offer.run_ns
+
+
+def max_reservations(settings: ReservationSettings, worker_count: int) -> float:
+    """Return how many reservations may exist at once, one at least."""
+    return min(settings.max_reservations, max(1.0, settings.max_reserved_fraction * worker_count))
+
+
+def create_reservation(now_ns: int, request: CapacityRequest, placement: Placement) -> Reservation:
+    """Return a new reservation by a placement."""
+    start_ns = now_ns + placement.start.wait_ns
+    return Reservation(
+        request=request.request,
+        worker=placement.offer.worker,
+        slots=request.slots,
+        memory=request.memory,
+        priority_weight=request.priority_weight,
+        created_ns=now_ns,
+        start_ns=start_ns,
+        first_start_ns=start_ns,
+        expires_ns=now_ns + request.max_end_ns,
+        run_ns=placement.offer.run_ns,
+    )
--- a/weldquay/reservations/scheduler.py
+++ b/weldquay/reservations/scheduler.py
@@ -1,235 +1,199 @@
-"""Holds: which large job has room held at which worker, what may go there meanwhile, and how each hold ends.
+"""Reserve workers for jobs that need several slots, and admit other jobs beside them.
 
-This is EASY backfilling (Lifka 1995) for workers that are shared with dispatchers one cannot talk to.  A hold
-keeps only this dispatcher's jobs away, but for those that end before it starts or leave room beside it.  Its
-last part is kept by the worker itself: once the expected start is near, the job goes into the worker's queue,
-where it is the first and all others wait behind it.  Alone at its workers a dispatcher needs no such part.
+This is EASY backfill (Lifka 1995) for workers that are shared with dispatchers that do not communicate.  A
+reservation keeps only this dispatcher's jobs away, and admits those that do not delay the reserved start.
+Jobs of other dispatchers are kept away by the worker's own queue: shortly before the expected start the job
+is sent, and is then the first in that queue.  A dispatcher without peers does not send early.
 
-A job holds at one worker at most, a worker is held for one job at most, and a hold that is taken from a job
-by a dearer one goes to that for good: so no two wait for each other.
+A request has at most one reservation, and so has a worker.  A reservation that is taken over by a request of
+higher priority is not returned, so that requests cannot wait for each other in a cycle.
+
+All `now_ns` parameters are moments of the caller's clock.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # its library is loaded only where room is held
+if TYPE_CHECKING:  # msgspec is imported only where reservations are configured
     from weldquay.reservations.settings import ReservationSettings
-from weldquay.reservations.timetable import NEVER, Start, Timetable, Waiting
-
-NOW_NS = 5_000_000  # a start as near as this is now
-DEARER = 1.5  # a job takes another's hold where it is so many times as dear
-LEARN = 0.05  # weight of a new sample in learnt means
-SCARCE = 4  # slots are missed by others as the part in use to this power: hardly at a half, all at one
-BETTER = 0.7  # a hold moves where the other worker's end is sooner than this part of the present one's
-
-
-@dataclass(frozen=True, slots=True)
-class CapacityRequest:
-    """A job that asks for room.
-
-    run_ns: its expected running time on a machine of mean speed; end_ns: how much later than now it may end;
-    worth: of a nanosecond of a slot.
-    """
-
-    request: int
-    slots: float
-    memory: float
-    run_ns: float
-    max_end_ns: float
-    priority_weight: float
-    has_hint: bool = True
-
-
-@dataclass(frozen=True, slots=True)
-class WorkerOffer:
-    """A worker that may take the job, and how long it is expected to run there."""
-
-    worker: int
-    run_ns: float
-    timetable: Callable[[], Timetable]
-
-
-@dataclass(slots=True)
-class Reservation:
-    """Room held for a job; the moments are the caller's."""
-
-    request: int
-    worker: int
-    slots: float
-    memory: float
-    priority_weight: float
-    created_ns: int
-    start_ns: float  # as expected now
-    first_start_ns: float  # as expected when it was made
-    expires_ns: float  # its own end: later than that the job would be late
-    run_ns: float
-
-
-@dataclass(frozen=True, slots=True)
-class ReservationResult:
-    """How a hold ended: why, when the job was to start, and how much later than that it was when it ended."""
-
-    request: int
-    worker: int
-    reason: str
-    reserved_ns: int
-    delay_ns: int
+from weldquay.reservations.placement import (
+    Placement,
+    create_reservation,
+    is_worthwhile,
+    joins_queue,
+    max_reservations,
+    may_take_over,
+    rejection_reason,
+)
+from weldquay.reservations.records import (
+    CapacityRequest,
+    Reservation,
+    ReservationEndReason,
+    ReservationResult,
+    WorkerOffer,
+)
+from weldquay.reservations.timetable import NEVER, QueuedJob, Timetable
+
+__all__ = ["BackfillScheduler", "CapacityRequest", "Reservation", "ReservationResult", "WorkerOffer"]
+
+MOVE_RATIO = 0.7  # of expected ends, below which a reservation moves to another worker
+SAMPLE_WEIGHT = 0.05  # of a new sample in exponential means, for a send: for each second of slot time
+MAX_SEND_WEIGHT = 0.2
 
 
 class BackfillScheduler:
-    """The holds of one dispatcher; without figures there are none."""
+    """The reservations of one dispatcher."""
 
     def __init__(
-        self, figures: ReservationSettings | None = None, dispatchers: int = 1, in_order: bool = True
+        self,
+        settings: ReservationSettings | None = None,
+        dispatcher_count: int = 1,
+        serves_in_order: bool = True,
     ) -> None:
-        self.settings = figures
-        # A queue that is not served in order keeps no room: there a hold is kept to the end, as alone.
-        self.alone = 1.0 / max(1, dispatchers) if in_order else 1.0
+        """Start without reservations.
+
+        settings: None where nothing is reserved; serves_in_order: workers serve queues in order of arrival.
+        """
+        self.settings = settings
+        self.traffic_fraction = _traffic_fraction(dispatcher_count, serves_in_order)
         self.by_request: dict[int, Reservation] = {}
         self.by_worker: dict[int, Reservation] = {}
         self.results: list[ReservationResult] = []
-        self.changed_workers: set[int] = set()  # whose hold began or ended; cleared by candidates
+        self.changed_workers: set[int] = set()  # reserved or released; cleared by weldquay/candidates
         self.counts: Counter[str] = Counter()
-        self.mean_slot_value = 0.0  # mean worth of a slot's time in jobs that were sent
-        self.hint_bias = 0.0  # mean logarithm of real running time by the hint
-        self.hint_error = 0.0  # mean distance of that logarithm from its mean
+        self.mean_slot_value = 0.0  # mean priority weight of sent jobs, for each ns of a slot
+        self.hint_bias = 0.0  # mean logarithm of actual over hinted running times
+        self.hint_error = 0.0  # mean absolute deviation of that logarithm
 
     def reconfigure(
-        self, now_ns: int, figures: ReservationSettings | None, dispatchers: int, in_order: bool = True
+        self,
+        now_ns: int,
+        settings: ReservationSettings | None,
+        dispatcher_count: int,
+        serves_in_order: bool = True,
     ) -> None:
-        """Take in other figures; the holds end, and are made anew by them."""
-        for hold in list(self.by_request.values()):
-            self._end(now_ns, hold, "reload")
-        self.settings, self.alone = figures, 1.0 / max(1, dispatchers) if in_order else 1.0
+        """Apply other settings and end all reservations."""
+        for reservation in list(self.by_request.values()):
+            self._end(now_ns, reservation, ReservationEndReason.RECONFIGURED)
+        self.settings = settings
+        self.traffic_fraction = _traffic_fraction(dispatcher_count, serves_in_order)
 
     def handles(self, slots: float) -> bool:
-        """True where room is held for jobs of so many slots."""
-        return self.settings is not None and self.settings.on and slots >= self.settings.least_slots
-
-    # --- what the dispatcher learns ---
+        """Return True where capacity is reserved for jobs of this many slots."""
+        settings = self.settings
+        return settings is not None and settings.is_enabled and slots >= settings.min_slots
 
-    def record_send(self, worth: float, area_ns: float) -> None:
-        """A job was sent: what a slot's time is worth."""
-        weight = min(0.2, LEARN * area_ns / 1e9) if self.mean_slot_value else 1.0
-        self.mean_slot_value += weight * (worth - self.mean_slot_value)
+    def record_send(self, priority_weight: float, slot_ns: float) -> None:
+        """Update the mean value of a slot with a job that was sent; slot_ns: slots times running time."""
+        weight = min(MAX_SEND_WEIGHT, SAMPLE_WEIGHT * slot_ns / 1e9) if self.mean_slot_value else 1.0
+        self.mean_slot_value += weight * (priority_weight - self.mean_slot_value)
 
     def record_runtime(self, error: float) -> None:
-        """A hinted job has run; error is the logarithm of its real time by its hint for that machine."""
-        self.hint_error += LEARN * (abs(error - self.hint_bias) - self.hint_error)
-        self.hint_bias += LEARN * (error - self.hint_bias)
-
-    # --- holds ---
+        """Update the accuracy of hints; error: logarithm of a job's actual running time over its hint."""
+        self.hint_error += SAMPLE_WEIGHT * (abs(error - self.hint_bias) - self.hint_error)
+        self.hint_bias += SAMPLE_WEIGHT * (error - self.hint_bias)
 
     def request_capacity(
         self,
         now_ns: int,
-        want: CapacityRequest,
+        request: CapacityRequest,
         offers: Iterable[WorkerOffer],
-        fleet: int,
-        busy: float,
-        waiting: int,
+        worker_count: int,
+        utilization: float,
+        queued_count: int,
     ) -> int | None:
-        """Seek room for a job that found none: the worker whose queue it is to join, or None, and it waits.
+        """Reserve a worker for a request that found none with room, or update its reservation.
 
-        fleet: workers that may be used; busy: the part of their slots in use; waiting: jobs without room.
+        worker_count: workers that may be used; utilization: fraction of their slots in use; queued_count:
+        requests without a worker.  Returns the worker whose queue the job joins now, None where it waits.
         """
-        held, figures = self.by_request.get(want.request), self.settings
-        if figures is None:
-            return None
-        if why := self._barred(figures, want, fleet, waiting):
-            self._end(now_ns, held, why)
+        settings = self.settings
+        if settings is None:
             return None
-        best: tuple[float, WorkerOffer, Start] | None = None
-        kept: tuple[float, WorkerOffer, Start] | None = None
-        for offer in offers:
-            other = self.by_worker.get(offer.worker)
-            if (
-                other is not None
-                and other is not held
-                and want.priority_weight < DEARER * other.priority_weight
-            ):
-                continue
-            start = offer.timetable().start(want.slots, want.memory)
-            end_ns = start.at_ns + offer.run_ns
-            if start.at_ns == NEVER or end_ns > want.max_end_ns:
-                continue
-            if not self._pays(want, start, busy):
-                self.counts["not_worth_it"] += 1
-                continue
-            row = (end_ns, offer, start)
-            if held is not None and held.worker == offer.worker:
-                kept = row
-            if best is None or end_ns < best[0]:
-                best = row
-        if best is None:
-            self._end(now_ns, held, "too_late")
+        reservation = self.by_request.get(request.request)
+        reason = rejection_reason(settings, request, self.hint_error, worker_count, queued_count)
+        if reason is not None:
+            self._end(now_ns, reservation, reason)
             return None
-        if kept is not None and best[0] > BETTER * kept[0]:
-            best = kept
-        _, offer, start = best
-        if held is not None and held.worker != offer.worker:
-            self._end(now_ns, held, "moved")
-            held = None
-        if held is not None and now_ns + start.at_ns > held.first_start_ns + figures.slip * held.run_ns:
-            self._end(now_ns, held, "slipped")
+        placement = self._choose_placement(settings, request, offers, utilization)
+        if placement is None:
+            self._end(now_ns, reservation, ReservationEndReason.TOO_LATE)
             return None
-        # Where all slots come free together nobody can fill the gap, and waiting leaves the choice open.
-        part = figures.queue_part * (1 - self.alone) if start.idle_ns > 0 else 0.0
-        if start.at_ns <= NOW_NS + part * offer.run_ns:
-            self._end(now_ns, held, "queued")
+        return self._apply_placement(now_ns, settings, request, placement, worker_count)
+
+    def _apply_placement(
+        self,
+        now_ns: int,
+        settings: ReservationSettings,
+        request: CapacityRequest,
+        placement: Placement,
+        worker_count: int,
+    ) -> int | None:
+        """Create, update or end the reservation; return the worker whose queue the job joins now."""
+        reservation = self.by_request.get(request.request)
+        if reservation is not None and reservation.worker != placement.offer.worker:
+            self._end(now_ns, reservation, ReservationEndReason.MOVED)
+            reservation = None
+        start_ns = now_ns + placement.start.wait_ns
+        if reservation is not None:
+            max_delay_ns = settings.max_delay * reservation.run_ns
+            if start_ns > reservation.first_start_ns + max_delay_ns:
+                self._end(now_ns, reservation, ReservationEndReason.DELAYED)
+                return None
+        if joins_queue(settings, placement, self.traffic_fraction):
+            self._end(now_ns, reservation, ReservationEndReason.QUEUED)
             self.counts["queued"] += 1
-            return offer.worker
-        if held is not None:
-            held.start_ns = now_ns + start.at_ns
-        elif len(self.by_request) + 1 <= min(figures.most_holds, max(1.0, figures.most_held * fleet)):
-            self._make(now_ns, want, offer, start)
+            return placement.offer.worker
+        if reservation is not None:
+            reservation.start_ns = start_ns
+        elif len(self.by_request) + 1 <= max_reservations(settings, worker_count):
+            self._reserve(now_ns, request, placement)
         else:
             self.counts["over_cap"] += 1
         return None
 
-    def _barred(self, figures: ReservationSettings, want: CapacityRequest, fleet: int, waiting: int) -> str:
-        """Why no room is held for a job as things are; empty where it may be."""
-        if not want.has_hint:
-            return "no_hint"
-        if self.hint_error > figures.most_hint_error:
-            return "bad_hints"
-        if waiting > figures.most_waiting * max(1, fleet):
-            return "overload"
-        return ""
-
-    def _pays(self, want: CapacityRequest, start: Start, busy: float) -> bool:
-        """True where the job brings more than the slots would otherwise.
-
-        Those that lie idle for it are missed where the fleet is busy, those it takes where nearly all are.
-        """
-        assert self.settings is not None
-        area_ns = want.slots * want.run_ns
-        cost = self.mean_slot_value * (busy * start.idle_ns + busy**SCARCE * area_ns)
-        return want.priority_weight * area_ns >= self.settings.worth_margin * cost
-
-    def _make(self, now_ns: int, want: CapacityRequest, offer: WorkerOffer, start: Start) -> None:
-        if (other := self.by_worker.get(offer.worker)) is not None:
-            self._end(now_ns, other, "outbid")
-        at_ns, run_ns = now_ns + start.at_ns, offer.run_ns
-        hold = Reservation(
-            want.request,
-            offer.worker,
-            want.slots,
-            want.memory,
-            want.priority_weight,
-            now_ns,
-            at_ns,
-            at_ns,
-            now_ns + want.max_end_ns,
-            run_ns,
-        )
-        self.by_request[hold.request] = self.by_worker[hold.worker] = hold
+    def _choose_placement(
+        self,
+        settings: ReservationSettings,
+        request: CapacityRequest,
+        offers: Iterable[WorkerOffer],
+        utilization: float,
+    ) -> Placement | None:
+        """Return the placement with the earliest end; the reserved one unless another is much better."""
+        reservation = self.by_request.get(request.request)
+        best: Placement | None = None
+        current: Placement | None = None
+        for offer in offers:
+            other = self.by_worker.get(offer.worker)
+            if other is not None and not may_take_over(request, other):
+                continue
+            start = offer.timetable().earliest_start(request.slots, request.memory)
+            end_ns = start.wait_ns + offer.run_ns
+            if start.wait_ns == NEVER or end_ns > request.max_end_ns:
+                continue
+            if not is_worthwhile(settings, request, start, utilization, self.mean_slot_value):
+                self.counts["not_worth_it"] += 1
+                continue
+            placement = Placement(offer, start, end_ns)
+            if reservation is not None and reservation.worker == offer.worker:
+                current = placement
+            if best is None or end_ns < best.end_ns:
+                best = placement
+        if best is not None and current is not None and best.end_ns > MOVE_RATIO * current.end_ns:
+            return current
+        return best
+
+    def _reserve(self, now_ns: int, request: CapacityRequest, placement: Placement) -> None:
+        worker = placement.offer.worker
+        self._end(now_ns, self.by_worker.get(worker), ReservationEndReason.PREEMPTED)
+        reservation = create_reservation(now_ns, request, placement)
+        self.by_request[reservation.request] = reservation
+        self.by_worker[worker] = reservation
         self.counts["made"] += 1
-        self.changed_workers.add(hold.worker)
+        self.changed_workers.add(worker)
 
     def admits(
         self,
@@ -239,46 +203,52 @@
         memory: float,
         run_ns: float,
         worker: int,
-        table: Callable[[], Timetable],
+        timetable: Callable[[], Timetable],
     ) -> bool:
-        """True where a job may go to a worker: no other holds room there, or that starts no later for it."""
-        hold = self.by_worker.get(worker)
-        if hold is None or hold.request == request:
+        """Return True where a job at the worker does not delay the start of another request's reservation."""
+        reservation = self.by_worker.get(worker)
+        if reservation is None or reservation.request == request:
             return True
         run_ns *= self.settings.hint_margin if self.settings is not None else 1.0
-        told = table()
-        before = told.start(hold.slots, hold.memory)
-        after = told.start(hold.slots, hold.memory, (Waiting(run_ns, slots, memory),))
-        return after.at_ns <= max(before.at_ns, hold.start_ns - now_ns)
-
-    def expire(self, now_ns: int, usable: Callable[[int], bool]) -> None:
-        """End the holds whose time is over or whose worker is not to be used any more."""
-        for hold in list(self.by_request.values()):
-            if not usable(hold.worker):
-                self._end(now_ns, hold, "worker_out")
-            elif now_ns >= hold.expires_ns:
-                self._end(now_ns, hold, "too_late")
-
-    def cancel(self, now_ns: int, request: int, why: str) -> None:
-        """A job needs no hold any more."""
-        self._end(now_ns, self.by_request.get(request), why)
+        current = timetable()
+        before = current.earliest_start(reservation.slots, reservation.memory)
+        backfilled = (QueuedJob(run_ns, slots, memory),)
+        after = current.earliest_start(reservation.slots, reservation.memory, backfilled)
+        return after.wait_ns <= max(before.wait_ns, reservation.start_ns - now_ns)
+
+    def expire(self, now_ns: int, is_usable: Callable[[int], bool]) -> None:
+        """End the reservations that have expired, and those of workers that are not usable any more."""
+        for reservation in list(self.by_request.values()):
+            if not is_usable(reservation.worker):
+                self._end(now_ns, reservation, ReservationEndReason.WORKER_UNAVAILABLE)
+            elif now_ns >= reservation.expires_ns:
+                self._end(now_ns, reservation, ReservationEndReason.TOO_LATE)
+
+    def cancel(self, now_ns: int, request: int, reason: str) -> None:
+        """End the reservation of a request, if there is one; reason: value of a ReservationEndReason."""
+        if (reservation := self.by_request.get(request)) is not None:
+            self._end(now_ns, reservation, ReservationEndReason(reason))
 
     def take_results(self) -> list[ReservationResult]:
-        """The holds that ended since this was asked last."""
-        fates, self.results = self.results, []
-        return fates
-
-    def _end(self, now_ns: int, hold: Reservation | None, why: str) -> None:
-        if hold is not None:
-            del self.by_request[hold.request], self.by_worker[hold.worker]
-            self.counts[f"ended_{why}"] += 1
-            self.changed_workers.add(hold.worker)
-            self.results.append(
-                ReservationResult(
-                    hold.request,
-                    hold.worker,
-                    why,
-                    now_ns - hold.created_ns,
-                    int(now_ns - hold.first_start_ns),
-                )
-            )
+        """Return the reservations that have ended since the last call."""
+        results = self.results
+        self.results = []
+        return results
+
+    def _end(self, now_ns: int, reservation: Reservation | None, reason: ReservationEndReason) -> None:
+        if reservation is None:
+            return
+        del self.by_request[reservation.request]
+        del self.by_worker[reservation.worker]
+        self.counts[f"ended_{reason.value}"] += 1
+        self.changed_workers.add(reservation.worker)
+        self.results.append(reservation.result(now_ns, reason))
+
+
+def _traffic_fraction(dispatcher_count: int, serves_in_order: bool) -> float:
+    """Return the fraction of the workers' traffic that reservations are to regard as this dispatcher's own.
+
+    A queue that is not served in order keeps no slots free, so that joining it early is of no use: then the
+    fraction is that of a dispatcher without peers.
+    """
+    return 1.0 / max(1, dispatcher_count) if serves_in_order else 1.0
--- a/weldquay/reservations/timetable.py
+++ b/weldquay/reservations/timetable.py
@@ -1,11 +1,11 @@
-"""When a worker will have room: its slots and memory over time, as far as one dispatcher can know.
+"""Estimate when a worker will have free slots and memory.
 
-A dispatcher sees its own attempts, each with an expected running time, and the worker's own figures, which
-are late and tell nothing of whose jobs hold the slots.  What others hold is taken as jobs of one slot and the
-mean running time, without memory of their age (exponential): of n such the i-th ends after
-mean * (1/n + 1/(n-1) + ...), i terms.
+A dispatcher has an expected running time for each of its own attempts, and the worker's load report, which is
+late and does not name the dispatchers whose jobs use the slots.  Jobs of other dispatchers are modelled as
+jobs of one slot with exponentially distributed running times: of n such jobs with a given mean, the i-th is
+expected to end after mean * (1/n + 1/(n-1) + ...), i terms.
 
-Times are nanoseconds from now on.
+All times are nanoseconds from now.
 """
 
 from __future__ import annotations
@@ -16,123 +16,151 @@
 from dataclasses import dataclass
 
 NEVER = math.inf
-OVERDUE = 0.5  # a job that runs beyond its time goes on for so much of the time that it has run
-LEAST_LEFT = 0.05  # what is left of a job is never less than this part of its time
-SLACK = 1e-6  # guards against sums of floating-point shares of memory that miss by a rounding
+OVERDUE_FRACTION = 0.5  # an overdue job is expected to run on for this fraction of its age
+MIN_REMAINING_FRACTION = 0.05  # of the expected running time: lower bound of what remains of a job
+ROUNDING_TOLERANCE = 1e-6  # slots or units of memory lost in floating-point sums
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
-    """A job that runs, and how much longer it is expected to."""
+class RunningJob:
+    """A job that runs at the worker, with its expected remaining time."""
 
-    left_ns: float
+    remaining_ns: float
     slots: float
     memory: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
-    """A job that waits at the worker for its turn, and how long it is expected to run."""
+class QueuedJob:
+    """A job in the worker's queue, with its expected running time."""
 
     run_ns: float
     slots: float
     memory: float = 0.0
 
 
-def others(slots: int, mean_ns: float, memory: float = 0.0) -> list[Running]:
-    """What is to be expected of slots that other dispatchers' jobs hold; memory: of each."""
-    told, at_ns = list[Running](), 0.0
-    for left in range(slots, 0, -1):
-        at_ns += mean_ns / left
-        told.append(Running(at_ns, 1.0, memory))
-    return told
+@dataclass(frozen=True, slots=True)
+class OwnAttempt:
+    """An attempt of this dispatcher: its expected running time at the worker, and its age.
+
+    age_ns is negative where the attempt has not started.
+    """
+
+    run_ns: float
+    age_ns: float
+    slots: float
+    memory: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """The expected start of a job: when, and how much slot time lies idle before it, for others to fill."""
+class ExpectedStart:
+    """The expected start of a job.
 
-    at_ns: float
-    idle_ns: float
+    wait_ns: time until the start, NEVER where the worker is too small; idle_slot_ns: slots times the time for
+    which they are idle until then.
+    """
+
+    wait_ns: float
+    idle_slot_ns: float
 
 
 class Timetable:
-    """One worker's slots and memory from now on, its queue served in order."""
+    """Slots and memory of one worker from now on; its queue is served in order of arrival."""
 
     def __init__(
         self,
         slots: float,
         memory: float,
-        running: Sequence[Running],
-        waiting: Sequence[Waiting] = (),
+        running: Sequence[RunningJob],
+        queued: Sequence[QueuedJob] = (),
     ) -> None:
-        self.slots, self.memory = slots, memory
-        self.running, self.waiting = running, waiting
-
-    def start(self, slots: float, memory: float = 0.0, extra: Sequence[Waiting] = ()) -> Start:
-        """When a job would start that came behind all that waits, and behind `extra`.
-
-        NEVER where the worker is too small for it.
-        """
-        if slots > self.slots + SLACK or memory > self.memory + SLACK:
-            return Start(NEVER, 0.0)
-        free = self.slots - sum(each.slots for each in self.running)
-        free_memory = self.memory - sum(each.memory for each in self.running)
-        ends = [(each.left_ns, number, each.slots, each.memory) for number, each in enumerate(self.running)]
+        """slots, memory: the worker's total capacity."""
+        self.slots = slots
+        self.memory = memory
+        self.running = running
+        self.queued = queued
+
+    def earliest_start(
+        self, slots: float, memory: float = 0.0, extra: Sequence[QueuedJob] = ()
+    ) -> ExpectedStart:
+        """Return when a job would start that joins the queue behind all others and behind `extra`."""
+        if slots > self.slots + ROUNDING_TOLERANCE or memory > self.memory + ROUNDING_TOLERANCE:
+            return ExpectedStart(NEVER, 0.0)
+        free_slots = self.slots - sum(job.slots for job in self.running)
+        free_memory = self.memory - sum(job.memory for job in self.running)
+        # Heap of (end, sequence number, slots, memory).
+        ends = [(job.remaining_ns, number, job.slots, job.memory) for number, job in enumerate(self.running)]
         heapq.heapify(ends)
-        number, now_ns, idle_ns = len(ends), 0.0, 0.0
-        for job in (*self.waiting, *extra, Waiting(0.0, slots, memory)):
-            need, need_memory = min(job.slots, self.slots), min(job.memory, self.memory)
-            while ends and (free + SLACK < need or free_memory + SLACK < need_memory):
-                at_ns, _, freed, freed_memory = heapq.heappop(ends)
-                idle_ns += max(0.0, free) * max(0.0, at_ns - now_ns)
-                now_ns = max(now_ns, at_ns)
-                free, free_memory = free + freed, free_memory + freed_memory
-            free, free_memory, number = free - job.slots, free_memory - job.memory, number + 1
-            heapq.heappush(ends, (now_ns + job.run_ns, number, job.slots, job.memory))
-        return Start(now_ns, idle_ns)
-
-
-@dataclass(frozen=True, slots=True)
-class Own:
-    """An own attempt at a worker: its expected running time there, and its age; -1: not begun."""
-
-    run_ns: float
-    age_ns: float
-    slots: float
-    memory: float = 0.0
-
-
-def left_ns(run_ns: float, age_ns: float) -> float:
-    """How much longer a job runs that has run for age_ns and was expected to for run_ns.
-
-    Beyond that its hint is known to be wrong: the longer it has run, the longer it is likely to go on.
-    """
-    return max(run_ns - age_ns, OVERDUE * age_ns if age_ns > run_ns else 0.0, LEAST_LEFT * run_ns)
-
-
-def seen(
+        sequence = len(ends)
+        elapsed_ns = 0.0
+        idle_slot_ns = 0.0
+        for queued_job in (*self.queued, *extra, QueuedJob(0.0, slots, memory)):
+            needed_slots = min(queued_job.slots, self.slots)
+            needed_memory = min(queued_job.memory, self.memory)
+            while ends and (
+                free_slots + ROUNDING_TOLERANCE < needed_slots
+                or free_memory + ROUNDING_TOLERANCE < needed_memory
+            ):
+                end_ns, _, released_slots, released_memory = heapq.heappop(ends)
+                idle_slot_ns += max(0.0, free_slots) * max(0.0, end_ns - elapsed_ns)
+                elapsed_ns = max(elapsed_ns, end_ns)
+                free_slots += released_slots
+                free_memory += released_memory
+            free_slots -= queued_job.slots
+            free_memory -= queued_job.memory
+            sequence += 1
+            heapq.heappush(
+                ends, (elapsed_ns + queued_job.run_ns, sequence, queued_job.slots, queued_job.memory)
+            )
+        return ExpectedStart(elapsed_ns, idle_slot_ns)
+
+
+def estimate_timetable(
     slots: float,
-    own: Sequence[Own],
-    used: float,
+    own_attempts: Sequence[OwnAttempt],
+    used_slots: float,
     used_memory: float,
-    mean_ns: float,
+    mean_run_ns: float,
 ) -> Timetable:
-    """A worker's timetable from what its dispatcher sees.
+    """Estimate a worker's timetable from its load report and this dispatcher's attempts.
 
-    used, used_memory: what all jobs hold by the worker's own figures and what was sent since, those that wait
-    included; mean_ns: the usual running time there.  What is not the own attempts' is others'.
+    used_slots, used_memory: needs of all its jobs, queued ones included, by the last load report and what was
+    sent since; mean_run_ns: mean running time at this worker.  What the own attempts do not need is
+    attributed to other dispatchers.
     """
     running = [
-        Running(left_ns(each.run_ns, each.age_ns), each.slots, each.memory)
-        for each in own
-        if each.age_ns >= 0
+        RunningJob(remaining_ns(attempt.run_ns, attempt.age_ns), attempt.slots, attempt.memory)
+        for attempt in own_attempts
+        if attempt.age_ns >= 0
     ]
-    waiting = [Waiting(each.run_ns, each.slots, each.memory) for each in own if each.age_ns < 0]
-    theirs = max(0, round(used - sum(each.slots for each in own)))
-    their_memory = max(0.0, used_memory - sum(each.memory for each in own)) / max(1, theirs)
-    fit = min(theirs, max(0, round(slots - sum(each.slots for each in running))))
-    running += others(fit, mean_ns, their_memory)
-    return Timetable(
-        slots, slots, running, [*[Waiting(mean_ns, 1.0, their_memory)] * (theirs - fit), *waiting]
-    )
+    own_queued = [
+        QueuedJob(attempt.run_ns, attempt.slots, attempt.memory)
+        for attempt in own_attempts
+        if attempt.age_ns < 0
+    ]
+    other_count = max(0, round(used_slots - sum(attempt.slots for attempt in own_attempts)))
+    other_memory = max(0.0, used_memory - sum(attempt.memory for attempt in own_attempts))
+    memory_each = other_memory / max(1, other_count)
+    other_running = min(other_count, max(0, round(slots - sum(job.slots for job in running))))
+    running += _other_dispatchers_jobs(other_running, mean_run_ns, memory_each)
+    other_queued = [QueuedJob(mean_run_ns, 1.0, memory_each)] * (other_count - other_running)
+    return Timetable(slots, slots, running, [*other_queued, *own_queued])
+
+
+def remaining_ns(run_ns: float, age_ns: float) -> float:
+    """Return the expected remaining time of a job of this age.
+
+    run_ns: its expected running time.  Once the job has run for longer, what remains grows with its age.
+    """
+    overdue_ns = OVERDUE_FRACTION * age_ns if age_ns > run_ns else 0.0
+    return max(run_ns - age_ns, overdue_ns, MIN_REMAINING_FRACTION * run_ns)
+
+
+def _other_dispatchers_jobs(count: int, mean_run_ns: float, memory: float) -> list[RunningJob]:
+    """Return the expected jobs of other dispatchers, of one slot each; memory: of each."""
+    jobs = list[RunningJob]()
+    end_ns = 0.0
+    for still_running in range(count, 0, -1):
+        end_ns += mean_run_ns / still_running
+        jobs.append(RunningJob(end_ns, 1.0, memory))
+    return jobs
