--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""The candidates kept by events are those that asking all workers would find, and draws are the same."""
+"""The index of candidates finds the same workers as a scan of all, and draws have the same distribution."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from benchmarks.script import Script
 from weldquay import interface as api
-from weldquay.candidates import candidate_group as group
+from weldquay.candidates import candidate_group
 from weldquay.candidates.candidate_group import CandidateGroup, worker_count
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Job, Worker
 from weldquay.policy import members
@@ -20,129 +20,160 @@
 from weldquay.policy.draw import SLOW
 from weldquay.policy.water_fill import water_fill
 
-ROWS = st.lists(
+GROUPS = st.lists(
     st.tuples(st.integers(-8, 8), st.sampled_from([0.5, 1.0, 1.7]), st.integers(1, 9)), min_size=1
 )
 
 
 @settings(derandomize=True)
-@given(ROWS, st.floats(2, 400))
-def test_groups_get_the_shares_of_their_members(rows: list[tuple[int, float, int]], m: float) -> None:
-    """Theorem 4 over groups of equals gives each member what the plain formula gives it."""
-    loads, rates, counts = ([float(row[at]) for row in rows] for at in range(3))
-    grouped = water_fill(loads, m, rates, [int(each) for each in counts])
+@given(GROUPS, st.floats(2, 400))
+def test_water_fill_over_groups_equals_water_fill_over_members(
+    groups: list[tuple[int, float, int]], m: float
+) -> None:
+    """Theorem 4 over groups gives each member the share that it has without groups."""
+    loads = [float(load) for load, _, _ in groups]
+    rates = [rate for _, rate, _ in groups]
+    counts = [count for _, _, count in groups]
+    grouped = water_fill(loads, m, rates, counts)
     plain = water_fill(
-        [load for load, _, number in rows for _ in range(number)],
+        [load for load, _, count in groups for _ in range(count)],
         m,
-        [rate for _, rate, number in rows for _ in range(number)],
+        [rate for _, rate, count in groups for _ in range(count)],
     )
-    each = [share for share, row in zip(grouped, rows, strict=True) for _ in range(row[2])]
-    assert each == pytest.approx(plain, abs=1e-9)
-    assert sum(each) == pytest.approx(1.0)
+    member_shares = [share for share, count in zip(grouped, counts, strict=True) for _ in range(count)]
+    assert member_shares == pytest.approx(plain, abs=1e-9)
+    assert sum(member_shares) == pytest.approx(1.0)
 
 
-def told(dispatcher: Dispatcher) -> list[Worker]:
-    """By asking each worker: in health, with news that has not lapsed, and not slow unless most are."""
-    news = [
+def usable_workers(dispatcher: Dispatcher) -> list[Worker]:
+    """Scan all workers: healthy, with a recent report, and not slow unless most are."""
+    reported = [
         worker
         for worker in dispatcher.recently_reported.values()
         if dispatcher.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
         and worker.free_slots is not None
         and dispatcher._healthy(worker)
     ]
-    quick = [worker for worker in news if dispatcher._drag(worker) < SLOW]
-    return quick if 2 * len(quick) >= len(news) else news
+    not_slow = [worker for worker in reported if dispatcher._drag(worker) < SLOW]
+    return not_slow if 2 * len(not_slow) >= len(reported) else reported
 
 
 def check(dispatcher: Dispatcher, number: int) -> None:
-    """Hold what the index answers against what asking each worker answers."""
-    index, now, rules = dispatcher.index, dispatcher.now_ns, dispatcher.settings
+    """Compare what the index returns for a request with a scan of all workers."""
+    now_ns = dispatcher.now_ns
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
-    job = Job(request, rules.classes[number % 3], now, 5, answer_due_ns=now + 5_000_000_000)
-    index.begin_step()
-    workers, slots = told(dispatcher), request.slots
-    room = [
+    job_class = dispatcher.settings.classes[number % 3]
+    job = Job(request, job_class, now_ns, 5, answer_due_ns=now_ns + 5_000_000_000)
+    dispatcher.index.begin_step()
+    check_reported(dispatcher, job)
+    check_unreported(dispatcher, job)
+    check_warming_and_probed(dispatcher)
+
+
+def check_reported(dispatcher: Dispatcher, job: Job) -> None:
+    """The workers with a recent report, and those of them that may run the job."""
+    index = dispatcher.index
+    settings = dispatcher.settings
+    workers = usable_workers(dispatcher)
+    memory = job.request.memory
+    with_room = [
         worker
         for worker in workers
-        if dispatcher._load(worker) + slots <= 0.5
+        if dispatcher._load(worker) + job.request.slots <= 0.5
         and dispatcher._suits(job, worker)
-        and (worker.free_memory is None or worker.free_memory - worker.unreported_memory >= request.memory)
+        and (worker.free_memory is None or worker.free_memory - worker.unreported_memory >= memory)
     ]
     assert index.usable_count == len(workers) and index.all_healthy_reported() == workers
     found = index.reported_candidates(job, lambda worker: dispatcher._suits(job, worker))
-    assert worker_count(found) == len(room)
-    asks = rules.may_probe and rules.reports_in_probes
-    for row in found:
-        assert all(worker in room and dispatcher._load(worker) == row.load for worker in row.members)
-        fresh = {now - worker.reported_ns <= 300_000_000 for worker in row.members}
-        home = {worker in dispatcher.subset for worker in row.members}
-        assert not asks or (fresh, home) == ({row.is_fresh}, {row.in_subset})
-    others = [
-        worker
+    assert worker_count(found) == len(with_room)
+    probes_report = settings.may_probe and settings.reports_in_probes
+    for group in found:
+        assert all(worker in with_room for worker in group.members)
+        assert all(dispatcher._load(worker) == group.load for worker in group.members)
+        fresh = {dispatcher.now_ns - worker.reported_ns <= 300_000_000 for worker in group.members}
+        in_subset = {worker in dispatcher.subset for worker in group.members}
+        assert not probes_report or (fresh, in_subset) == ({group.is_fresh}, {group.in_subset})
+
+
+def check_unreported(dispatcher: Dispatcher, job: Job) -> None:
+    """The workers without a recent report that may run the job."""
+    unreported = {
+        worker.entry.worker
         for worker in dispatcher.ready_workers
         if worker.entry.worker not in dispatcher.recently_reported
         and dispatcher._healthy(worker)
-        and not (worker.probe_pending and now < worker.next_probe_ns)
-        and dispatcher._load(worker) + slots <= -0.5
+        and not (worker.probe_pending and dispatcher.now_ns < worker.next_probe_ns)
+        and dispatcher._load(worker) + job.request.slots <= -0.5
         and dispatcher._suits(job, worker)
-    ]
-    silent = index.unreported_candidates(request, lambda worker: dispatcher._suits(job, worker), -0.5)
-    assert {w.entry.worker for row in silent for w in row.members} == {w.entry.worker for w in others}
-    cold = [worker for worker in dispatcher.ready_workers if dispatcher._cold_room(worker) < math.inf]
-    assert index.warming_workers() == cold
-    asked = {w.entry.worker for w in dispatcher.recently_reported.values() if w.probe_pending}
-    asked = asked or {w.entry.worker for w in dispatcher.ready_workers if w.probe_pending}
-    assert {w.entry.worker for w in index.probed_workers()} == asked
+    }
+    found = dispatcher.index.unreported_candidates(
+        job.request, lambda worker: dispatcher._suits(job, worker), -0.5
+    )
+    assert {worker.entry.worker for group in found for worker in group.members} == unreported
+
+
+def check_warming_and_probed(dispatcher: Dispatcher) -> None:
+    """The workers that are warming up, and those with a health check in flight."""
+    index = dispatcher.index
+    warming = [worker for worker in dispatcher.ready_workers if dispatcher._cold_room(worker) < math.inf]
+    assert index.warming_workers() == warming
+    probed = {w.entry.worker for w in dispatcher.recently_reported.values() if w.probe_pending}
+    probed = probed or {w.entry.worker for w in dispatcher.ready_workers if w.probe_pending}
+    assert {w.entry.worker for w in index.probed_workers()} == probed
 
 
 @pytest.mark.parametrize(
     ("workers", "dispatchers", "probes"), [(30, 1, False), (30, 1, True), (40, 12, True), (120, 60, True)]
 )
-def test_the_index_finds_whom_a_look_at_all_finds(workers: int, dispatchers: int, probes: bool) -> None:
-    """Through a calm time, no room, late reports, a lost zone, cold workers, changed lists and held jobs."""
+def test_the_index_finds_the_same_workers_as_a_scan(workers: int, dispatchers: int, probes: bool) -> None:
+    """In calm, without room, with late reports, a lost zone, warming workers, changed lists, queued jobs."""
     script = Script(workers, dispatchers, probes, seed=5, held=10)
 
-    def around(dispatcher: Dispatcher, now: int, events: list[api.Event]) -> list[api.Action]:
-        actions = dispatcher.step(now, events)
+    def checked_step(dispatcher: Dispatcher, now_ns: int, events: list[api.Event]) -> list[api.Action]:
+        actions = dispatcher.step(now_ns, events)
         check(dispatcher, script.steps)
         return actions
 
-    script.around = around
+    script.around = checked_step
     for phase in ("calm", "full", "zone", "late", "cold", "list", "flap", "held"):
         script.play(phase, 20)
     assert script.steps > 500
 
 
-def test_a_draw_over_groups_is_a_draw_over_their_members(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Chi-squared of 20,000 draws among 90 workers against the shares of the plain formula."""
+def test_draws_over_groups_are_distributed_like_draws_over_members(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Chi-squared test of 20,000 draws among 90 workers against the shares without groups."""
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
     dispatcher.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
     dispatcher.index.begin_step()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
     found = dispatcher.index.reported_candidates(job, lambda _: True)
-    members = [CandidateGroup([worker], row.load) for row in found for worker in row.members]
+    members = [CandidateGroup([worker], group.load) for group in found for worker in group.members]
     assert len(found) < len(members) // 2
-    monkeypatch.setattr(group, "MAX_ROWS", 0)
+    monkeypatch.setattr(candidate_group, "MAX_SINGLE_CANDIDATES", 0)
     drawn = Counter(
-        dispatcher._draw(group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
+        dispatcher._draw(candidate_group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
     )
-    rates = [1 / dispatcher.runtimes.relative_runtime(row.first.entry.kind) for row in members]
-    loads = [row.load + round(row.first.estimated_slots) for row in members]
+    rates = [1 / dispatcher.runtimes.relative_runtime(member.first.entry.kind) for member in members]
+    loads = [member.load + round(member.first.estimated_slots) for member in members]
     shares = water_fill(loads, 60.0, [rate * len(rates) / sum(rates) for rate in rates])
-    wanted = {
-        row.first.entry.worker: 20_000 * share for row, share in zip(members, shares, strict=True) if share
+    expected = {
+        member.first.entry.worker: 20_000 * share
+        for member, share in zip(members, shares, strict=True)
+        if share
     }
-    assert set(drawn) <= set(wanted)
-    squares = sum((drawn[number] - each) ** 2 / each for number, each in wanted.items())
-    freedom = len(wanted) - 1
-    assert squares < freedom + 3 * math.sqrt(2 * freedom)
+    assert set(drawn) <= set(expected)
+    chi_squared = sum((drawn[number] - count) ** 2 / count for number, count in expected.items())
+    degrees_of_freedom = len(expected) - 1
+    assert chi_squared < degrees_of_freedom + 3 * math.sqrt(2 * degrees_of_freedom)
 
 
-def test_workers_that_come_and_go_leave_nothing_behind() -> None:
-    """After a hundred lists of 40 new workers each, some probes never answered, one list's worth is kept."""
+def test_state_of_departed_workers_is_discarded() -> None:
+    """After a hundred lists of 40 new workers each, with unanswered health checks, one list remains."""
     script = Script(40, 1, True, seed=2)
-    dispatcher, index = script.dispatcher, script.dispatcher.index
+    dispatcher = script.dispatcher
+    index = dispatcher.index
+    groups = index.groups
     for day in range(1, 101):
         entries = tuple(api.WorkerEntry(1000 * day + n, api.WorkerState.READY, start_id=n) for n in range(40))
         script.now += 20_000_000_000
@@ -154,10 +185,10 @@
             dispatcher.step(script.now, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)])
         dispatcher.step(script.now, script.call())
         index.begin_step()
-        placed = sum(len(cell.members) for cell in index.cells.values()) + len(index.special)
-        assert placed <= 40 == len(index.listed) == len(index.entries)
-        assert len(index.calendar) <= 40 * 8 and len(index.cells) <= 40
-        assert set(index.probing) <= set(dispatcher.workers)
-    at_rest = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
-    assert len(at_rest) <= members.MAX_DEPARTED + 40  # of 4,000
-    assert len(dispatcher.workers) - len(at_rest) <= len(dispatcher.attempts)
+        grouped_count = sum(len(group.members) for group in groups.by_key.values())
+        assert grouped_count + len(groups.individual) <= 40 == len(groups.listed) == len(groups.entries)
+        assert len(groups.calendar.entries) <= 40 * 8 and len(groups.by_key) <= 40
+        assert set(groups.probing) <= set(dispatcher.workers)
+    idle = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
+    assert len(idle) <= members.MAX_DEPARTED + 40  # of 4,000
+    assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
--- a/weldquay/candidates/__init__.py
+++ b/weldquay/candidates/__init__.py
@@ -1,5 +1,7 @@
-"""Workers in groups of equals, so that a decision costs as much as there are groups, not workers.
+"""Candidate workers for a request, kept in groups so that a decision costs as much as there are groups.
 
-No I/O, no clock, no randomness: `Index` is told which workers an event has touched, and keeps a calendar of
-the moments at which time alone changes what is true of one.  The decision module asks it at each draw.
+`CandidateIndex` returns the workers that may run a job.  It is updated by events, and by a calendar of the
+moments at which time alone changes a worker's group.  `QueueOrder` orders the queued requests.
+
+The package does no I/O, reads no clock and draws no random numbers.
 """
--- a/weldquay/candidates/availability.py
+++ b/weldquay/candidates/availability.py
@@ -1,32 +1,35 @@
-"""A worker's timetable from what its dispatcher has written down of it."""
+"""Estimate a worker's timetable from the state that its dispatcher keeps."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from weldquay.state.records import Job, Worker
+from weldquay.candidates.inputs import CandidateInputs
 from weldquay.reservations.timetable import OwnAttempt, Timetable, estimate_timetable
+from weldquay.state.records import Job, Worker
 
 
-def availability(
-    worker: Worker,
-    size: int,
-    now_ns: int,
-    tells_start: bool,
-    mean_ns: float,
-    takes_ns: Callable[[Job], float],
+def worker_timetable(
+    worker: Worker, tables: CandidateInputs, expected_run_ns: Callable[[Job, Worker], float]
 ) -> Timetable:
-    """The worker's room over time.
+    """Return the expected use of the worker's slots and memory over time.
 
-    size: its slots; tells_start: attempts tell when they begin, else each begins when it is sent; mean_ns:
-    the usual running time there; takes_ns: the expected running time of a job there.
+    expected_run_ns: of a job at a worker.  Where workers do not report the start of an attempt, it is taken
+    to start when it is sent.
     """
-    own = []
+    slots = round(worker.estimated_slots if worker.estimated_slots >= 0.5 else tables.mean_slots)
+    runtimes = tables.runtimes
+    mean_run_ns = runtimes.relative_runtime(worker.entry.kind) * runtimes.mean_runtime_ns()
+    reports_start = tables.settings.reports_start
+    own_attempts = []
     for attempt in worker.in_flight.values():
-        begun_ns = attempt.started_ns or (0 if tells_start else attempt.sent_ns)
-        age_ns = now_ns - begun_ns if begun_ns else -1
-        need = attempt.job.request
-        own.append(OwnAttempt(takes_ns(attempt.job), age_ns, need.slots, need.memory))
-    used = size - (size if worker.free_slots is None else worker.free_slots) + worker.unreported_slots
-    memory = size - (size if worker.free_memory is None else worker.free_memory) + worker.unreported_memory
-    return estimate_timetable(size, own, used, memory, mean_ns)
+        started_ns = attempt.started_ns or (0 if reports_start else attempt.sent_ns)
+        age_ns = tables.now_ns - started_ns if started_ns else -1
+        request = attempt.job.request
+        run_ns = expected_run_ns(attempt.job, worker)
+        own_attempts.append(OwnAttempt(run_ns, age_ns, request.slots, request.memory))
+    free_slots = slots if worker.free_slots is None else worker.free_slots
+    free_memory = slots if worker.free_memory is None else worker.free_memory
+    used_slots = slots - free_slots + worker.unreported_slots
+    used_memory = slots - free_memory + worker.unreported_memory
+    return estimate_timetable(slots, own_attempts, used_slots, used_memory, mean_run_ns)
--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -1,172 +1,229 @@
-"""What a draw asks of the workers, answered from their cells."""
+"""Find the candidate workers for a request among the groups of workers."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
 
-from weldquay.candidates.worker_groups import WorkerGroups
+from weldquay.candidates.availability import worker_timetable
 from weldquay.candidates.candidate_group import CandidateGroup, has_memory
-from weldquay.candidates.availability import availability
-from weldquay.interface import DeduplicationScope
-from weldquay.interface import RequestReceived
-from weldquay.state.records import WorkerGroup, Job, Worker
+from weldquay.candidates.inputs import CandidateInputs, CandidateLimits
+from weldquay.candidates.worker_groups import WorkerGroups
+from weldquay.interface import DeduplicationScope, RequestReceived
 from weldquay.reservations.timetable import Timetable
-
-
-class CandidateIndex(WorkerGroups):
-    """The candidates for a job."""
+from weldquay.state.records import Job, Worker, WorkerGroup
+
+MAX_CANDIDATE_LOAD = 0.5  # with the job's slots; loads are in slots, negative while slots are free
+
+
+class CandidateIndex:
+    """The candidates for requests.
+
+    `begin_step` has to be called before the decisions of a step.  `changed` holds the workers to be
+    regrouped, `warming` those that are warming up, both by worker number.
+    """
+
+    def __init__(
+        self,
+        tables: CandidateInputs,
+        limits: CandidateLimits,
+        load: Callable[[Worker], float],
+        slowness: Callable[[Worker], float],
+        expected_run_ns: Callable[[Job, Worker], float],
+    ) -> None:
+        """load, slowness: of a worker as of now; expected_run_ns: of a job at a worker."""
+        self.tables = tables
+        self.limits = limits
+        self.load = load
+        self.slowness = slowness
+        self.expected_run_ns = expected_run_ns
+        self.groups = groups = WorkerGroups(tables, limits, load, slowness)
+        self.slow: set[Worker] = set()  # not candidates in this step
+        self.usable_count = 0  # healthy workers with a recent report that are not slow
+        # Bound directly: events and decisions use these often.
+        self.changed = groups.changed
+        self.warming = groups.warming
+        self.mark_changed = groups.mark_changed
+        self.probe_sent = groups.probe_sent
+        self.load_reported = groups.load_reported
+        self.warming_workers = groups.warming_workers
 
     def begin_step(self) -> None:
-        """Start the draws of a step: the slow are left out for all of it, unless most workers are."""
-        self.sync()
-        self.least = -math.inf
-        told, slow = self._reported(), self.limits.slow
-        self.slow = {w for w in told if (w.in_flight or w.slowness[0] >= slow) and self.drag(w) >= slow}
-        whole = len(told) + sum([len(cell.members) for key, cell in self.cells.items() if key.is_reported])
-        self.usable_count = whole - len(self.slow)
-        if 2 * self.usable_count < whole:
-            self.slow, self.usable_count = set(), whole
-        if self.few:
-            self.cold_rows = None
-            now, warm_ns, listed = self.tables.now_ns, self.settings.slow_start_ns, self.listed.items()
-            self.warming = {
-                number: w for number, w in listed if w.started_ns and now < w.started_ns + warm_ns
-            }
-        self.told = [worker for worker in told if worker not in self.slow] if self.slow else told
-        if len(self.tables.queued) > 1:  # several draws ask for it
-            loads = [key.load for key in self.cells if key.is_reported] + [
-                self.load(worker) for worker in told
-            ]
-            self.least = min(loads, default=math.inf)
-
-    def _well(self, worker: Worker) -> bool:
-        """True where a special worker is in health; of a large fleet those that are not are in no place."""
-        return not self.few or self._well_ns(worker) <= self.tables.now_ns
-
-    def _reported(self) -> list[Worker]:
-        """The special workers that reported lately and may be drawn."""
-        news, special = self.tables.recently_reported, self.special.items()
-        told = [worker for number, worker in special if number in news]
-        return [w for w in told if w.free_slots is not None and self._well(w)] if self.few else told
+        """Regroup changed workers and find the slow ones, which are excluded unless most workers are slow."""
+        groups = self.groups
+        groups.sync()
+        groups.min_reported_load = -math.inf
+        reported = self._individual_reported()
+        max_slowness = self.limits.slow
+        self.slow = {
+            worker
+            for worker in reported
+            if (worker.in_flight or worker.slowness[0] >= max_slowness)
+            and self.slowness(worker) >= max_slowness
+        }
+        grouped_count = sum([len(group.members) for key, group in groups.by_key.items() if key.is_reported])
+        total_count = len(reported) + grouped_count
+        self.usable_count = total_count - len(self.slow)
+        if 2 * self.usable_count < total_count:
+            self.slow = set()
+            self.usable_count = total_count
+        if groups.is_small_fleet:
+            groups.find_warming()
+        groups.not_slow = (
+            [worker for worker in reported if worker not in self.slow] if self.slow else reported
+        )
+        if len(self.tables.queued) > 1:  # the minimum pays off from the second request on
+            loads = [key.load for key in groups.by_key if key.is_reported]
+            loads += [self.load(worker) for worker in reported]
+            groups.min_reported_load = min(loads, default=math.inf)
+
+    def _is_healthy(self, worker: Worker) -> bool:
+        """Return True where an individual worker is healthy; in a large fleet all individual ones are."""
+        groups = self.groups
+        return not groups.is_small_fleet or groups.healthy_from_ns(worker) <= self.tables.now_ns
+
+    def _individual_reported(self) -> list[Worker]:
+        """Return the healthy individual workers with a recent report."""
+        recent = self.tables.recently_reported
+        groups = self.groups
+        reported = [worker for number, worker in groups.individual.items() if number in recent]
+        if not groups.is_small_fleet:
+            return reported
+        return [worker for worker in reported if worker.free_slots is not None and self._is_healthy(worker)]
+
+    def _not_slow(self) -> list[Worker]:
+        """Return the individual workers with a recent report that are not slow."""
+        groups = self.groups
+        if groups.not_slow is None:
+            groups.not_slow = [worker for worker in self._individual_reported() if worker not in self.slow]
+        return groups.not_slow
 
     def all_healthy_reported(self) -> list[Worker]:
-        """The workers in health that reported lately, in that order, without the slow ones."""
-        found = [worker for key, cell in self.cells.items() if key.is_reported for worker in cell.members]
-        return sorted([*found, *self._quick()], key=lambda worker: worker.report_sequence)
+        """Return the healthy workers with a recent report that are not slow, in the order of the reports."""
+        grouped = [
+            worker for key, group in self.groups.by_key.items() if key.is_reported for worker in group.members
+        ]
+        return sorted([*grouped, *self._not_slow()], key=lambda worker: worker.report_sequence)
 
     def timetable(self, worker: Worker) -> Timetable:
-        """A worker's room over time."""
-        tables = self.tables
-        size = round(worker.estimated_slots if worker.estimated_slots >= 0.5 else tables.mean_slots)
-        mean_ns = tables.runtimes.relative_runtime(worker.entry.kind) * tables.runtimes.mean_runtime_ns()
-        tells_start = tables.settings.reports_start
-        return availability(
-            worker, size, tables.now_ns, tells_start, mean_ns, lambda job: self.takes_ns(job, worker)
-        )
+        """Return the expected use of the worker's slots and memory over time."""
+        return worker_timetable(worker, self.tables, self.expected_run_ns)
 
     def utilization(self, workers: list[Worker]) -> float:
-        """The part of the workers' slots that is in use."""
+        """Return the fraction of the workers' slots that is in use."""
         free = sum(max(0.0, -self.load(worker)) for worker in workers)
         return 1 - free / max(1.0, free, sum(worker.estimated_slots for worker in workers))
 
     def probed_workers(self) -> list[Worker]:
-        """Workers that a probe is out to: those that reported lately, else those that are listed."""
-        news = self.tables.recently_reported
-        if self.few:
-            return [worker for worker in news.values() if worker.probe_pending] or [
-                worker for worker in self.ready if worker.probe_pending
+        """Return the workers with a health check in flight.
+
+        These are the ones with a recent report; where there are none, the listed ones.
+        """
+        recent = self.tables.recently_reported
+        groups = self.groups
+        if groups.is_small_fleet:
+            return [worker for worker in recent.values() if worker.probe_pending] or [
+                worker for worker in groups.ready if worker.probe_pending
             ]
-        out = self.probing.items()
-        return [worker for number, worker in out if number in news] or [
-            worker for _, worker in out if worker.list_position >= 0
+        return [worker for number, worker in groups.probing.items() if number in recent] or [
+            worker for worker in groups.probing.values() if worker.list_position >= 0
         ]
 
-    def warming_workers(self) -> list[Worker]:
-        """The workers that are not yet warm, in the order of the list."""
-        if self.cold_rows is None:
-            self.cold_rows = sorted(self.warming.values(), key=lambda worker: worker.list_position)
-        return self.cold_rows
-
-    def eligible(self, job: Job, suits: Callable[[Worker], bool]) -> list[Worker]:
-        """All workers of the list that the job could use, in its order, whatever their load and health."""
-        fits = dict[tuple[int, int], bool]()
-        if (
-            job.possibly_executed is not None
-            and job.class_settings.deduplication_scope is DeduplicationScope.CELL
-        ):
-            return [worker for worker in self.ready if suits(worker)]
+    def eligible(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[Worker]:
+        """Return all listed workers that may run the job, in list order, whatever their load and health."""
+        ready = self.groups.ready
+        if _is_bound_to_cell(job):
+            return [worker for worker in ready if is_eligible(worker)]
+        results = dict[tuple[int, int], bool]()
         return [
             worker
-            for worker in self.ready
-            if (suits(worker) if worker.group is None else self._fits(fits, worker.group, suits))
+            for worker in ready
+            if (
+                is_eligible(worker)
+                if worker.group is None
+                else _is_group_eligible(results, worker.group, is_eligible)
+            )
         ]
 
-    def reported_candidates(self, job: Job, suits: Callable[[Worker], bool]) -> list[CandidateGroup]:
-        """The workers that reported lately and may take the job; suits: whether it is of use there at all."""
-        self.sync()
-        each, need = (
-            job.possibly_executed is not None
-            and job.class_settings.deduplication_scope is DeduplicationScope.CELL,
-            job.request,
-        )
-        slots, memory, fits, found = (
-            need.slots,
-            need.memory,
-            dict[tuple[int, int], bool](),
-            list[CandidateGroup](),
-        )
-        if self.least + slots > 0.5:
-            return found
-        for key, cell in self.cells.items():
-            if not key.is_reported or key.load + slots > 0.5:
+    def reported_candidates(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[CandidateGroup]:
+        """Return the workers with a recent report that have room for the job and may run it.
+
+        is_eligible: whether the job may run at a worker, apart from load and memory.
+        """
+        self.groups.sync()
+        slots = job.request.slots
+        if self.groups.min_reported_load + slots > MAX_CANDIDATE_LOAD:
+            return []
+        candidates = self._grouped_candidates(job, is_eligible)
+        memory = job.request.memory
+        now_ns = self.tables.now_ns
+        for worker in self._not_slow():
+            load = self.load(worker)
+            if load + slots > MAX_CANDIDATE_LOAD or not is_eligible(worker) or not has_memory(worker, memory):
+                continue
+            is_fresh = now_ns - worker.reported_ns <= self.limits.fresh_ns
+            in_subset = worker in self.groups.subset
+            candidates.append(CandidateGroup([worker], load, True, is_fresh, in_subset, True))
+        return candidates
+
+    def _grouped_candidates(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[CandidateGroup]:
+        """Return the groups with a recent report that have room for the job and may run it."""
+        is_bound_to_cell = job.possibly_executed is not None and _is_bound_to_cell(job)
+        slots = job.request.slots
+        memory = job.request.memory
+        results = dict[tuple[int, int], bool]()
+        candidates = list[CandidateGroup]()
+        for key, group in self.groups.by_key.items():
+            if not key.is_reported or key.load + slots > MAX_CANDIDATE_LOAD:
                 continue
-            members = cell.members
-            if each:  # its key does not tell a worker's cell
-                members = [worker for worker in members if suits(worker)]
-            elif not self._fits(fits, cell, suits):
+            members = group.members
+            if is_bound_to_cell:  # members of a group may be of different cells
+                members = [worker for worker in members if is_eligible(worker)]
+            elif not _is_group_eligible(results, group, is_eligible):
                 continue
-            if key.memory is not None and memory > key.memory:
+            if key.memory is not None and memory > key.memory:  # the key has whole units only
                 members = [worker for worker in members if has_memory(worker, memory)]
             if members:
-                found.append(CandidateGroup(members, key.load, True, key.is_fresh, key.in_subset))
-        now, fresh_ns = self.tables.now_ns, self.limits.fresh_ns
-        for worker in self._quick():
-            if (load := self.load(worker)) + slots <= 0.5 and suits(worker) and has_memory(worker, memory):
-                fresh = now - worker.reported_ns <= fresh_ns
-                found.append(CandidateGroup([worker], load, True, fresh, worker in self.home, True))
-        return found
-
-    def _quick(self) -> list[Worker]:
-        """The special workers that reported lately, without the slow ones."""
-        if self.told is None:
-            self.told = [worker for worker in self._reported() if worker not in self.slow]
-        return self.told
+                candidates.append(CandidateGroup(members, key.load, True, key.is_fresh, key.in_subset))
+        return candidates
 
     def unreported_candidates(
-        self, need: RequestReceived, suits: Callable[[Worker], bool], limit: float
+        self, request: RequestReceived, is_eligible: Callable[[Worker], bool], max_load: float
     ) -> list[CandidateGroup]:
-        """The workers without news that may have room: their load with the job is at most the limit."""
-        fits, found = dict[tuple[int, int], bool](), list[CandidateGroup]()
-        for key, cell in self.cells.items():
-            if key.is_reported or (load := self.load(cell.members[0])) + need.slots > limit:
+        """Return the workers without a recent report whose load with the job is at most max_load."""
+        slots = request.slots
+        results = dict[tuple[int, int], bool]()
+        candidates = list[CandidateGroup]()
+        for key, group in self.groups.by_key.items():
+            if key.is_reported or (load := self.load(group.members[0])) + slots > max_load:
                 continue
-            if self._fits(fits, cell, suits):
-                found.append(CandidateGroup(cell.members, load, False))
-        now = self.tables.now_ns
-        for worker in self.special.values():
-            if worker.entry.worker in self.tables.recently_reported or not self._well(worker):
+            if _is_group_eligible(results, group, is_eligible):
+                candidates.append(CandidateGroup(group.members, load, False))
+        now_ns = self.tables.now_ns
+        recent = self.tables.recently_reported
+        for number, worker in self.groups.individual.items():
+            if number in recent or not self._is_healthy(worker):
                 continue
-            if worker.probe_pending and now < worker.next_probe_ns:
+            if worker.probe_pending and now_ns < worker.next_probe_ns:
                 continue
-            if (load := self.load(worker)) + need.slots <= limit and suits(worker):
-                found.append(CandidateGroup([worker], load, False, is_individual=True))
-        return found
-
-    @staticmethod
-    def _fits(fits: dict[tuple[int, int], bool], cell: WorkerGroup, suits: Callable[[Worker], bool]) -> bool:
-        """What a job asks of a worker in a cell is of its kind and zone alone: it is asked once for each."""
-        like = cell.key.kind, cell.key.zone
-        if (fit := fits.get(like)) is None:
-            fit = fits[like] = suits(cell.members[0])
-        return fit
+            if (load := self.load(worker)) + slots <= max_load and is_eligible(worker):
+                candidates.append(CandidateGroup([worker], load, False, is_individual=True))
+        return candidates
+
+
+def _is_bound_to_cell(job: Job) -> bool:
+    """Return True where the job may have run, and may be repeated only in the cell of that attempt."""
+    return (
+        job.possibly_executed is not None
+        and job.class_settings.deduplication_scope is DeduplicationScope.CELL
+    )
+
+
+def _is_group_eligible(
+    results: dict[tuple[int, int], bool], group: WorkerGroup, is_eligible: Callable[[Worker], bool]
+) -> bool:
+    """Return whether the job may run in a group; results: by kind and zone, which alone decide it."""
+    kind_and_zone = group.key.kind, group.key.zone
+    if (result := results.get(kind_and_zone)) is None:
+        result = results[kind_and_zone] = is_eligible(group.members[0])
+    return result
--- a/weldquay/candidates/runtime_bounds.py
+++ b/weldquay/candidates/runtime_bounds.py
@@ -1,46 +1,48 @@
-"""Lower bounds of learnt running times, so that a moment computed from them stays on the safe side."""
+"""Lower bounds of estimated running times, so that moments computed from them are not too late."""
 
 from __future__ import annotations
 
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.state.records import Attempt
 
-FLOOR_FRACTION = 0.9  # of a learnt time, at the moment its floor is set
-RAISE_RATIO = 1.3  # learnt time by its floor from which on the floor is raised
+BOUND_FRACTION = 0.9  # of an estimate at the moment its bound is set
+MAX_ESTIMATE_RATIO = 1.3  # of an estimate and its bound, above which the bound is raised
 
 
 class RuntimeLowerBounds:
-    """Floors of the mean time of each class and of the pace of each machine kind."""
-
-    def __init__(self, running: RuntimeEstimator) -> None:
-        self.running = running
-        self.means: dict[int, float] = {}
-        self.paces: dict[int, float] = {}
-
-    def follow(self) -> bool:
-        """Take in what was learnt since the last call; True where something fell below its floor."""
-        fell = False
-        for number, kind in self.running.updated:
-            fell |= _keep(self.means, number, self.running.mean_ns[number])
-            fell |= _keep(self.paces, kind, self.running.relative_runtime(kind))
-        self.running.updated.clear()
-        return fell
-
-    def usual_ns(self, attempt: Attempt) -> float:
-        """What the attempt is expected to run at the least, until `follow` tells of a fall."""
-        number, kind = attempt.job.request.job_class, attempt.worker.entry.kind
-        if kind not in self.paces:
-            _keep(self.paces, kind, self.running.relative_runtime(kind))
+    """Lower bounds of the mean running time of each class and of the relative running time of each kind."""
+
+    def __init__(self, runtimes: RuntimeEstimator) -> None:
+        """runtimes: the estimates; its `updated` is cleared by `update`."""
+        self.runtimes = runtimes
+        self.mean_ns: dict[int, float] = {}
+        self.relative_runtimes: dict[int, float] = {}
+
+    def update(self) -> bool:
+        """Apply the estimates that have changed; return True where one has fallen below its bound."""
+        has_fallen = False
+        for job_class, kind in self.runtimes.updated:
+            has_fallen |= _update_bound(self.mean_ns, job_class, self.runtimes.mean_ns[job_class])
+            has_fallen |= _update_bound(self.relative_runtimes, kind, self.runtimes.relative_runtime(kind))
+        self.runtimes.updated.clear()
+        return has_fallen
+
+    def min_run_ns(self, attempt: Attempt) -> float:
+        """Return a lower bound of the attempt's expected running time, valid until `update` returns True."""
+        job_class = attempt.job.request.job_class
+        kind = attempt.worker.entry.kind
+        if kind not in self.relative_runtimes:
+            _update_bound(self.relative_runtimes, kind, self.runtimes.relative_runtime(kind))
         if attempt.job.request.runtime_hint_ns:
-            return attempt.job.request.runtime_hint_ns * self.paces[kind]
-        if number not in self.means:
-            _keep(self.means, number, self.running.mean_ns[number])
-        return self.means[number] * self.paces[kind]
-
-
-def _keep(floors: dict[int, float], key: int, value: float) -> bool:
-    """Follow one learnt figure; True where it is below its floor."""
-    floor = floors.get(key)
-    if floor is None or value < floor or value > RAISE_RATIO * floor:
-        floors[key] = FLOOR_FRACTION * value
-    return floor is not None and value < floor
+            return attempt.job.request.runtime_hint_ns * self.relative_runtimes[kind]
+        if job_class not in self.mean_ns:
+            _update_bound(self.mean_ns, job_class, self.runtimes.mean_ns[job_class])
+        return self.mean_ns[job_class] * self.relative_runtimes[kind]
+
+
+def _update_bound(bounds: dict[int, float], key: int, estimate: float) -> bool:
+    """Update the bound of one estimate; return True where the estimate was below it."""
+    bound = bounds.get(key)
+    if bound is None or estimate < bound or estimate > MAX_ESTIMATE_RATIO * bound:
+        bounds[key] = BOUND_FRACTION * estimate
+    return bound is not None and estimate < bound
--- a/weldquay/candidates/worker_groups.py
+++ b/weldquay/candidates/worker_groups.py
@@ -1,254 +1,216 @@
-"""Which workers are alike for any draw: kept by events and a calendar instead of asked of all at each draw.
+"""Keep the workers in groups whose members are equal for every decision.
 
-A worker is in one place: in a cell with those that no draw can tell apart; among the special ones, which a
-draw asks one by one (cold, slow, in doubt, behind an attempt that has not started, held for a large job, put
-back by operators); or in none, while it is unhealthy or its report tells no free slots.  An event that
-touches a worker, or a moment in the calendar, has it sorted in anew before the next draw.  In a fleet of few
-workers all of them are special: asking them costs less than keeping groups.
+A worker is in exactly one place: in a group; among the individual workers, which a decision asks one by one
+(warming up, slow, with a high failure score, with an attempt that is late to start, reserved, or reinstated
+by operators); or in neither while it is unhealthy or its report has no free slots.  An event about the
+worker, or a moment of the calendar, has it regrouped before the next decision.  In a small fleet all workers
+are individual, since asking them costs less than keeping groups.
 """
 
 from __future__ import annotations
 
-import heapq
 import math
 from collections.abc import Callable
 
-from weldquay.candidates.runtime_bounds import RuntimeLowerBounds
-from weldquay.candidates.candidate_group import WorkerGroupKey, free_memory
-from weldquay.candidates.inputs import CandidateLimits, CandidateInputs
+from weldquay.candidates.calendar import RecheckCalendar
+from weldquay.candidates.group_key import GroupKeys, WorkerGroupKey
+from weldquay.candidates.inputs import CandidateInputs, CandidateLimits
 from weldquay.interface import WorkerEntry
-from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, WorkerGroup, Job, Worker
+from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Worker, WorkerGroup
 
-
-FEW = 32  # workers up to which all are asked one by one
+MAX_SMALL_FLEET = 32  # workers up to which all are individual
 
 
 class WorkerGroups:
-    """The workers of one dispatcher, by what decides over them."""
+    """The workers of one dispatcher, by group."""
 
     def __init__(
         self,
         tables: CandidateInputs,
         limits: CandidateLimits,
         load: Callable[[Worker], float],
-        drag: Callable[[Worker], float],
-        takes_ns: Callable[[Job, Worker], float],
+        slowness: Callable[[Worker], float],
     ) -> None:
-        """load, drag: the decision module's judgements of a worker as of now; takes_ns: of a job there."""
-        self.tables, self.limits, self.load, self.drag, self.takes_ns = tables, limits, load, drag, takes_ns
-        self.floors = RuntimeLowerBounds(tables.runtimes)
-        self.few = True
-        self.cells: dict[WorkerGroupKey, WorkerGroup] = {}
-        self.special: dict[int, Worker] = {}
-        self.warming: dict[int, Worker] = {}  # listed ready and not yet warm
-        self.cold_rows: list[Worker] | None = None  # the same, in the order of the list
-        self.probing: dict[int, Worker] = {}  # a probe is out
-        self.told: list[Worker] | None = None  # what `_quick` found
-        self.slow: set[Worker] = set()  # left out of this step's draws
-        self.least = -math.inf  # no worker that reported has a lower load in this step's draws
-        self.usable_count = 0  # workers in health that reported lately, without the slow ones
-        self.reports = 0  # heard so far
-        self.changed: dict[int, None] = {}
-        self.calendar: list[tuple[int, int]] = []  # heap of (when to sort a worker in anew, its number)
-        # The ready workers of the list that was followed last, its own ones, and their lines in it.
+        """load, slowness: of a worker as of now, by the decision module."""
+        self.tables = tables
+        self.keys = GroupKeys(tables, limits, load, slowness)
+        self.calendar = RecheckCalendar()
+        self.is_small_fleet = True
+        self.by_key: dict[WorkerGroupKey, WorkerGroup] = {}
+        self.individual: dict[int, Worker] = {}
+        self.warming: dict[int, Worker] = {}  # listed as ready, and warming up
+        self.warming_in_list_order: list[Worker] | None = None  # None: to be computed
+        self.probing: dict[int, Worker] = {}  # a health check is in flight
+        self.not_slow: list[Worker] | None = None  # individual with a recent report; None: to be computed
+        self.min_reported_load = -math.inf  # lower bound for this step's decisions
+        self.report_count = 0
+        self.changed: dict[int, None] = {}  # workers to be regrouped, in the order of the events
+        # The endpoint list that was applied last: its ready workers and their entries.
         self.ready: list[Worker] = []
-        self.home: set[Worker] = set()
+        self.subset: set[Worker] = set()
         self.listed: dict[int, Worker] = {}
         self.entries: dict[int, WorkerEntry] = {}
         self.settings = tables.settings
 
     def mark_changed(self, number: int) -> None:
-        """Something about a worker has changed."""
-        self.changed[number], self.least = None, -math.inf
+        """Have a worker regrouped before the next decision."""
+        self.changed[number] = None
+        self.min_reported_load = -math.inf
 
     def probe_sent(self, worker: Worker) -> None:
-        """A probe goes out to a worker: that leaves its load as it is."""
+        """Have a worker regrouped to which a health check was sent; its load has not changed."""
         self.changed[worker.entry.worker] = None
 
     def load_reported(self, worker: Worker) -> None:
-        """A worker has reported."""
-        self.reports += 1
-        worker.report_sequence = self.reports
+        """Number the worker's load report, and have the worker regrouped."""
+        self.report_count += 1
+        worker.report_sequence = self.report_count
         self.mark_changed(worker.entry.worker)
 
     def sync(self) -> None:
-        """Sort in anew whatever an event or time has changed."""
-        tables, now, news = self.tables, self.tables.now_ns, self.tables.recently_reported
+        """Regroup the workers that events or time have changed."""
+        tables = self.tables
+        now_ns = tables.now_ns
+        recent = tables.recently_reported  # in the order of the reports
         if tables.ready_workers is not self.ready or tables.settings is not self.settings:
-            self._relist()
-        while news and now - news[first := next(iter(news))].reported_ns > LOAD_REPORT_MAX_AGE_NS:
-            del news[first]
-            self.mark_changed(first)
-        if self.few:
+            self._apply_list()
+        while recent and now_ns - recent[oldest := next(iter(recent))].reported_ns > LOAD_REPORT_MAX_AGE_NS:
+            del recent[oldest]
+            self.mark_changed(oldest)
+        if self.is_small_fleet:
             self.changed.clear()
             tables.scheduler.changed_workers.clear()
             return
-        while self.calendar and self.calendar[0][0] <= now:
-            due_ns, number = heapq.heappop(self.calendar)
-            if (worker := tables.workers.get(number)) is not None and worker.recheck_ns == due_ns:
-                self.mark_changed(number)
+        if self.calendar.entries and self.calendar.entries[0][0] <= now_ns:
+            self._mark_due()
         if tables.scheduler.changed_workers:
             self.changed.update(dict.fromkeys(tables.scheduler.changed_workers))
             tables.scheduler.changed_workers.clear()
-        if tables.runtimes.updated and self.floors.follow():
+        if tables.runtimes.updated and self.keys.bounds.update():
             self.changed.update(dict.fromkeys(w.entry.worker for w in self.ready if w.in_flight))
         if self.changed:
-            self.told = None
-            for number in self.changed:
-                if (worker := tables.workers.get(number)) is not None:
-                    self._sort_in(worker)
-            self.changed.clear()
+            self._regroup_changed()
+
+    def find_warming(self) -> None:
+        """Find the warming workers of a small fleet; in a large one `sync` keeps them."""
+        now_ns = self.tables.now_ns
+        slow_start_ns = self.settings.slow_start_ns
+        self.warming_in_list_order = None
+        self.warming.clear()
+        for number, worker in self.listed.items():
+            if worker.started_ns and now_ns < worker.started_ns + slow_start_ns:
+                self.warming[number] = worker
+
+    def warming_workers(self) -> list[Worker]:
+        """Return the workers that are warming up, in the order of the list."""
+        if self.warming_in_list_order is None:
+            self.warming_in_list_order = sorted(
+                self.warming.values(), key=lambda worker: worker.list_position
+            )
+        return self.warming_in_list_order
+
+    def _mark_due(self) -> None:
+        """Mark the workers whose moment in the calendar has come."""
+        for due_ns, number in self.calendar.pop_due(self.tables.now_ns):
+            worker = self.tables.workers.get(number)
+            if worker is not None and worker.recheck_ns == due_ns:
+                self.mark_changed(number)
 
-    def _relist(self) -> None:
-        """Follow a new list of ready workers: what it changes is sorted in anew."""
-        tables, home, before, entries = self.tables, set(self.tables.subset), self.listed, self.entries
+    def _regroup_changed(self) -> None:
+        """Regroup the marked workers."""
+        self.not_slow = None
+        for number in self.changed:
+            if (worker := self.tables.workers.get(number)) is not None:
+                self._regroup(worker)
+        self.changed.clear()
+
+    def _apply_list(self) -> None:
+        """Apply a new list of ready workers or new settings, and mark the workers that they change."""
+        tables = self.tables
+        subset = set(tables.subset)
+        previous = self.listed
+        previous_entries = self.entries if tables.settings is self.settings else {}
         self.listed = {worker.entry.worker: worker for worker in tables.ready_workers}
         self.entries = {number: worker.entry for number, worker in self.listed.items()}
-        if tables.settings is not self.settings:
-            entries = {}
-        for place, worker in enumerate(tables.ready_workers):
-            worker.list_position = place
+        for position, worker in enumerate(tables.ready_workers):
+            worker.list_position = position
         for number, entry in self.entries.items():
-            if entries.get(number) is not entry:
+            if previous_entries.get(number) is not entry:
                 self.mark_changed(number)
         for number, worker in self.listed.items():
-            if (worker in home) != (worker in self.home):
+            if (worker in subset) != (worker in self.subset):
                 self.mark_changed(number)
-        for number, worker in before.items():
+        for number, worker in previous.items():
             if self.listed.get(number) is not worker:
                 worker.list_position = -1
-                self._take_out(worker)
-        self.settings, self.ready, self.home = tables.settings, tables.ready_workers, home
+                self._remove(worker)
+        self.settings = tables.settings
+        self.ready = tables.ready_workers
+        self.subset = subset
         self.probing = {number: w for number, w in self.probing.items() if number in tables.workers}
-        self.cold_rows, few = None, len(self.ready) <= FEW
-        if few or self.few:
-            self._change_size(few)
-
-    def _change_size(self, few: bool) -> None:
-        """Keep all workers as special ones while they are few, and sort all in once they are more."""
-        self.few, self.special = few, {}
+        self.warming_in_list_order = None
+        is_small_fleet = len(self.ready) <= MAX_SMALL_FLEET
+        if is_small_fleet or self.is_small_fleet:
+            self._rebuild(is_small_fleet)
+
+    def _rebuild(self, is_small_fleet: bool) -> None:
+        """Make all workers individual in a small fleet; have all regrouped in one that has become large."""
+        self.is_small_fleet = is_small_fleet
         for worker in (*self.listed.values(), *self.tables.recently_reported.values()):
-            worker.group, worker.recheck_ns = None, -1
+            worker.group = None
+            worker.recheck_ns = -1
             self.mark_changed(worker.entry.worker)
-        self.cells.clear()
-        self.calendar.clear()
-        if few:
-            self.special.update(self.listed)
+        self.by_key.clear()
+        self.calendar.entries.clear()
+        self.individual = dict(self.listed) if is_small_fleet else {}
 
-    def _take_out(self, worker: Worker) -> None:
+    def _remove(self, worker: Worker) -> None:
+        """Remove the worker from its place."""
         number = worker.entry.worker
-        if (cell := worker.group) is not None:
-            cell.remove(worker)
-            if not cell.members:
-                del self.cells[cell.key]
-        self.special.pop(number, None)
+        if (group := worker.group) is not None:
+            group.remove(worker)
+            if not group.members:
+                del self.by_key[group.key]
+        self.individual.pop(number, None)
         if self.warming.pop(number, None) is not None:
-            self.cold_rows = None
+            self.warming_in_list_order = None
 
-    def _sort_in(self, worker: Worker) -> None:
-        """Put a worker where it belongs now, and note when that may change by time alone."""
-        number, now = worker.entry.worker, self.tables.now_ns
-        self._take_out(worker)
+    def _regroup(self, worker: Worker) -> None:
+        """Put the worker into its present place, and schedule when time alone may change that."""
+        number = worker.entry.worker
+        now_ns = self.tables.now_ns
+        self._remove(worker)
         if worker.probe_pending:
             self.probing[number] = worker
         else:
             self.probing.pop(number, None)
         if self.listed.get(number) is not worker:
             return
-        warm_ns = worker.started_ns + self.settings.slow_start_ns
         due_ns: float = math.inf
-        if worker.started_ns and now < warm_ns:
-            self.warming[number], self.cold_rows, due_ns = worker, None, warm_ns
-        if (well_ns := self._well_ns(worker)) > now:
-            due_ns = min(due_ns, well_ns)
+        warm_ns = worker.started_ns + self.settings.slow_start_ns
+        is_warming = worker.started_ns != 0 and now_ns < warm_ns
+        if is_warming:
+            self.warming[number] = worker
+            self.warming_in_list_order = None
+            due_ns = warm_ns
+        healthy_from_ns = self.healthy_from_ns(worker)
+        if healthy_from_ns > now_ns:
+            due_ns = min(due_ns, healthy_from_ns)
         elif number not in self.tables.recently_reported or worker.free_slots is not None:
-            key, until_ns = self._key(worker)
-            due_ns = min(due_ns, until_ns)
+            key, valid_until_ns = self.keys.key(worker, is_warming, worker in self.subset)
+            due_ns = min(due_ns, valid_until_ns)
             if key is None:
-                self.special[number] = worker
+                self.individual[number] = worker
             else:
-                if (cell := self.cells.get(key)) is None:
-                    cell = self.cells[key] = WorkerGroup(key)
-                cell.add(worker)
-        # An earlier moment that is noted already will look at it again, and note the next.
-        if due_ns < math.inf and not now < worker.recheck_ns <= due_ns:
-            worker.recheck_ns = int(due_ns)
-            heapq.heappush(self.calendar, (worker.recheck_ns, number))
-
-    def _well_ns(self, worker: Worker) -> float:
-        """When a worker counts as healthy again, as far as time alone brings that; 0: it does."""
+                if (group := self.by_key.get(key)) is None:
+                    group = self.by_key[key] = WorkerGroup(key)
+                group.add(worker)
+        self.calendar.schedule(worker, now_ns, due_ns)
+
+    def healthy_from_ns(self, worker: Worker) -> float:
+        """Return when the worker is healthy again if no event comes; 0: it is healthy now."""
         if self.tables.now_ns < worker.backoff_until_ns:
             return worker.backoff_until_ns
         if worker.is_ejected and self.settings.may_probe:
             return math.inf
         return worker.next_trial_ns if worker.is_ejected else 0
-
-    def _key(self, worker: Worker) -> tuple[WorkerGroupKey | None, float]:
-        """The key of a healthy worker, None where it is special; and until when that holds."""
-        now, number, entry = self.tables.now_ns, worker.entry.worker, worker.entry
-        reported, lapses_ns = (
-            number in self.tables.recently_reported,
-            worker.reported_ns + LOAD_REPORT_MAX_AGE_NS + 1,
-        )
-        if (
-            number in self.warming
-            or worker.failure_score > self.limits.doubt
-            or number in self.tables.reinstated
-            or number in self.tables.scheduler.by_worker
-            or (worker.estimated_slots < 0.5 and (reported or worker.estimated_slots > 0))
-        ):
-            return None, math.inf
-        if reported and now >= lapses_ns:
-            return None, math.inf
-        if not reported and worker.free_slots is not None and now < lapses_ns:
-            return None, lapses_ns
-        if not reported and worker.probe_pending and now < worker.next_probe_ns:
-            return None, worker.next_probe_ns
-        if (until_ns := self._quick_ns(worker)) <= now:
-            return None, math.inf
-        asks, size = (
-            self.settings.may_probe and self.settings.reports_in_probes,
-            round(worker.estimated_slots),
-        )
-        if not reported:
-            key = WorkerGroupKey(
-                False,
-                False,
-                False,
-                entry.kind,
-                entry.zone,
-                0.0,
-                size if worker.estimated_slots else -1,
-                worker.own_slots,
-                None,
-            )
-            return key, until_ns
-        stale_ns = worker.reported_ns + self.limits.fresh_ns + 1
-        if fresh := asks and now < stale_ns:
-            until_ns = min(until_ns, stale_ns)
-        key = WorkerGroupKey(
-            True,
-            fresh,
-            asks and worker in self.home,
-            entry.kind,
-            entry.zone,
-            self.load(worker),
-            size,
-            0.0,
-            free_memory(worker),
-        )
-        return key, min(until_ns, lapses_ns)
-
-    def _quick_ns(self, worker: Worker) -> float:
-        """Until when the worker surely is not slow, and no attempt there is late in telling its start."""
-        until_ns, limits = math.inf, self.limits
-        if worker.slowness[0] >= limits.slow and self.drag(worker) >= limits.slow:
-            return 0
-        for attempt in worker.in_flight.values():
-            if attempt.started_ns:
-                usual_ns = self.floors.usual_ns(attempt) + limits.cover_ns
-                due_ns = attempt.started_ns + math.exp(limits.slow) * usual_ns - limits.cover_ns - 2
-                until_ns = min(until_ns, due_ns)
-            elif self.settings.reports_start:
-                until_ns = min(until_ns, attempt.sent_ns + limits.start_ns + 1)
-        return until_ns
