--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -71,7 +71,7 @@
     def fresh(self) -> None:
         """Each worker reports four free slots."""
         for worker in range(1, self.workers + 1):
-            self.dispatcher.takes[api.ProbeEnded](
+            self.dispatcher.handlers[api.ProbeEnded](
                 api.ProbeEnded(
                     worker, api.Outcome.OK, MS, api.LoadReport(4.0, 4.0, busy_requests=float(self.each))
                 )
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -5,6 +5,7 @@
 import math
 from collections import Counter
 from dataclasses import replace
+from functools import partial
 
 import pytest
 from hypothesis import given, settings
@@ -15,9 +16,9 @@
 from weldquay.candidates import candidate_group as group
 from weldquay.candidates.candidate_group import CandidateGroup, worker_count
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Job, Worker
-from weldquay.policy import members
+from weldquay.policy import worker_table
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.policy.draw import SLOW
+from weldquay.policy.limits import SLOW_LOG_RATIO
 from weldquay.policy.water_fill import water_fill
 
 ROWS = st.lists(
@@ -45,52 +46,56 @@
     """By asking each worker: in health, with news that has not lapsed, and not slow unless most are."""
     news = [
         worker
-        for worker in dispatcher.recently_reported.values()
-        if dispatcher.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
+        for worker in dispatcher.table.recently_reported.values()
+        if dispatcher.context.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
         and worker.free_slots is not None
-        and dispatcher._healthy(worker)
+        and dispatcher.ejection.is_healthy(worker)
     ]
-    quick = [worker for worker in news if dispatcher._drag(worker) < SLOW]
+    quick = [worker for worker in news if dispatcher.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO]
     return quick if 2 * len(quick) >= len(news) else news
 
 
 def check(dispatcher: Dispatcher, number: int) -> None:
     """Hold what the index answers against what asking each worker answers."""
-    index, now, rules = dispatcher.index, dispatcher.now_ns, dispatcher.settings
+    index, now, rules = dispatcher.index, dispatcher.context.now_ns, dispatcher.settings
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job = Job(request, rules.classes[number % 3], now, 5, answer_due_ns=now + 5_000_000_000)
-    index.begin_step()
+    dispatcher.queue.refresh_index()
+    load = dispatcher.load_estimates.load
+    is_eligible = partial(dispatcher.eligibility.is_eligible, job)
     workers, slots = told(dispatcher), request.slots
     room = [
         worker
         for worker in workers
-        if dispatcher._load(worker) + slots <= 0.5
-        and dispatcher._suits(job, worker)
+        if load(worker) + slots <= 0.5
+        and is_eligible(worker)
         and (worker.free_memory is None or worker.free_memory - worker.unreported_memory >= request.memory)
     ]
     assert index.usable_count == len(workers) and index.all_healthy_reported() == workers
-    found = index.reported_candidates(job, lambda worker: dispatcher._suits(job, worker))
+    found = index.reported_candidates(job, is_eligible)
     assert worker_count(found) == len(room)
     asks = rules.may_probe and rules.reports_in_probes
     for row in found:
-        assert all(worker in room and dispatcher._load(worker) == row.load for worker in row.members)
+        assert all(worker in room and load(worker) == row.load for worker in row.members)
         fresh = {now - worker.reported_ns <= 300_000_000 for worker in row.members}
-        home = {worker in dispatcher.subset for worker in row.members}
+        home = {worker in dispatcher.table.subset for worker in row.members}
         assert not asks or (fresh, home) == ({row.is_fresh}, {row.in_subset})
     others = [
         worker
         for worker in dispatcher.ready_workers
-        if worker.entry.worker not in dispatcher.recently_reported
-        and dispatcher._healthy(worker)
+        if worker.entry.worker not in dispatcher.table.recently_reported
+        and dispatcher.ejection.is_healthy(worker)
         and not (worker.probe_pending and now < worker.next_probe_ns)
-        and dispatcher._load(worker) + slots <= -0.5
-        and dispatcher._suits(job, worker)
+        and load(worker) + slots <= -0.5
+        and is_eligible(worker)
     ]
-    silent = index.unreported_candidates(request, lambda worker: dispatcher._suits(job, worker), -0.5)
+    silent = index.unreported_candidates(request, is_eligible, -0.5)
     assert {w.entry.worker for row in silent for w in row.members} == {w.entry.worker for w in others}
-    cold = [worker for worker in dispatcher.ready_workers if dispatcher._cold_room(worker) < math.inf]
+    cold = [
+        worker for worker in dispatcher.ready_workers if dispatcher.slow_start.remaining_ns(worker) < math.inf
+    ]
     assert index.warming_workers() == cold
-    asked = {w.entry.worker for w in dispatcher.recently_reported.values() if w.probe_pending}
+    asked = {w.entry.worker for w in dispatcher.table.recently_reported.values() if w.probe_pending}
     asked = asked or {w.entry.worker for w in dispatcher.ready_workers if w.probe_pending}
     assert {w.entry.worker for w in index.probed_workers()} == asked
 
@@ -117,15 +122,15 @@
     """Chi-squared of 20,000 draws among 90 workers against the shares of the plain formula."""
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
-    dispatcher.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
-    dispatcher.index.begin_step()
+    dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
+    dispatcher.queue.refresh_index()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
     found = dispatcher.index.reported_candidates(job, lambda _: True)
     members = [CandidateGroup([worker], row.load) for row in found for worker in row.members]
     assert len(found) < len(members) // 2
     monkeypatch.setattr(group, "MAX_ROWS", 0)
     drawn = Counter(
-        dispatcher._draw(group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
+        dispatcher.placement.choose(group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
     )
     rates = [1 / dispatcher.runtimes.relative_runtime(row.first.entry.kind) for row in members]
     loads = [row.load + round(row.first.estimated_slots) for row in members]
@@ -159,5 +164,5 @@
         assert len(index.calendar) <= 40 * 8 and len(index.cells) <= 40
         assert set(index.probing) <= set(dispatcher.workers)
     at_rest = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
-    assert len(at_rest) <= members.MAX_DEPARTED + 40  # of 4,000
+    assert len(at_rest) <= worker_table.MAX_DEPARTED + 40  # of 4,000
     assert len(dispatcher.workers) - len(at_rest) <= len(dispatcher.attempts)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -113,7 +113,7 @@
     """A worker that is gone is turned to no more."""
     drive = Dispatcher(settings(dispatcher_count=DISPATCHERS, dispatcher_index=3), 1)
     drive.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
-    gone = drive.subset[0].entry
+    gone = drive.table.subset[0].entry
     drive.step(
         2 * SECOND,
         [
@@ -123,8 +123,8 @@
             )
         ],
     )
-    assert gone.worker not in {worker.entry.worker for worker in drive.subset}
-    assert len(drive.subset) >= LEAST and isinstance(drive.subset[0].slow_start_sends, deque)
+    assert gone.worker not in {worker.entry.worker for worker in drive.table.subset}
+    assert len(drive.table.subset) >= LEAST and isinstance(drive.table.subset[0].slow_start_sends, deque)
 
 
 def test_refused_clients_do_not_return_in_one_wave() -> None:
@@ -170,7 +170,9 @@
         )
         sent = {action.worker for action in actions if isinstance(action, api.Send)}
         assert sent and sent <= ready
-        assert {worker.entry.worker for worker in each.subset} <= ready and len(each.subset) >= LEAST
+        assert {worker.entry.worker for worker in each.table.subset} <= ready and len(
+            each.table.subset
+        ) >= LEAST
 
 
 def test_an_old_list_gives_way_to_what_discovery_tells() -> None:
@@ -180,4 +182,4 @@
     drive.step(2 * SECOND, [api.EndpointListUpdate(api.EndpointListKind.FULL, WORKERS[30:])])
     actions = drive.step(3 * SECOND, [api.RequestReceived(number, 0, SECOND) for number in range(20)])
     assert {action.worker for action in actions if isinstance(action, api.Send)} <= set(range(31, 61))
-    assert {worker.entry.worker for worker in drive.subset} <= set(range(31, 61))
+    assert {worker.entry.worker for worker in drive.table.subset} <= set(range(31, 61))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""A client's retry is as old as its first try, where its figures tell which try that was (policy.jobs)."""
+"""A client's retry is as old as its first attempt, where its fingerprint shows which that was."""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
-from weldquay.policy import members as listed
+from weldquay.policy import worker_table as listed
 from weldquay.net import worker_client as workers
 from weldquay.net import endpoint_list_adapter as list_intake
 from weldquay.net.worker_connection import WorkerConnection
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -107,7 +107,7 @@
                 if rules.is_offered
             ]
             assert len(offered) == 3 and policy.runtimes.mean_runtime_ns() == sum(offered) / 3
-            assert policy.backoff.dispatcher_count == 20 and policy.slow_start_policy.overload_multiple == 4.5
+            assert policy.backoff.dispatcher_count == 20 and policy.slow_start.policy.overload_multiple == 4.5
             assert program.discovery.config is program.config
             assert (await here.post("c1", "/lookup")).status == 404
             assert (await here.post("c2", "/print")).body == b"TEXT"
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -175,7 +175,7 @@
         drive.step(api.WorkerBanChanged(6, False))
         drive.report(6, 2.0)
         (send,) = sends(drive.step(api.RequestReceived(1, 0, 5 * SECOND, runtime_hint_ns=50 * MS)))
-        assert send.worker == 6 and not drive.dispatcher.reinstated
+        assert send.worker == 6 and not drive.dispatcher.table.reinstated
 
 
 def test_a_worker_that_reports_slow_service_is_left_out_before_any_own_job() -> None:
--- a/weldquay/candidates/queue_order.py
+++ b/weldquay/candidates/queue_order.py
@@ -1,4 +1,4 @@
-"""The order of held jobs.  What was computed for a job is kept for as long as it holds."""
+"""The order of queued requests. A computed priority is kept for as long as it holds."""
 
 from __future__ import annotations
 
@@ -10,42 +10,57 @@
 from weldquay.interface import Settings
 from weldquay.state.records import Job
 
-_COST = attrgetter("queue_priority")
+_PRIORITY = attrgetter("queue_priority")
 
 
-class QueueInputs(Protocol):
-    """What the order reads of the decision module's tables."""
+class QueueContext(Protocol):
+    """What the order reads of a step: its time and the dispatcher's end, both in ns, and the settings."""
 
     now_ns: int
     shutdown_ns: float
     settings: Settings
-    runtimes: RuntimeEstimator
-    queued: dict[int, Job]
 
 
 class QueueOrder:
-    """Held jobs by what they are worth."""
+    """Sorts the queue by priority."""
 
-    def __init__(self, tables: QueueInputs, price: Callable[[Job], float]) -> None:
-        """price: the cost of a job; it notes on the job `last_start_ns`, and until when both hold.
+    def __init__(
+        self,
+        context: QueueContext,
+        runtimes: RuntimeEstimator,
+        queued: dict[int, Job],
+        priority: Callable[[Job], float],
+    ) -> None:
+        """Sort `queued`, in which requests stand in the order in which they were queued.
 
-        Both rest on the settings, on the dispatcher's end and, for a job without a hint, on learnt times.
+        Args:
+            context: the step.
+            runtimes: its version shows that learnt running times have changed.
+            queued: the queue, by request id.
+            priority: returns the priority of a request, and sets its `latest_start_ns` and
+                `priority_valid_until_ns`. It depends on the settings, on the dispatcher's end and, for a
+                request without a hint, on learnt running times.
         """
-        self.tables, self.price = tables, price
-        self.settings, self.end_ns = tables.settings, tables.shutdown_ns
+        self.context = context
+        self.runtimes = runtimes
+        self.queued = queued
+        self.priority = priority
+        self.settings = context.settings
+        self.shutdown_ns = context.shutdown_ns
 
     def ranked(self) -> list[Job]:
-        """The jobs, the dearest first; of equals the one that was held first."""
-        tables = self.tables
-        now_ns, learnt, rows = tables.now_ns, tables.runtimes.version, list(tables.queued.values())
-        if tables.settings is not self.settings or tables.shutdown_ns != self.end_ns:
-            self.settings, self.end_ns = tables.settings, tables.shutdown_ns
-            for job in rows:
+        """Return the queue, highest priority first; of equals the one that was queued first."""
+        context = self.context
+        now_ns, version, jobs = context.now_ns, self.runtimes.version, list(self.queued.values())
+        if context.settings is not self.settings or context.shutdown_ns != self.shutdown_ns:
+            self.settings = context.settings
+            self.shutdown_ns = context.shutdown_ns
+            for job in jobs:
                 job.priority_valid_until_ns = -1
-        for job in rows:
-            if now_ns > job.priority_valid_until_ns or (
-                job.estimate_version != learnt and not job.request.runtime_hint_ns
-            ):
-                job.queue_priority, job.estimate_version = self.price(job), learnt
-        rows.sort(key=_COST, reverse=True)
-        return rows
+        for job in jobs:
+            is_outdated = job.estimate_version != version and not job.request.runtime_hint_ns
+            if is_outdated or now_ns > job.priority_valid_until_ns:
+                job.queue_priority = self.priority(job)
+                job.estimate_version = version
+        jobs.sort(key=_PRIORITY, reverse=True)
+        return jobs
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -24,8 +24,9 @@
 from weldquay.lab.scale.points import GIVE_UP_NS, JOBS, Point, job_body
 from weldquay.net.discovery_client import ANSWER_S, BEAT_S, LATE_S
 from weldquay.net.messages import JobPayload, job_headers, watch_target
-from weldquay.policy.draw import LOOK_ENOUGH, LOOK_MOST
-from weldquay.policy.health import FRESH_NS, LOOK_WAIT_NS
+from weldquay.policy.limits import FRESH_REPORT_NS, PROBE_WAIT_NS
+from weldquay.policy.placement import MIN_FRESH_CANDIDATES
+from weldquay.policy.probing import MAX_PROBES
 
 ASK_WITHIN_NS = 10_000_000_000  # as the settings say
 MAX_ATTEMPTS = 5
@@ -139,7 +140,7 @@
 
     def _fresh(self) -> list[str]:
         """Workers with room whose news is fresh."""
-        since = time.monotonic_ns() - FRESH_NS
+        since = time.monotonic_ns() - FRESH_REPORT_NS
         while self.news and next(iter(self.news.values())) < since:
             del self.news[next(iter(self.news))]
         return [name for name in self.news if name in self.workers and self.free[name] >= 1]
@@ -147,8 +148,8 @@
     def _look(self) -> list[asyncio.Task[None]]:
         """Probe up to four of a few workers without fresh news."""
         pool = [name for name in self.home if name in self.workers]
-        some = self.draw.sample(pool, min(len(pool), 3 * LOOK_MOST))
-        asked = [name for name in some if name not in self.news][:LOOK_MOST]
+        some = self.draw.sample(pool, min(len(pool), 3 * MAX_PROBES))
+        asked = [name for name in some if name not in self.news][:MAX_PROBES]
         return [self.run(self._probe(name, self.workers[name])) for name in asked]
 
     def _hear(self, name: str, load: dict[str, float]) -> None:
@@ -196,13 +197,13 @@
     async def _attempt(self, call: str, begun_ns: int) -> bool:
         """Send it to a worker with room; True where that took it."""
         fresh = self._fresh()
-        if len(fresh) < LOOK_ENOUGH and (looks := self._look()):
-            await asyncio.wait(looks, timeout=LOOK_WAIT_NS / 1e9)
+        if len(fresh) < MIN_FRESH_CANDIDATES and (looks := self._look()):
+            await asyncio.wait(looks, timeout=PROBE_WAIT_NS / 1e9)
             fresh = self._fresh()
         home = set(self.home)
         choice = [name for name in fresh if name in home] or fresh or list(self.workers)
         if not choice:
-            await asyncio.sleep(FRESH_NS / 1e9)
+            await asyncio.sleep(FRESH_REPORT_NS / 1e9)
             return False
         name = self.draw.choice(choice)
         address = self.workers[name]
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -12,7 +12,7 @@
 
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.policy.members import MAX_DEPARTED
+from weldquay.policy.worker_table import MAX_DEPARTED
 from weldquay.net.requests import ClientRequest, WorkerClient
 from weldquay.net.counter_names import LIST_COUNTERS
 from weldquay.net.counters import Counters
--- a/weldquay/policy/__init__.py
+++ b/weldquay/policy/__init__.py
@@ -1,14 +1,31 @@
-"""All decisions of a dispatcher.  Read weldquay/interface.py first.  The mechanism is OPT, Theorem 4 of
-"Optimal decentralized querying strategies for cooperative multi-agent systems".  Each file is a layer on the
-one before it: state, times, cold, health, members, draw, jobs, dispatcher.  Every attempt goes this way:
-
-1. A Worker keeps what this dispatcher knows of one worker: its last report, what was pushed to it and what
-   came back since, signs of life, its start.  Its load is pushes since the report minus free slots.
-2. Of the workers that told something lately those in health are candidates; _suits and _load tell which may
-   take a job: of the right kind and group, warm enough, with room.
-3. A job that finds too few of them with fresh news has a few others probed (_look) and waits for their news.
-4. water_fill turns the loads and the arrivals expected within a report interval into shares; _place draws.
-5. A job that no worker may take is held, and placed, dearest work first, when room appears; the planner holds
-   room at one worker for a job of several slots, others go there only around its start, near it it queues.
-Events change the view and the state of jobs (_end_attempt is the table of outcomes); then _tidy settles what
-time alone brings: deadlines, the judgement of health, and the placing of held jobs."""
+"""The decisions of a dispatcher: which worker gets a request, when, and what follows its outcome.
+
+Read `weldquay/interface` first: `Dispatcher.step` takes its events and returns its actions. The package does
+no I/O and reads no clock. The placement is OPT, Theorem 4 of "Optimal decentralized querying strategies for
+cooperative multi-agent systems" (`water_fill.py`).
+
+The way of a request:
+
+1. `open_requests.py` accepts it into the queue and sets the deadline of its answer.
+2. `request_queue.py` places the queued requests at the end of each step, highest priority first
+   (`priorities.py`, with the running times of `runtime_model.py`).
+3. `weldquay/candidates` lists the workers that reported recently and have room. `eligibility.py` excludes
+   those that the request cannot use. Loads are estimated by `load.py`: own sends since the last report minus
+   the free slots of that report.
+4. Where too few of them have a fresh report, `probing.py` probes a few workers, and the request waits.
+5. `placement.py` converts loads and expected arrivals to shares by the water-fill and draws a worker.
+   `sending.py` sends the attempt.
+6. A request that no worker can take stays queued. For one of several slots `capacity_reservation.py` reserves
+   capacity at a worker.
+7. `outcomes.py` holds the table of outcomes. It releases the attempt's slots, learns from the outcome, and
+   answers the request or queues it again within the rules of `retries.py`.
+8. `open_requests.py` gives the final answer where no worker gave one, at the latest at the deadline.
+
+The state of workers: `endpoint_list.py` follows discovery and bans, `load_reports.py` and `probe_results.py`
+apply what workers report, `outlier_ejection.py` and `periodic_check.py` exclude workers that fail or are
+silent, and `slow_start.py` limits what is sent to workers that have just started.
+
+Every part is an object of its own. What a step shares is in `step_context.py`, the common tables are
+`worker_table.py` and `request_table.py`. A module imports only modules that stand before it in the `policy`
+list of `deploy/balancer.toml`.
+"""
--- /dev/null
+++ b/weldquay/policy/open_requests.py
@@ -0,0 +1,168 @@
+"""Requests from their arrival to their final answer."""
+
+from __future__ import annotations
+
+import heapq
+from dataclasses import dataclass, field
+
+from weldquay.discovery.backoff import jittered_delay_ns
+from weldquay.estimators.report_interval import ReportIntervalEstimator
+from weldquay.interface import (
+    ClientDisconnected,
+    Fail,
+    Idempotency,
+    Reject,
+    RequestMigrated,
+    RequestReceived,
+    ResponseStarted,
+    SetTimer,
+    ShutdownStarted,
+    WorkerEntry,
+    WorkerState,
+)
+from weldquay.policy.probing import Probing
+from weldquay.policy.request_table import RequestTable
+from weldquay.policy.retries import RetryRules
+from weldquay.policy.runtime_model import RuntimeModel
+from weldquay.policy.step_context import StepContext
+from weldquay.policy.timers import TimerToken
+from weldquay.policy.worker_table import WorkerTable
+from weldquay.reservations.scheduler import BackfillScheduler
+from weldquay.state.records import Attempt, Job, Worker
+
+MAX_REJECTED = 4096  # rejected requests that are recognised when the client sends them again
+Fingerprint = tuple[int, int, int | None, float, float]
+
+
+def request_fingerprint(request: RequestReceived) -> Fingerprint | None:
+    """Return what a request has in common with a repeat by its client.
+
+    None where neither an idempotency key nor a runtime hint distinguishes it from other requests.
+    """
+    if not request.key and not request.runtime_hint_ns:
+        return None
+    return (request.job_class, request.key, request.runtime_hint_ns, request.slots, request.memory)
+
+
+@dataclass(slots=True, eq=False)
+class OpenRequests:
+    """Accepts requests and gives their final answers.
+
+    Attributes:
+        context: the step.
+        table: the workers, for attempts of an earlier process.
+        requests: the requests that are owed an answer.
+        retries: cancels attempts of finished requests.
+        runtime_model: expected running times.
+        scheduler: reservations, which end with their request.
+        report_interval: the mean of retry delays that clients are given.
+        probing: its budget grows with each request.
+        deadlines: heap of (time by which an answer is due, request id).
+        rejected_since: when a rejected request was first received, by fingerprint, oldest rejection first.
+    """
+
+    context: StepContext
+    table: WorkerTable
+    requests: RequestTable
+    retries: RetryRules
+    runtime_model: RuntimeModel
+    scheduler: BackfillScheduler
+    report_interval: ReportIntervalEstimator
+    probing: Probing
+    deadlines: list[tuple[int, int]] = field(default_factory=list)
+    rejected_since: dict[Fingerprint, int] = field(default_factory=dict)
+
+    def accept(self, request: RequestReceived) -> None:
+        """Queue a request; a repeat of a rejected one is as old as that.
+
+        Raises:
+            IndexError: the request names an unknown class.
+        """
+        context = self.context
+        now_ns, settings = context.now_ns, context.settings
+        first_received_ns = now_ns
+        if fingerprint := request_fingerprint(request):
+            first_received_ns = self.rejected_since.pop(fingerprint, now_ns)
+        job = Job(request, settings.classes[request.job_class], first_received_ns, settings.max_attempts)
+        self.requests.jobs[request.request_id] = self.requests.queued[request.request_id] = job
+        self.runtime_model.estimator.record_request(request.slots * self.runtime_model.expected_ns(job))
+        # The answer is due one clock tick before the client's time runs out.
+        time_left_ns = request.time_left_ns - settings.clock_resolution_ns
+        time_left_ns = int(max(0, min(time_left_ns, context.shutdown_ns - now_ns)))
+        job.answer_due_ns = now_ns + time_left_ns
+        heapq.heappush(self.deadlines, (job.answer_due_ns, request.request_id))
+        context.actions.append(SetTimer(time_left_ns, TimerToken.REQUEST_DEADLINE))
+        self.probing.add_budget()
+
+    def adopt(self, event: RequestMigrated) -> None:
+        """Continue a request of an earlier process, with the attempt that may be in flight.
+
+        The load of that attempt is part of the restored worker state.
+        """
+        request = event.request
+        self.accept(request)
+        job = self.requests.jobs[request.request_id]
+        job.first_received_ns = event.first_received_ns
+        job.attempts = event.attempts
+        if event.worker:
+            del self.requests.queued[request.request_id]
+            unlisted = Worker(WorkerEntry(event.worker, WorkerState.GONE))
+            worker = self.table.workers.setdefault(event.worker, unlisted)
+            attempt = Attempt(job, job.attempts - 1, worker, event.sent_ns, started_ns=event.started_ns)
+            self.requests.add_attempt(attempt)
+            worker.own_slots += request.slots
+
+    def begin_response(self, event: ResponseStarted) -> None:
+        """Note that the client gets a response: the request has no other attempt from now on."""
+        if event.request_id in self.requests.jobs:
+            self.requests.jobs[event.request_id].streaming = True
+
+    def disconnect(self, event: ClientDisconnected) -> None:
+        """Drop a request whose client has left."""
+        self.finish(event.request_id)
+
+    def finish(self, request_id: int) -> None:
+        """Remove a request that needs no further answer, and cancel its attempts."""
+        job = self.requests.jobs.pop(request_id, None)
+        self.requests.queued.pop(request_id, None)
+        self.scheduler.cancel(self.context.now_ns, request_id, "job_over")
+        if job is not None:
+            for attempt in job.in_flight.values():
+                self.retries.cancel(attempt)
+
+    def answer(self, job: Job) -> None:
+        """Give the final answer to a request that was not served.
+
+        It is rejected, with a delay after which workers will have reported anew, where a repeat by the client
+        does no harm; otherwise it fails.
+        """
+        request = job.request
+        may_repeat = not job.unprocessable and (
+            job.class_settings.idempotency is Idempotency.IDEMPOTENT
+            or not (job.possibly_executed or job.in_flight)
+        )
+        self.finish(request.request_id)
+        if (fingerprint := request_fingerprint(request)) is not None:
+            self.rejected_since[fingerprint] = job.first_received_ns
+        if len(self.rejected_since) > MAX_REJECTED:
+            del self.rejected_since[next(iter(self.rejected_since))]
+        delay_ns = jittered_delay_ns(self.context.random, self.report_interval.ns)
+        delay_ns = min(delay_ns, self.context.settings.max_retry_after_ns)
+        self.context.actions.append(
+            Reject(request.request_id, delay_ns) if may_repeat else Fail(request.request_id)
+        )
+
+    def answer_due(self) -> None:
+        """Answer the requests whose time has run out, but for those whose response has started."""
+        now_ns, deadlines = self.context.now_ns, self.deadlines
+        while deadlines and deadlines[0][0] <= now_ns:
+            job = self.requests.jobs.get(heapq.heappop(deadlines)[1])
+            if job is not None and not job.streaming:
+                self.answer(job)
+
+    def start_shutdown(self, event: ShutdownStarted) -> None:
+        """Answer all requests by the end of the dispatcher."""
+        self.context.shutdown_ns = shutdown_ns = self.context.now_ns + event.time_left_ns
+        self.deadlines += [(shutdown_ns, request_id) for request_id in self.requests.jobs]
+        heapq.heapify(self.deadlines)
+        self.context.actions.append(SetTimer(event.time_left_ns, TimerToken.REQUEST_DEADLINE))
--- /dev/null
+++ b/weldquay/policy/placement.py
@@ -0,0 +1,123 @@
+"""Placement of a request: its candidates, and the random choice among them by the water-fill."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+from operator import mul
+
+from weldquay.candidates.candidate_group import CandidateGroup, split_small_groups, worker_count
+from weldquay.candidates.index import CandidateIndex
+from weldquay.estimators.report_interval import ReportIntervalEstimator
+from weldquay.estimators.runtime import RuntimeEstimator
+from weldquay.policy.eligibility import Eligibility
+from weldquay.policy.limits import DEFAULT_SLOTS
+from weldquay.policy.load import LoadEstimates
+from weldquay.policy.probing import Probing
+from weldquay.policy.send_rate import SendRate
+from weldquay.policy.step_context import StepContext
+from weldquay.policy.water_fill import water_fill
+from weldquay.policy.worker_table import WorkerTable
+from weldquay.state.records import Job, Worker
+
+MIN_FRESH_CANDIDATES = 4  # candidates with fresh reports from which on a request needs no probes
+CROSS_ZONE_LOAD = 2.0  # load added to a worker in another zone, where crossing zones has a cost
+MAX_UNREPORTED_LOAD = 0.5  # of a worker without a report, with the request
+MAX_UNPROBED_LOAD = -0.5  # the same where a probe could get a report
+
+
+@dataclass(slots=True, eq=False)
+class Placement:
+    """Selects a worker for a request.
+
+    Attributes:
+        context: the step.
+        table: the ready and the reinstated workers.
+        index: the candidates.
+        eligibility: which workers may take a request.
+        probing: probe rounds.
+        load_estimates: loads of workers and zones.
+        estimator: machine speeds.
+        send_rate: the rate of sends.
+        report_interval: how often workers refresh their reports.
+    """
+
+    context: StepContext
+    table: WorkerTable
+    index: CandidateIndex
+    eligibility: Eligibility
+    probing: Probing
+    load_estimates: LoadEstimates
+    estimator: RuntimeEstimator
+    send_rate: SendRate
+    report_interval: ReportIntervalEstimator
+
+    def place(self, job: Job) -> Worker | None:
+        """Return a worker for the request; None where none may take it or it waits for probe results."""
+        settings = self.context.settings
+        groups = self.index.reported_candidates(job, partial(self.eligibility.is_eligible, job))
+        arrivals = settings.dispatcher_count * self.send_rate.per_ns() * self.report_interval.ns
+        individuals = [group for group in groups if group.is_individual]
+        reinstated = self.table.reinstated
+        # A reinstated worker is used first: others that are nearer or faster could keep it unused.
+        if preferred := [group for group in individuals if group.first.entry.worker in reinstated]:
+            groups = preferred
+        elif settings.may_probe and settings.reports_in_probes:
+            fresh = [group for group in groups if group.is_fresh]
+            warming = [group for group in individuals if group.first.entry.worker in self.index.warming]
+            min_fresh = 1 if job.probe_rounds else MIN_FRESH_CANDIDATES
+            if not warming and worker_count(fresh) < min_fresh and self.probing.probe_candidates(job):
+                return None
+            fresh = warming or [group for group in fresh if group.in_subset] or fresh
+            if groups:
+                arrivals *= self._arrival_fraction(fresh or groups, groups)
+            groups = fresh or groups or self.unreported_candidates(job)
+        else:
+            groups += self.unreported_candidates(job)
+        return self.choose(split_small_groups(groups), arrivals) if groups else None
+
+    def _arrival_fraction(self, used: list[CandidateGroup], groups: list[CandidateGroup]) -> float:
+        """Return the part of all dispatchers' requests that comes to the used candidates.
+
+        The other dispatchers choose among other workers: this one has reports of a part of them only.
+        """
+        return min(
+            1.0,
+            self.index.usable_count
+            * worker_count(used)
+            / (worker_count(groups) * len(self.table.ready_workers)),
+        )
+
+    def unreported_candidates(self, job: Job) -> list[CandidateGroup]:
+        """Return the workers without a report that may have room, by the mean load of their zone."""
+        max_load = MAX_UNPROBED_LOAD if self.context.settings.may_probe else MAX_UNREPORTED_LOAD
+        min_zone_load = min(self.load_estimates.mean_zone_load.values(), default=-DEFAULT_SLOTS)
+        if min_zone_load + job.request.slots > max_load:
+            return []
+        return self.index.unreported_candidates(
+            job.request, partial(self.eligibility.is_eligible, job), max_load
+        )
+
+    def choose(self, groups: list[CandidateGroup], arrivals: float) -> Worker:
+        """Draw a worker by the shares of the water-fill.
+
+        Args:
+            groups: the candidates, at least one.
+            arrivals: requests that come to them within a report interval.
+        """
+        settings = self.context.settings
+        counts = [len(group.members) for group in groups]
+        rates = [1 / self.estimator.relative_runtime(group.first.entry.kind) for group in groups]
+        total_rate, worker_total = sum(map(mul, rates, counts)), sum(counts)
+        rates = [rate * worker_total / total_rate for rate in rates]
+        loads = list[float]()
+        for group, rate in zip(groups, rates, strict=True):
+            first = group.first
+            slots = round(first.estimated_slots or self.load_estimates.mean_slots)
+            load = group.load + slots
+            if settings.cross_zone_cost > 0 and first.entry.zone != settings.zone:
+                load += CROSS_ZONE_LOAD * max(1.0, arrivals * rate)
+            loads.append(load)
+        weights = list(map(mul, water_fill(loads, arrivals, rates, counts), counts))
+        members = self.context.random.choices(groups, weights)[0].members
+        return members[0] if len(members) == 1 else self.context.random.choice(members)
--- /dev/null
+++ b/weldquay/policy/priorities.py
@@ -0,0 +1,67 @@
+"""How urgent a queued request is: its latest useful start, its weight and its place in the queue."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from weldquay.policy.runtime_model import RuntimeModel
+from weldquay.policy.step_context import StepContext
+from weldquay.state.records import Job
+
+FREE_WAIT_FRACTION = 0.5  # of the latency objective: a request may wait so long without losing priority
+
+
+@dataclass(slots=True, eq=False)
+class RequestPriorities:
+    """Deadlines and priorities of queued requests.
+
+    Attributes:
+        context: the step.
+        runtime_model: expected running times.
+    """
+
+    context: StepContext
+    runtime_model: RuntimeModel
+
+    def latest_start_ns(self, job: Job) -> float:
+        """Return the last moment at which a start is likely to meet the latency objective.
+
+        Half of the mean running time stands for its median. The dispatcher's own end bounds it too.
+        """
+        rules = job.class_settings
+        expected_ns = self.runtime_model.expected_ns(job)
+        spare_ns = rules.latency_objective_ns + max(0.0, rules.runtime_allowance - 1) * expected_ns / 2
+        return min(job.first_received_ns + spare_ns, self.context.shutdown_ns - expected_ns)
+
+    def weight_per_work(self, job: Job) -> float:
+        """Return the request's priority weight for each nanosecond of work.
+
+        Where the settings give weights per work, it is the weight itself.
+        """
+        work_ns = 1.0
+        if not self.context.settings.weights_per_work:
+            work_ns = max(1.0, self.runtime_model.expected_ns(job))
+        return job.class_settings.priority_weight / work_ns
+
+    def queue_priority(self, job: Job) -> float:
+        """Return the request's priority in the queue, and record on it how long the value holds.
+
+        Without a runtime hint the chance of meeting the objective falls while the request waits, since only a
+        running time at least as long as its excess wait is consistent with it. So its priority decays, and
+        under overload the queue does not degrade to one where every request waits its turn and is late.
+        """
+        weight, latest_start_ns = self.weight_per_work(job), self.latest_start_ns(job)
+        has_hint = job.request.runtime_hint_ns
+        now_ns, objective_ns = self.context.now_ns, job.class_settings.latency_objective_ns
+        excess_wait_ns = now_ns - job.first_received_ns - FREE_WAIT_FRACTION * objective_ns
+        job.latest_start_ns = latest_start_ns
+        job.priority_valid_until_ns = math.inf
+        if now_ns > latest_start_ns:
+            return weight * job.class_settings.late_weight
+        job.priority_valid_until_ns = (
+            latest_start_ns if has_hint else min(latest_start_ns, now_ns - excess_wait_ns)
+        )
+        if has_hint or excess_wait_ns <= 0:
+            return weight
+        return weight * math.exp(-excess_wait_ns / self.runtime_model.expected_ns(job))
--- /dev/null
+++ b/weldquay/policy/request_queue.py
@@ -0,0 +1,112 @@
+"""The queue of requests that wait for a worker, and their placement in order of priority."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from weldquay.candidates.index import CandidateIndex
+from weldquay.candidates.inputs import CandidateInputs
+from weldquay.candidates.queue_order import QueueOrder
+from weldquay.discovery.list_lease import ListLease
+from weldquay.policy.capacity_reservation import CapacityReservation
+from weldquay.policy.limits import PROBE_WAIT_NS
+from weldquay.policy.load import LoadEstimates
+from weldquay.policy.open_requests import OpenRequests
+from weldquay.policy.placement import Placement
+from weldquay.policy.request_table import RequestTable
+from weldquay.policy.retries import RetryRules
+from weldquay.policy.sending import AttemptSender
+from weldquay.policy.slow_start import SlowStart
+from weldquay.policy.step_context import StepContext
+from weldquay.policy.worker_table import WorkerTable
+from weldquay.reservations.scheduler import BackfillScheduler
+
+
+@dataclass(slots=True, eq=False)
+class RequestQueue:
+    """Places the queued requests.
+
+    Attributes:
+        context: the step.
+        table: the workers.
+        requests: the queue.
+        lease: nothing is sent once the endpoint list has expired.
+        inputs: what the index reads of the other parts.
+        index: the candidates.
+        order: the order of the queue.
+        load_estimates: the mean capacity.
+        slow_start: the number of warming workers.
+        open_requests: gives final answers.
+        retries: whether a request may be sent again.
+        placement: selects workers.
+        scheduler: the reservations.
+        reservation: reserves capacity for large requests.
+        sender: sends attempts.
+    """
+
+    context: StepContext
+    table: WorkerTable
+    requests: RequestTable
+    lease: ListLease
+    inputs: CandidateInputs
+    index: CandidateIndex
+    order: QueueOrder
+    load_estimates: LoadEstimates
+    slow_start: SlowStart
+    open_requests: OpenRequests
+    retries: RetryRules
+    placement: Placement
+    scheduler: BackfillScheduler
+    reservation: CapacityReservation
+    sender: AttemptSender
+
+    def place_queued(self) -> None:
+        """Place the queued requests, highest priority first, as far as there is room.
+
+        Requests that can only be late, or may not be sent again, get their final answer instead.
+        """
+        now_ns = self.context.now_ns
+        is_list_expired = now_ns >= self.lease.until_ns
+        self.refresh_index()
+        # By job class and slots: least memory of a request that found no worker. Requests of the same kind
+        # that need as much are skipped in this step.
+        blocked_memory: dict[tuple[int, float], float] = {}
+        for job in self.order.ranked():
+            request, possibly_executed = job.request, job.possibly_executed
+            is_too_late = (
+                now_ns > job.latest_start_ns
+                and job.class_settings.late_weight == 0
+                and request.request_id not in self.scheduler.by_request
+            )
+            if is_too_late or (
+                possibly_executed is not None and not self.retries.may_retry(job, possibly_executed)
+            ):
+                self.open_requests.answer(job)
+                continue
+            if is_list_expired or now_ns < job.retry_not_before_ns:
+                continue
+            kind = (request.job_class, request.slots)
+            is_first_attempt = possibly_executed is None
+            is_blocked = is_first_attempt and request.memory >= blocked_memory.get(kind, math.inf)
+            worker = None if is_blocked else self.placement.place(job)
+            if worker is None and self.scheduler.handles(request.slots):
+                worker = self.reservation.reserve_capacity(job)
+            if worker is not None:
+                self.sender.send(job, worker)
+                del self.requests.queued[request.request_id]
+            elif not is_blocked and is_first_attempt and now_ns - job.last_probed_ns >= PROBE_WAIT_NS:
+                blocked_memory[kind] = request.memory
+
+    def refresh_index(self) -> None:
+        """Give the index the state of this step, and start its placements."""
+        inputs, context, table = self.inputs, self.context, self.table
+        inputs.now_ns = context.now_ns
+        inputs.settings = context.settings
+        inputs.ready_workers = table.ready_workers
+        inputs.subset = table.subset
+        inputs.mean_slots = self.load_estimates.mean_slots
+        self.index.begin_step()
+        # Early in the life of the process any worker may have started just now.
+        is_young = context.now_ns < context.settings.slow_start_ns
+        self.slow_start.warming_count = len(table.ready_workers if is_young else self.index.warming)
