--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -15,9 +15,9 @@
 from weldquay.candidates import candidate_group
 from weldquay.candidates.candidate_group import CandidateGroup, worker_count
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Job, Worker
-from weldquay.policy import members
+from weldquay.policy import worker_table
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.policy.draw import SLOW
+from weldquay.policy.limits import SLOW_LOG_RATIO
 from weldquay.policy.water_fill import water_fill
 
 GROUPS = st.lists(
@@ -49,22 +49,24 @@
     """Scan all workers: healthy, with a recent report, and not slow unless most are."""
     reported = [
         worker
-        for worker in dispatcher.recently_reported.values()
-        if dispatcher.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
+        for worker in dispatcher.table.recently_reported.values()
+        if dispatcher.context.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
         and worker.free_slots is not None
-        and dispatcher._healthy(worker)
+        and dispatcher.ejection.is_healthy(worker)
+    ]
+    not_slow = [
+        worker for worker in reported if dispatcher.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO
     ]
-    not_slow = [worker for worker in reported if dispatcher._drag(worker) < SLOW]
     return not_slow if 2 * len(not_slow) >= len(reported) else reported
 
 
 def check(dispatcher: Dispatcher, number: int) -> None:
     """Compare what the index returns for a request with a scan of all workers."""
-    now_ns = dispatcher.now_ns
+    now_ns = dispatcher.context.now_ns
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job_class = dispatcher.settings.classes[number % 3]
     job = Job(request, job_class, now_ns, 5, answer_due_ns=now_ns + 5_000_000_000)
-    dispatcher.index.begin_step()
+    dispatcher.queue.refresh_index()
     check_reported(dispatcher, job)
     check_unreported(dispatcher, job)
     check_warming_and_probed(dispatcher)
@@ -79,19 +81,19 @@
     with_room = [
         worker
         for worker in workers
-        if dispatcher._load(worker) + job.request.slots <= 0.5
-        and dispatcher._suits(job, worker)
+        if dispatcher.load_estimates.load(worker) + job.request.slots <= 0.5
+        and dispatcher.eligibility.is_eligible(job, worker)
         and (worker.free_memory is None or worker.free_memory - worker.unreported_memory >= memory)
     ]
     assert index.usable_count == len(workers) and index.all_healthy_reported() == workers
-    found = index.reported_candidates(job, lambda worker: dispatcher._suits(job, worker))
+    found = index.reported_candidates(job, lambda worker: dispatcher.eligibility.is_eligible(job, worker))
     assert worker_count(found) == len(with_room)
     probes_report = settings.may_probe and settings.reports_in_probes
     for group in found:
         assert all(worker in with_room for worker in group.members)
-        assert all(dispatcher._load(worker) == group.load for worker in group.members)
-        fresh = {dispatcher.now_ns - worker.reported_ns <= 300_000_000 for worker in group.members}
-        in_subset = {worker in dispatcher.subset for worker in group.members}
+        assert all(dispatcher.load_estimates.load(worker) == group.load for worker in group.members)
+        fresh = {dispatcher.context.now_ns - worker.reported_ns <= 300_000_000 for worker in group.members}
+        in_subset = {worker in dispatcher.table.subset for worker in group.members}
         assert not probes_report or (fresh, in_subset) == ({group.is_fresh}, {group.in_subset})
 
 
@@ -100,14 +102,14 @@
     unreported = {
         worker.entry.worker
         for worker in dispatcher.ready_workers
-        if worker.entry.worker not in dispatcher.recently_reported
-        and dispatcher._healthy(worker)
-        and not (worker.probe_pending and dispatcher.now_ns < worker.next_probe_ns)
-        and dispatcher._load(worker) + job.request.slots <= -0.5
-        and dispatcher._suits(job, worker)
+        if worker.entry.worker not in dispatcher.table.recently_reported
+        and dispatcher.ejection.is_healthy(worker)
+        and not (worker.probe_pending and dispatcher.context.now_ns < worker.next_probe_ns)
+        and dispatcher.load_estimates.load(worker) + job.request.slots <= -0.5
+        and dispatcher.eligibility.is_eligible(job, worker)
     }
     found = dispatcher.index.unreported_candidates(
-        job.request, lambda worker: dispatcher._suits(job, worker), -0.5
+        job.request, lambda worker: dispatcher.eligibility.is_eligible(job, worker), -0.5
     )
     assert {worker.entry.worker for group in found for worker in group.members} == unreported
 
@@ -115,9 +117,11 @@
 def check_warming_and_probed(dispatcher: Dispatcher) -> None:
     """The workers that are warming up, and those with a health check in flight."""
     index = dispatcher.index
-    warming = [worker for worker in dispatcher.ready_workers if dispatcher._cold_room(worker) < math.inf]
+    warming = [
+        worker for worker in dispatcher.ready_workers if dispatcher.slow_start.remaining_ns(worker) < math.inf
+    ]
     assert index.warming_workers() == warming
-    probed = {w.entry.worker for w in dispatcher.recently_reported.values() if w.probe_pending}
+    probed = {w.entry.worker for w in dispatcher.table.recently_reported.values() if w.probe_pending}
     probed = probed or {w.entry.worker for w in dispatcher.ready_workers if w.probe_pending}
     assert {w.entry.worker for w in index.probed_workers()} == probed
 
@@ -144,15 +148,16 @@
     """Chi-squared test of 20,000 draws among 90 workers against the shares without groups."""
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
-    dispatcher.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
-    dispatcher.index.begin_step()
+    dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
+    dispatcher.queue.refresh_index()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
     found = dispatcher.index.reported_candidates(job, lambda _: True)
     members = [CandidateGroup([worker], group.load) for group in found for worker in group.members]
     assert len(found) < len(members) // 2
     monkeypatch.setattr(candidate_group, "MAX_SINGLE_CANDIDATES", 0)
     drawn = Counter(
-        dispatcher._draw(candidate_group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
+        dispatcher.placement.choose(candidate_group.split_small_groups(found), 60.0).entry.worker
+        for _ in range(20_000)
     )
     rates = [1 / dispatcher.runtimes.relative_runtime(member.first.entry.kind) for member in members]
     loads = [member.load + round(member.first.estimated_slots) for member in members]
@@ -190,5 +195,5 @@
         assert len(groups.calendar.entries) <= 40 * 8 and len(groups.by_key) <= 40
         assert set(groups.probing) <= set(dispatcher.workers)
     idle = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
-    assert len(idle) <= members.MAX_DEPARTED + 40  # of 4,000
+    assert len(idle) <= worker_table.MAX_DEPARTED + 40  # of 4,000
     assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
