--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -186,7 +186,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
             await until(lambda: not here.program.server.connections)
-            assert worker.methods() == ["POST"] and not here.program.coordinator.calls
+            assert worker.methods() == ["POST"] and not here.program.coordinator.requests
             assert here.program.counters.counts["answers_served"] == 1
 
     asyncio.run(scenario())
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -30,7 +30,7 @@
             size = connection.writer.transport.get_write_buffer_size
             await until(lambda: size() > 60_000)
             await asyncio.sleep(0.1)
-            assert size() < 200_000 and len(here.program.coordinator.calls) <= 1
+            assert size() < 200_000 and len(here.program.coordinator.requests) <= 1
             await here.program.finish()
             client.close()
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -40,7 +40,7 @@
 
 async def in_hand(here: Site, count: int) -> None:
     """Wait until so many calls wait."""
-    await until(lambda: len(here.program.coordinator.calls) == count)
+    await until(lambda: len(here.program.coordinator.requests) == count)
 
 
 async def gone(here: Site, count: int = 1) -> float:
@@ -151,7 +151,10 @@
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job())
             await until(
-                lambda: any(call.attempts_started == 2 for call in here.program.coordinator.calls.values())
+                lambda: any(
+                    request.attempts_started == 2
+                    for request in here.program.coordinator.requests.by_number.values()
+                )
             )
             sock.close()
             await gone(here)
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -15,7 +15,7 @@
     PROBE_COUNTERS,
     RESERVATION_COUNTERS,
 )
-from weldquay.net.request_coordinator import ANSWER_COUNTERS
+from weldquay.net.request_table import ANSWER_COUNTERS
 from weldquay.net.operators import OPERATION_COUNTERS
 from weldquay.net.client_server import EVICTION_COUNTERS
 
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -144,7 +144,7 @@
                 asyncio.create_task(here.post(f"c{number}", path))
                 for number, path in enumerate(("/lookup", "/import"))
             ]
-            await until(lambda: len(here.program.coordinator.at_worker) == 2)
+            await until(lambda: len(here.program.coordinator.attempts.by_worker) == 2)
             told = {**document(), "discovery": here.discovery.address}
             services = told["settings"]["services"]
             services[0].update(effect="fragile")
@@ -153,7 +153,7 @@
             here.program.reload_wanted.set()
             await until(lambda: here.program.counters.counts["reloads"])
             assert (await here.post("c9", "/import")).start.split()[1] == "404"
-            for (call, _), attempt in list(here.program.coordinator.at_worker.items()):
+            for (call, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
                 worker = next(each for each in here.workers if each.name == attempt.worker_id)
                 worker.script = None
                 await worker.tell(call, state="lost")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -136,7 +136,7 @@
                 )
                 writer.close()
                 await until(lambda: last.methods()[-1] == "DELETE")
-                assert second.counters.counts["clients_gone"] == 1 and not second.coordinator.calls
+                assert second.counters.counts["clients_gone"] == 1 and not second.coordinator.requests
 
     asyncio.run(scenario())
 
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -51,7 +51,7 @@
     """Play a call up to the wait of its repeat for the DELETE of its first attempt."""
     held = Held(here.workers[0])
     held.call = asyncio.create_task(here.post(left_ms=3000))
-    calls = here.program.coordinator.calls
+    calls = here.program.coordinator.requests.by_number
     await until(lambda: held.deletes and any(call.attempts_started == 2 for call in calls.values()))
     return held
 
@@ -133,7 +133,10 @@
             await until(
                 lambda: (
                     call.done()
-                    or any(each.attempts_started == 2 for each in here.program.coordinator.calls.values())
+                    or any(
+                        request.attempts_started == 2
+                        for request in here.program.coordinator.requests.by_number.values()
+                    )
                 )
             )
             if several:
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -146,7 +146,7 @@
             sock.send(job("c2"))
             sock.send(job("c3"))  # a reset connection would refuse this one
             assert await taken(sock) == b""
-            assert not here.program.coordinator.calls and here.workers[0].methods() == ["POST"]
+            assert not here.program.coordinator.requests and here.workers[0].methods() == ["POST"]
             sock.close()
             await until(lambda: not here.program.server.connections)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -114,7 +114,7 @@
 
             workers._connect = slow  # type: ignore[method-assign]
             answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
-            await until(lambda: any(name == "w0" for _, name in here.program.coordinator.at_worker))
+            await until(lambda: any(name == "w0" for _, name in here.program.coordinator.attempts.by_worker))
             assert await here.operate("match-workers/w0/offline") == 200
             gate.set()
             assert {(await answer).start.split()[1] for answer in answers} == {"200"}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -283,7 +283,8 @@
 
             workers._connect = slow  # type: ignore[method-assign]
             answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
-            await until(lambda: any(name == first.name for _, name in here.program.coordinator.at_worker))
+            attempts = here.program.coordinator.attempts
+            await until(lambda: any(worker_id == first.name for _, worker_id in attempts.by_worker))
             if phase is None:
                 del here.discovery.members[first.name]
                 await here.discovery.tell()
@@ -317,8 +318,9 @@
                 del here.discovery.members[f"old{number}"]
             await here.discovery.change(first, "SERVING")
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
-            known = here.program.workers.workers, meeting.worker_numbers, meeting.dispatcher.workers
-            assert all(len(each) <= 8 for each in known) and meeting.is_known_worker("old0")
+            numbers = meeting.endpoint_list.worker_numbers
+            known = here.program.workers.workers, numbers, meeting.dispatcher.workers
+            assert all(len(table) <= 8 for table in known) and meeting.is_known_worker("old0")
             assert (await here.post()).body == b"TEXT"
 
     monkeypatch.setattr(listed, "MAX_DEPARTED", 2)
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -72,9 +72,9 @@
 async def told_then_broken(here: Site, failing: Failing) -> None:
     """The list has come, then the calls fail until the lease has run out."""
     exchange = here.program.coordinator
-    await until(lambda: exchange.endpoint_list_expires_ns > time.monotonic_ns())
+    await until(lambda: exchange.endpoint_list.expires_ns > time.monotonic_ns())
     assert (await here.post("before")).body == b"TEXT"
-    await until(lambda: exchange.endpoint_list_expires_ns <= time.monotonic_ns())
+    await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
 
 
 class ToldThen(Failing):
@@ -156,7 +156,7 @@
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
             exchange = here.program.coordinator
-            await until(lambda: exchange.endpoint_list_expires_ns <= time.monotonic_ns())
+            await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
             silent.address_told = here.workers[0].address
             silent.left = 0
--- /dev/null
+++ b/weldquay/net/attempt_table.py
@@ -0,0 +1,101 @@
+"""The attempts in flight: their registration, their deadlines and their ends."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+
+from weldquay import interface as api
+from weldquay.net.counter_names import ATTEMPT_COUNTERS
+from weldquay.net.counters import Counters
+from weldquay.net.event_queue import EventQueue
+from weldquay.net.request_table import RequestTable
+from weldquay.net.requests import Attempt, Completed
+
+
+class AttemptTable:
+    """The attempts that have not ended, by their numbers and by their workers."""
+
+    def __init__(
+        self,
+        counters: Counters,
+        events: EventQueue,
+        requests: RequestTable,
+        cancel_at_worker: Callable[[Attempt], None],
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._counters = counters
+        self._events = events
+        self._requests = requests
+        self._cancel_at_worker = cancel_at_worker
+        self.by_number: dict[tuple[int, int], Attempt] = {}  # by the request's number and the attempt's
+        self.by_worker: dict[tuple[str, str], Attempt] = {}  # by the request's id and the worker's
+
+    def __len__(self) -> int:
+        """The number of attempts in flight."""
+        return len(self.by_number)
+
+    def add(self, attempt: Attempt) -> None:
+        """Register an attempt until its end, and start its deadline timer."""
+        request = attempt.request
+        attempt.deadline_timer = self._loop.call_later(
+            max(0, attempt.deadline_ns - time.monotonic_ns()) / 1e9,
+            self.cancel,
+            attempt,
+            api.Outcome.TIMEOUT,
+        )
+        request.in_flight[attempt.number] = attempt
+        self.by_number[request.number, attempt.number] = attempt
+        self.by_worker[request.id, attempt.worker_id] = attempt
+
+    def remove(self, attempt: Attempt) -> None:
+        """Mark an attempt as ended and take it out, without an event."""
+        attempt.ended = True
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.cancel()
+        request = attempt.request
+        del self.by_number[request.number, attempt.number]
+        del self.by_worker[request.id, attempt.worker_id]
+        del request.in_flight[attempt.number]
+
+    def end(
+        self,
+        attempt: Attempt,
+        outcome: api.Outcome,
+        load_report: api.LoadReport | None = None,
+        result: str = "",
+    ) -> None:
+        """End an attempt with its outcome, and answer the request if that is OK.
+
+        Only the first end of an attempt counts; a further one changes nothing.
+        """
+        if attempt.ended:
+            return
+        self.remove(attempt)
+        request = attempt.request
+        self._counters.add(ATTEMPT_COUNTERS[outcome])
+        if not outcome.never_executed:
+            request.possibly_executed = True
+        if outcome is api.Outcome.OK:
+            self._requests.answer(request, Completed(result))
+        is_finished = not request.is_open
+        if is_finished and not request.in_flight:
+            self._requests.by_number.pop(request.number, None)
+        self._events.enqueue(
+            api.AttemptEnded(
+                request.number,
+                attempt.number,
+                attempt.worker,
+                outcome,
+                time.monotonic_ns() - attempt.sent_ns,
+                is_finished,
+                load_report,
+            )
+        )
+
+    def cancel(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """End an attempt with the outcome CANCELLED or TIMEOUT, and cancel it at its worker."""
+        if not attempt.ended:
+            self.end(attempt, outcome)
+            self._cancel_at_worker(attempt)
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -89,7 +89,7 @@
         moved, self.config = config.discovery != self.config.discovery, config
         if moved:
             self.revision = 0
-            self.coordinator.discovery_address_changed()
+            self.coordinator.endpoint_list.on_address_changed()
             self.watch()
 
     def watch(self) -> None:
@@ -114,7 +114,7 @@
                 told = error.advice() if isinstance(error, OperatorError) else str(error)
                 log.info("the watch on discovery ended: %s", told or type(error).__name__)
             self.failures += 1
-        self.coordinator.discovery_failed(int((time.monotonic() - self.whole_at) * 1e9), failure)
+        self.coordinator.endpoint_list.on_failure(int((time.monotonic() - self.whole_at) * 1e9), failure)
 
     def _failure(self, error: Exception) -> api.DiscoveryFailure:
         """How a call to discovery failed."""
@@ -220,7 +220,7 @@
             self.coordinator.counters.peak("longest_list_ms", (time.monotonic() - self.asked) * 1000)
             self.asked = 0.0
         if not value:
-            self.coordinator.endpoint_list_unchanged()
+            self.coordinator.endpoint_list.on_unchanged()
             return
         changes = parse_endpoint_list(value)
         if changes.revision < self.revision and not changes.is_complete:
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -1,374 +1,231 @@
-"""The exchange: where the clients' side, the workers' side and the decisions meet.
+"""The coordinator of one dispatcher: events in, a step of the decision module, actions out.
 
-It owns the Dispatcher, the tables of calls and attempts, the timers, and the mapping between names on the
-sockets and the numbers of the decision module.  Both sides report what happened; the exchange batches that
-into `step` and carries out every action.  It knows no HTTP: a call's payload passes through it unopened.
+The clients' side, the workers' side and discovery report what happened.  The coordinator collects that in an
+event queue and passes it to the decision module in batches.  It has one part for each job: the open requests,
+the attempts in flight, the endpoint list, the actions, and the migration to another process.  It contains no
+HTTP: the payload of a request passes through it unread.
 """
 
 from __future__ import annotations
 
-import asyncio
 import logging
 import time
 from collections.abc import Callable
 
 from weldquay import interface as api
-from weldquay.policy.dispatcher import Dispatcher
-from weldquay.net.request_migration import RequestMigration
-from weldquay.net.requests import (
-    Answer,
-    Attempt,
-    ClientRequest,
-    Failed,
-    Rejected,
-    DiscoveryWatcher,
-    Completed,
-    WorkerClient,
-)
-from weldquay.net.config import Config, numbered
-from weldquay.net.counter_names import (
-    ATTEMPT_COUNTERS,
-    PROBE_COUNTERS,
-    RESERVATION_COUNTERS,
-)
+from weldquay.net.action_executor import ActionExecutor
+from weldquay.net.attempt_table import AttemptTable
+from weldquay.net.config import Config
+from weldquay.net.counter_names import PROBE_COUNTERS
 from weldquay.net.counters import Counters
 from weldquay.net.endpoint_list_adapter import EndpointListAdapter
-from weldquay.net.messages import Callback, RequestMetadata
+from weldquay.net.event_queue import EventQueue
+from weldquay.net.hot_restart_messages import MigratedRequest
+from weldquay.net.messages import Callback, EndpointList, RequestMetadata
+from weldquay.net.request_migration import RequestMigration
+from weldquay.net.request_table import RequestTable
+from weldquay.net.requests import Answer, Attempt, ClientRequest, DiscoveryWatcher, WorkerClient
+from weldquay.policy.dispatcher import Dispatcher
 
 log = logging.getLogger(__name__)
 
-OVERDUE_NS = 10_000_000  # past its deadline by this much a call without an answer is failed here
-MS = 1_000_000
 
-ANSWER_COUNTERS: dict[type[Answer], str] = {
-    Completed: "answers_served",
-    Rejected: "answers_overload",
-    Failed: "answers_failed",
-}
+class RequestCoordinator:
+    """Runs the decision module of one dispatcher between its network sides.
 
+    A request's life: `submit`, then attempts by the executor's Send actions, each of which ends once through
+    `attempt_ended` (or a callback, a cancellation, its deadline), then exactly one answer.
+    """
 
-class RequestCoordinator(EndpointListAdapter, RequestMigration):
-    """One dispatcher at work: events in, decisions, actions out."""
+    workers: WorkerClient
 
     def __init__(self, config: Config, counters: Counters) -> None:
-        self.config, self.counters = config, counters
-        self.workers: WorkerClient
-        self.discovery: DiscoveryWatcher
+        self.config = config
+        self.counters = counters
         self.dispatcher = Dispatcher(config.settings, config.seed)
-        self.loop = asyncio.get_running_loop()
-        # Fixed for the program's life, so that one start is always the same moment to the module.
-        self.epoch_ns = time.time_ns() - time.monotonic_ns()
-        self.events: list[api.Event] = []
-        self.scheduled = False
-        self.calls: dict[int, ClientRequest] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}
-        self.at_worker: dict[tuple[str, str], Attempt] = {}  # by the call's id and the worker's
-        self.last_call = self.last_worker = 0
-        self.worker_numbers: dict[str, int] = {}
-        self.worker_names: dict[int, str] = {}
-        self.bans: set[str] = set()  # workers that operators took out
-        self.waits_for_list = False  # requests are held, since the list may be out of date
-        self.zones, self.kinds = numbered(config.zones), numbered(config.kinds)
+        self.events = EventQueue(self._step)
+        self.enqueue_event = self.events.enqueue
+        self.requests = RequestTable(counters, self.events)
+        self.attempts = AttemptTable(counters, self.events, self.requests, self._cancel_at_worker)
+        self.attempt_ended = self.attempts.end
+        self.endpoint_list = EndpointListAdapter(config, counters, self.dispatcher, self.events)
+        self.migration = RequestMigration(
+            self.dispatcher, self.events, self.requests, self.attempts, self.endpoint_list
+        )
+        self.executor = ActionExecutor(
+            counters, self.events, self.requests, self.attempts, self.endpoint_list
+        )
 
     def start(self, workers: WorkerClient, discovery: DiscoveryWatcher) -> None:
-        """Begin with the list that the configuration holds."""
-        self.workers, self.discovery = workers, discovery
+        """Connect the network sides, and begin with the endpoint list of the configuration."""
+        self.workers = workers
+        self.endpoint_list.workers = workers
+        self.migration.workers = workers
+        self.executor.workers = workers
+        self.executor.discovery = discovery
         self.apply_endpoint_list(self.config.known, api.EndpointListKind.CACHED, self.config.lease)
 
+    def reconfigure(self, config: Config) -> None:
+        """Use other settings; open requests keep those that they were submitted with."""
+        self.config = config
+        self.endpoint_list.reconfigure(config)
+        self.enqueue_event(api.SettingsChanged(config.settings))
+
+    def begin_shutdown(self, time_left_s: float) -> None:
+        """Announce the shutdown to the decision module: all requests are answered within time_left_s."""
+        self.enqueue_event(api.ShutdownStarted(int(time_left_s * 1e9)))
+
     @property
     def has_pending_work(self) -> bool:
-        """True while a call is in hand or an attempt is out."""
-        return bool(self.calls or self.attempts)
+        """True while a request is open or an attempt is in flight."""
+        return bool(self.requests or self.attempts)
 
-    # --- the clients' side ---
+    @property
+    def calls(self) -> dict[int, ClientRequest]:
+        """The requests by number."""
+        return self.requests.by_number
+
+    # --- requests of clients ---
 
     def submit(
-        self, job_class: int, figures: RequestMetadata, payload: object, on_answer: Callable[[Answer], None]
+        self,
+        job_class: int,
+        metadata: RequestMetadata,
+        payload: object,
+        on_answer: Callable[[Answer], None],
     ) -> ClientRequest | None:
-        """Take a call in; None where too many are in hand."""
-        if len(self.calls) >= self.config.max_open:
+        """Accept a client's request; None if the limit of open requests is reached."""
+        config = self.config
+        if len(self.requests.by_number) >= config.max_open:
             self.counters.add("calls_over_limit")
             return None
         self.counters.add("calls")
-        left_ns = figures.time_left_ns
-        if left_ns is None:
-            left_ns = self.config.settings.classes[job_class].client_timeout_ns
+        settings = config.settings
+        class_settings = settings.classes[job_class]
+        time_left_ns = metadata.time_left_ns
+        if time_left_ns is None:
+            time_left_ns = class_settings.client_timeout_ns
         now_ns = time.monotonic_ns()
-        call = self._enter(figures, job_class, payload, now_ns, now_ns + left_ns, on_answer)
-        self._tell(self._request(call, left_ns))
-        return call
-
-    def _enter(
-        self,
-        figures: RequestMetadata,
-        job_class: int,
-        payload: object,
-        opened_ns: int,
-        deadline_ns: int,
-        on_answer: Callable[[Answer], None],
-    ) -> ClientRequest:
-        self.last_call = (self.last_call + 1) % 2**32
-        settings = self.config.settings
-        call = ClientRequest(
-            figures.id,
-            self.last_call,
+        request = ClientRequest(
+            metadata.id,
             payload,
-            deadline_ns,
+            now_ns + time_left_ns,
             on_answer,
-            figures,
+            metadata,
             job_class,
-            settings.classes[job_class],
-            opened_ns,
+            class_settings,
+            now_ns,
             settings.max_attempts,
         )
-        # By way of call_soon: after a stall of the loop the step that answers in time comes first.
-        call.deadline_timer = self.loop.call_later(
-            max(0, deadline_ns + OVERDUE_NS - time.monotonic_ns()) / 1e9,
-            self.loop.call_soon,
-            self._overdue,
-            call,
-        )
-        self.calls[call.number] = call
-        return call
-
-    def _request(self, call: ClientRequest, left_ns: int) -> api.RequestReceived:
-        told = call.metadata
-        return api.RequestReceived(
-            call.number,
-            call.job_class,
-            left_ns,
-            told.slots,
-            told.memory,
-            told.runtime_hint_ns,
-            told.key,
-            told.is_retry,
-        )
+        self.requests.add(request)
+        self.enqueue_event(request.received_event(time_left_ns))
+        return request
 
-    def reconfigure(self, config: Config) -> None:
-        """Take in other settings; calls in hand keep those that they came with."""
-        self.config = config
-        for names, numbers in ((config.zones, self.zones), (config.kinds, self.kinds)):
-            for name in names:
-                numbers[name]  # a new one gets the next number
-        self._tell(api.SettingsChanged(config.settings))
-
-    def begin_shutdown(self, left_s: float) -> None:
-        """Have all that is owed answered within left_s: the program is about to end."""
-        self._tell(api.ShutdownStarted(int(left_s * 1e9)))
-
-    def client_disconnected(self, call: ClientRequest) -> None:
-        """The client left before its answer."""
-        if call.is_open:
-            self.counters.add("clients_gone")
-            self._close(call)
-            self._tell(api.ClientDisconnected(call.number))
-
-    def _overdue(self, call: ClientRequest) -> None:
-        """The last resort for a call that the decisions left without its answer."""
-        if call.is_open:
-            log.error("call %s had no answer by its deadline", call.id)
-            self.counters.add("calls_overdue")
-            self._answer(call, Failed())
-            self._tell(api.ClientDisconnected(call.number))
-
-    def _answer(self, call: ClientRequest | None, answer: Answer) -> None:
-        """Give the final answer, unless the call has ended already."""
-        if call is not None and call.is_open:
-            self._close(call)
-            self.counters.add(ANSWER_COUNTERS[type(answer)])
-            call.on_answer(answer)
-
-    def _close(self, call: ClientRequest) -> None:
-        call.is_open = False
-        if call.deadline_timer is not None:
-            call.deadline_timer.cancel()
-        if not call.in_flight:
-            del self.calls[call.number]
-
-    # --- the workers' side ---
-
-    def handle_callback(self, told: Callback) -> bool:
-        """A worker tells of a job; what comes again or for an ended attempt changes nothing, and is False."""
-        attempt = self.at_worker.get((told.id, told.worker_id))
+    def client_disconnected(self, request: ClientRequest) -> None:
+        """End a request whose client left before the answer."""
+        self.requests.disconnect(request)
+
+    # --- attempts and probes ---
+
+    def handle_callback(self, callback: Callback) -> bool:
+        """Apply a worker's callback; False if it matches no attempt in flight, and so changes nothing."""
+        attempt = self.attempts.by_worker.get((callback.id, callback.worker_id))
         if attempt is None:
             self.counters.add("callbacks_unmatched")
             return False
         self.counters.add("callbacks")
-        if told.outcome is None:
+        if callback.outcome is None:
             attempt.started_ns = attempt.started_ns or time.monotonic_ns()
-            self._tell(
-                api.AttemptProgress(attempt.request.number, attempt.number, attempt.worker, told.progress)
+            self.enqueue_event(
+                api.AttemptProgress(attempt.request.number, attempt.number, attempt.worker, callback.progress)
             )
         else:
-            self.attempt_ended(attempt, told.outcome, told.load_report, told.result)
+            self.attempt_ended(attempt, callback.outcome, callback.load_report, callback.result)
         return True
 
-    def attempt_ended(
-        self, attempt: Attempt, outcome: api.Outcome, load: api.LoadReport | None = None, result: str = ""
+    def probe_ended(
+        self,
+        worker_id: str,
+        outcome: api.Outcome,
+        latency_ns: int,
+        load_report: api.LoadReport | None = None,
     ) -> None:
-        """Tell the one end of an attempt; a second one changes nothing."""
-        if attempt.ended:
-            return
-        self._remove(attempt)
-        call = attempt.request
-        self.counters.add(ATTEMPT_COUNTERS[outcome])
-        call.possibly_executed = call.possibly_executed or not outcome.never_executed
-        if outcome is api.Outcome.OK:
-            self._answer(call, Completed(result))
-        if (over := not call.is_open) and not call.in_flight:
-            self.calls.pop(call.number, None)
-        self._tell(
-            api.AttemptEnded(
-                call.number,
-                attempt.number,
-                attempt.worker,
-                outcome,
-                time.monotonic_ns() - attempt.sent_ns,
-                over,
-                load,
-            )
-        )
+        """Report the result of a health check."""
+        self.counters.add(PROBE_COUNTERS[outcome])
+        number = self.endpoint_list.worker_numbers.get(worker_id)
+        if number is not None:
+            self.enqueue_event(api.ProbeEnded(number, outcome, latency_ns, load_report))
 
-    def _register(self, attempt: Attempt) -> None:
-        """Count an attempt as out, until its end or its deadline."""
-        call = attempt.request
-        attempt.deadline_timer = self.loop.call_later(
-            max(0, attempt.deadline_ns - time.monotonic_ns()) / 1e9,
-            self._give_up,
-            attempt,
-            api.Outcome.TIMEOUT,
-        )
-        call.in_flight[attempt.number] = self.attempts[call.number, attempt.number] = attempt
-        self.at_worker[call.id, attempt.worker_id] = attempt
-
-    def _remove(self, attempt: Attempt) -> None:
-        attempt.ended = True
-        if attempt.deadline_timer is not None:
-            attempt.deadline_timer.cancel()
-        call = attempt.request
-        del self.attempts[call.number, attempt.number]
-        del self.at_worker[call.id, attempt.worker_id]
-        del call.in_flight[attempt.number]
+    def _cancel_at_worker(self, attempt: Attempt) -> None:
+        self.workers.cancel_attempt(attempt)
 
-    def probe_ended(
-        self, worker_id: str, outcome: api.Outcome, latency_ns: int, load: api.LoadReport | None = None
+    # --- the endpoint list and bans ---
+
+    def apply_endpoint_list(
+        self, update: EndpointList, kind: api.EndpointListKind, lease: api.LeaseState = api.NO_LEASE
     ) -> None:
-        """Tell a probe's result."""
-        self.counters.add(PROBE_COUNTERS[outcome])
-        if (number := self.worker_numbers.get(worker_id)) is not None:
-            self._tell(api.ProbeEnded(number, outcome, latency_ns, load))
+        """Apply a complete endpoint list, or changes of it; see `EndpointListAdapter.apply`."""
+        self.endpoint_list.apply(update, kind, lease)
 
-    # --- operators ---
+    @property
+    def is_endpoint_list_confirmed(self) -> bool:
+        """True once discovery has confirmed the list to this process, or to the one before it."""
+        return self.dispatcher.lease.granted
+
+    @property
+    def bans(self) -> set[str]:
+        """The ids of the workers that operators have banned."""
+        return self.endpoint_list.bans
 
     def is_known_worker(self, worker_id: str) -> bool:
-        """True where the list has ever named the worker, or a ban does."""
-        return worker_id in self.worker_numbers or worker_id in self.bans
+        """True if the worker has a number or a ban."""
+        return self.endpoint_list.is_known_worker(worker_id)
 
     def ban(self, worker_id: str, on: bool) -> None:
-        """Take a worker out, whatever the list says, or (on False) put it back."""
-        if on != (worker_id in self.bans):
-            (self.bans.add if on else self.bans.discard)(worker_id)
-            self.workers.set_banned(worker_id, on)
-            self._tell(api.WorkerBanChanged(self._number(worker_id), on))
+        """Ban a worker from new attempts, whatever the list says, or (on False) lift the ban."""
+        self.endpoint_list.ban(worker_id, on)
 
-    # --- decisions ---
+    # --- migration to and from another process ---
 
-    def _tell(self, event: api.Event) -> None:
-        """Book an event for the next step, which takes in all that this turn of the loop brings."""
-        self.events.append(event)
-        if not self.scheduled:
-            self.scheduled = True
-            self.loop.call_soon(self._step)
+    def worker_snapshots(self) -> dict[str, api.WorkerSnapshot]:
+        """The state of each worker, by its id."""
+        return self.migration.worker_snapshots()
+
+    def restore_worker(self, worker_id: str, snapshot: api.WorkerSnapshot) -> None:
+        """Restore the state that an earlier process had of a worker."""
+        self.migration.restore_worker(worker_id, snapshot)
+
+    def can_migrate(self, request: ClientRequest) -> bool:
+        """True if another process can continue the request; see `RequestMigration.can_migrate`."""
+        return self.migration.can_migrate(request, self.config)
+
+    def migrate_request(self, request: ClientRequest) -> MigratedRequest:
+        """End a request here without an answer, and return what another process needs to continue it."""
+        return self.migration.migrate_request(request, self.config)
+
+    def accept_migrated(
+        self,
+        migrated: MigratedRequest,
+        metadata: RequestMetadata,
+        payload: object,
+        on_answer: Callable[[Answer], None],
+    ) -> ClientRequest:
+        """Continue a request of an earlier process."""
+        self.counters.add("calls_adopted")
+        return self.migration.accept_migrated(migrated, metadata, payload, on_answer, self.config)
 
     def _step(self) -> None:
-        self.scheduled = False
-        events, self.events = self.events, []
+        events = self.events.take()
         started_ns = time.monotonic_ns()
         try:
             actions = self.dispatcher.step(started_ns, events)
-        except Exception:  # the calls of this batch are failed at their deadlines, the others go on
-            log.exception("a step of the decisions failed on %r", events)
+        except Exception:  # the requests of this batch fail at their deadlines, others continue
+            log.exception("decision step failed on %r", events)
             self.counters.add("steps_failed")
             return
+        execute = self.executor.execute
         for action in actions:
-            self._do(action)
-        self._log_lease_changes(started_ns)
+            execute(action)
+        self.endpoint_list.log_lease_changes(started_ns, has_requests=bool(self.requests.by_number))
         self.counters.add("steps")
         self.counters.peak("longest_step_ms", (time.monotonic_ns() - started_ns) / 1e6)
-
-    def _do(self, action: api.Action) -> None:
-        match action:
-            case api.Send():
-                self._send(action)
-            case api.Reject():
-                self._answer(self.calls.get(action.request_id), Rejected(action.retry_after_ns))
-            case api.Fail():
-                self._answer(self.calls.get(action.request_id), Failed())
-            case api.Cancel():
-                attempt = self.attempts.get((action.request_id, action.attempt))
-                if attempt is not None:
-                    self._give_up(attempt, api.Outcome.CANCELLED)
-            case api.SetTimer():
-                self.loop.call_later(action.delay_ns / 1e9, self._tell, api.TimerDue(action.token))
-            case api.Probe():
-                self.counters.add("probes")
-                self.workers.probe(self.worker_names[action.worker])
-            case api.CloseIdleConnections():
-                self.workers.close_idle(self.worker_names[action.worker])
-            case api.WatchEndpoints():
-                self.discovery.watch()
-            case api.Log():
-                log.info("%s", action.text)
-            case api.ReservationEnded():
-                self._hold_ended(action)
-            case api.SendToPeer():
-                log.warning("there is no way to other dispatchers here: a message is dropped")
-
-    def _hold_ended(self, ended: api.ReservationEnded) -> None:
-        """Tell operators what became of room that was held."""
-        self.counters.add(RESERVATION_COUNTERS[ended.reason])
-        call = self.calls.get(ended.request_id)
-        log.info(
-            "room for call %s at %s: %s after %.0f ms, %.0f ms from the start expected at first",
-            call.id if call is not None else ended.request_id,
-            self.worker_names[ended.worker],
-            ended.reason,
-            ended.reserved_ns / MS,
-            ended.delay_ns / MS,
-        )
-
-    def _send(self, action: api.Send) -> None:
-        now_ns = time.monotonic_ns()
-        call = self.calls.get(action.request_id)
-        number = call.attempts_started if call is not None else 0
-        name = self.worker_names[action.worker]
-        if (
-            call is None
-            or not call.is_open
-            or now_ns >= call.deadline_ns
-            or number >= call.max_attempts
-            or (call.id, name) in self.at_worker
-        ):
-            if call is not None:
-                call.attempts_started += 1
-            self.counters.add(ATTEMPT_COUNTERS[api.Outcome.ABORTED_BEFORE_SEND])
-            over = call is None or not call.is_open
-            self._tell(
-                api.AttemptEnded(
-                    action.request_id, number, action.worker, api.Outcome.ABORTED_BEFORE_SEND, 0, over
-                )
-            )
-            return
-        self.counters.add("attempts")
-        call.attempts_started += 1
-        deadline_ns = call.deadline_ns
-        if action.timeout_ns:
-            deadline_ns = min(deadline_ns, now_ns + action.timeout_ns)
-        attempt = Attempt(call, number, action.worker, name, now_ns, deadline_ns, action.send_before_ns)
-        self._register(attempt)
-        self.workers.send(attempt)
-
-    def _give_up(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        if not attempt.ended:
-            self.attempt_ended(attempt, outcome)
-            self.workers.cancel_attempt(attempt)
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -1,151 +1,151 @@
-"""How a call goes from one process of a dispatcher to the next: the part of the exchange that hands over.
+"""The migration of requests and worker states between two processes of one dispatcher, in a hot restart.
 
-The older process ends the call without an answer, and returns what the newer one needs to go on with it.
+The older process ends a request without an answer, and returns what the newer one needs to continue it.
 """
 
 from __future__ import annotations
 
 import time
-from abc import ABC, abstractmethod
 from collections.abc import Callable
 
 from weldquay import interface as api
-from weldquay.policy.dispatcher import Dispatcher
-from weldquay.net.requests import Answer, Attempt, ClientRequest, WorkerClient
+from weldquay.net.attempt_table import AttemptTable
 from weldquay.net.config import Config
-from weldquay.net.counters import Counters
+from weldquay.net.endpoint_list_adapter import EndpointListAdapter
+from weldquay.net.event_queue import EventQueue
 from weldquay.net.hot_restart_messages import MigratedAttempt, MigratedRequest
 from weldquay.net.messages import RequestMetadata
+from weldquay.net.request_table import RequestTable
+from weldquay.net.requests import Answer, Attempt, ClientRequest, WorkerClient
+from weldquay.policy.dispatcher import Dispatcher
 
 
-class RequestMigration(ABC):
-    """The base of `Exchange` that passes calls on and adopts them; `Exchange` has the tables of calls."""
-
-    config: Config
-    counters: Counters
-    workers: WorkerClient
-    dispatcher: Dispatcher
-    worker_names: dict[int, str]
+class RequestMigration:
+    """Hands requests over to another process, and accepts those of an earlier one.
 
-    @abstractmethod
-    def _tell(self, event: api.Event) -> None: ...
+    `workers` is set before the first request migrates.
+    """
 
-    @abstractmethod
-    def _number(self, worker_id: str) -> int: ...
+    workers: WorkerClient
 
-    @abstractmethod
-    def _enter(
+    def __init__(
         self,
-        figures: RequestMetadata,
-        job_class: int,
-        payload: object,
-        opened_ns: int,
-        deadline_ns: int,
-        on_answer: Callable[[Answer], None],
-    ) -> ClientRequest: ...
-
-    @abstractmethod
-    def _request(self, call: ClientRequest, left_ns: int) -> api.RequestReceived: ...
-
-    @abstractmethod
-    def _close(self, call: ClientRequest) -> None: ...
-
-    @abstractmethod
-    def _register(self, attempt: Attempt) -> None: ...
-
-    @abstractmethod
-    def _remove(self, attempt: Attempt) -> None: ...
+        dispatcher: Dispatcher,
+        events: EventQueue,
+        requests: RequestTable,
+        attempts: AttemptTable,
+        endpoint_list: EndpointListAdapter,
+    ) -> None:
+        self._dispatcher = dispatcher
+        self._enqueue_event = events.enqueue
+        self._requests = requests
+        self._attempts = attempts
+        self._endpoint_list = endpoint_list
 
     def worker_snapshots(self) -> dict[str, api.WorkerSnapshot]:
         """The state of each worker, by its id."""
-        snapshots = self.dispatcher.snapshots()
-        return {self.worker_names[number]: snapshot for number, snapshot in snapshots.items()}
+        worker_ids = self._endpoint_list.worker_ids
+        snapshots = self._dispatcher.snapshots()
+        return {worker_ids[number]: snapshot for number, snapshot in snapshots.items()}
 
     def restore_worker(self, worker_id: str, snapshot: api.WorkerSnapshot) -> None:
         """Restore the state that an earlier process had of a worker."""
-        self._tell(api.WorkerStateRestored(self._number(worker_id), snapshot))
+        number = self._endpoint_list.worker_number(worker_id)
+        self._enqueue_event(api.WorkerStateRestored(number, snapshot))
 
-    def can_migrate(self, call: ClientRequest) -> bool:
-        """True where a later process can go on with the call: nothing of it is half done here.
+    def can_migrate(self, request: ClientRequest, config: Config) -> bool:
+        """True if another process can continue the request.
 
-        That process knows today's rules, and of an attempt that has ended only that it has.
+        The other process has the current settings, and no outcomes of attempts that have ended.  So the
+        request's settings must be the current ones, no message about it may be under way to a worker, and no
+        ended attempt may have executed a job that must not run twice.
         """
-        settings = self.config.settings
-        return call.is_open and (
-            call.class_settings == settings.classes[call.job_class]
-            and call.max_attempts == settings.max_attempts
-            and (call.is_idempotent or not call.possibly_executed)
-            and not self.workers.is_notifying(call)
+        settings = config.settings
+        return request.is_open and (
+            request.class_settings == settings.classes[request.job_class]
+            and request.max_attempts == settings.max_attempts
+            and (request.is_idempotent or not request.possibly_executed)
+            and not self.workers.is_notifying(request)
         )
 
-    def migrate_request(self, call: ClientRequest) -> MigratedRequest:
-        """End a call here without an answer: a later process goes on with what this tells."""
-        attempts = tuple(
-            MigratedAttempt(
-                number=attempt.number,
-                worker_id=attempt.worker_id,
-                sent_ns=attempt.sent_ns,
-                deadline_ns=attempt.deadline_ns,
-                started_ns=attempt.started_ns,
-            )
-            for attempt in call.in_flight.values()
-        )
+    def migrate_request(self, request: ClientRequest, config: Config) -> MigratedRequest:
+        """End a request here without an answer, and return what another process needs to continue it."""
+        in_flight = list(request.in_flight.values())
         migrated = MigratedRequest(
-            class_name=self.config.class_names[call.job_class],
-            opened_ns=call.received_ns,
-            deadline_ns=call.deadline_ns,
-            attempts_sent=call.attempts_started,
-            attempts=attempts,
+            class_name=config.class_names[request.job_class],
+            opened_ns=request.received_ns,
+            deadline_ns=request.deadline_ns,
+            attempts_sent=request.attempts_started,
+            attempts=tuple(
+                MigratedAttempt(
+                    number=attempt.number,
+                    worker_id=attempt.worker_id,
+                    sent_ns=attempt.sent_ns,
+                    deadline_ns=attempt.deadline_ns,
+                    started_ns=attempt.started_ns,
+                )
+                for attempt in in_flight
+            ),
         )
-        for attempt in list(call.in_flight.values()):
-            self._remove(attempt)
-            self._tell(
-                api.AttemptEnded(call.number, attempt.number, attempt.worker, api.Outcome.CANCELLED, 0, True)
+        for attempt in in_flight:
+            self._attempts.remove(attempt)
+            self._enqueue_event(
+                api.AttemptEnded(
+                    request.number, attempt.number, attempt.worker, api.Outcome.CANCELLED, 0, True
+                )
             )
-        self._close(call)
-        self._tell(api.ClientDisconnected(call.number))
+        self._requests.close(request)
+        self._enqueue_event(api.ClientDisconnected(request.number))
         return migrated
 
     def accept_migrated(
         self,
         migrated: MigratedRequest,
-        figures: RequestMetadata,
+        metadata: RequestMetadata,
         payload: object,
         on_answer: Callable[[Answer], None],
+        config: Config,
     ) -> ClientRequest:
-        """Go on with a call as an earlier process told of it."""
-        self.counters.add("calls_adopted")
-        call = self._enter(
-            figures,
-            self.config.class_names.index(migrated.class_name),
+        """Continue a request of an earlier process, with its attempts in flight."""
+        settings = config.settings
+        job_class = config.class_names.index(migrated.class_name)
+        request = ClientRequest(
+            metadata.id,
             payload,
-            migrated.opened_ns,
             migrated.deadline_ns,
             on_answer,
+            metadata,
+            job_class,
+            settings.classes[job_class],
+            migrated.opened_ns,
+            settings.max_attempts,
+            attempts_started=migrated.attempts_sent,
         )
-        call.attempts_started, now_ns = migrated.attempts_sent, time.monotonic_ns()
-        worker = sent_ns = begun_ns = 0
-        for each in migrated.attempts:
-            worker, sent_ns, begun_ns = self._number(each.worker_id), each.sent_ns, each.started_ns
-            attempt = Attempt(
-                call,
-                each.number,
-                worker,
-                each.worker_id,
-                sent_ns,
-                each.deadline_ns,
-                started_ns=begun_ns,
-                possibly_sent=True,
-            )
-            self._register(attempt)
-        self._tell(
+        self._requests.add(request)
+        attempts = [self._accept_attempt(request, attempt) for attempt in migrated.attempts]
+        last_attempt = attempts[-1] if attempts else None
+        self._enqueue_event(
             api.RequestMigrated(
-                self._request(call, call.deadline_ns - now_ns),
-                call.received_ns,
-                call.attempts_started,
-                worker,
-                sent_ns,
-                begun_ns,
+                request.received_event(request.deadline_ns - time.monotonic_ns()),
+                request.received_ns,
+                request.attempts_started,
+                last_attempt.worker if last_attempt is not None else 0,
+                last_attempt.sent_ns if last_attempt is not None else 0,
+                last_attempt.started_ns if last_attempt is not None else 0,
             )
         )
-        return call
+        return request
+
+    def _accept_attempt(self, request: ClientRequest, migrated: MigratedAttempt) -> Attempt:
+        attempt = Attempt(
+            request,
+            migrated.number,
+            self._endpoint_list.worker_number(migrated.worker_id),
+            migrated.worker_id,
+            migrated.sent_ns,
+            migrated.deadline_ns,
+            started_ns=migrated.started_ns,
+            possibly_sent=True,
+        )
+        self._attempts.add(attempt)
+        return attempt
--- /dev/null
+++ b/weldquay/net/request_table.py
@@ -0,0 +1,81 @@
+"""The clients' requests that are open, or have attempts in flight, and their final answers."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+
+from weldquay import interface as api
+from weldquay.net.counters import Counters
+from weldquay.net.event_queue import EventQueue
+from weldquay.net.requests import Answer, ClientRequest, Completed, Failed, Rejected
+
+log = logging.getLogger(__name__)
+
+ANSWER_GRACE_NS = 10_000_000  # after its deadline a request without an answer is failed here
+MAX_REQUEST_NUMBERS = 2**32
+
+ANSWER_COUNTERS: dict[type[Answer], str] = {
+    Completed: "answers_served",
+    Rejected: "answers_overload",
+    Failed: "answers_failed",
+}
+
+
+class RequestTable:
+    """The requests by their numbers, each with a timer that fails it after its deadline."""
+
+    def __init__(self, counters: Counters, events: EventQueue) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._counters = counters
+        self._events = events
+        self._last_number = 0
+        self.by_number: dict[int, ClientRequest] = {}
+
+    def __len__(self) -> int:
+        """The number of requests."""
+        return len(self.by_number)
+
+    def add(self, request: ClientRequest) -> None:
+        """Give a request its number, and start its deadline timer."""
+        self._last_number = (self._last_number + 1) % MAX_REQUEST_NUMBERS
+        request.number = self._last_number
+        # By way of call_soon: after a stall of the loop, a step that answers in time runs first.
+        request.deadline_timer = self._loop.call_later(
+            max(0, request.deadline_ns + ANSWER_GRACE_NS - time.monotonic_ns()) / 1e9,
+            self._loop.call_soon,
+            self._on_deadline_passed,
+            request,
+        )
+        self.by_number[request.number] = request
+
+    def answer(self, request: ClientRequest | None, answer: Answer) -> None:
+        """Give the final answer; nothing happens if the request has ended already."""
+        if request is not None and request.is_open:
+            self.close(request)
+            self._counters.add(ANSWER_COUNTERS[type(answer)])
+            request.on_answer(answer)
+
+    def disconnect(self, request: ClientRequest) -> None:
+        """End a request whose client left before the answer."""
+        if request.is_open:
+            self._counters.add("clients_gone")
+            self.close(request)
+            self._events.enqueue(api.ClientDisconnected(request.number))
+
+    def close(self, request: ClientRequest) -> None:
+        """Mark a request as ended; it stays in the table until its last attempt has ended."""
+        request.is_open = False
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        if not request.in_flight:
+            del self.by_number[request.number]
+
+    def _on_deadline_passed(self, request: ClientRequest) -> None:
+        """Fail a request that the decision module has not answered by its deadline."""
+        if request.is_open:
+            log.error("request %s had no answer by its deadline: failed", request.id)
+            self._counters.add("calls_overdue")
+            self.answer(request, Failed())
+            self._events.enqueue(api.ClientDisconnected(request.number))
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -315,7 +315,7 @@
         """
         now_ns = time.monotonic_ns()
         return (
-            now_ns < self.coordinator.endpoint_list_expires_ns
+            now_ns < self.coordinator.endpoint_list.expires_ns
             and attempt.request.is_open
             and not attempt.ended
             and not worker.is_banned
