--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -11,7 +11,7 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, Site, job, site, until
-from weldquay.net import worker_client as workers
+from weldquay.net import attempt_runner
 
 FULL = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
@@ -57,7 +57,7 @@
     script: Script, path: str, posts: int, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It may have run: what may run again is sent again, once the worker was told; the other fails."""
-    monkeypatch.setattr(workers, "ACCEPT_S", 0.2)
+    monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -109,20 +109,20 @@
     async def scenario() -> None:
         async with site(caps={"probes": False, "cancel": cancel}) as here:
             workers, gate = here.program.workers, asyncio.Event()
-            connect = workers._connect
+            connect = workers.connections.connect
 
             async def slow(worker: WorkerEndpoint) -> WorkerConnection:
                 await gate.wait()
                 return await connect(worker)
 
-            workers._connect = slow  # type: ignore[method-assign]
+            workers.connections.connect = slow  # type: ignore[method-assign]
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job(path=path))
             await until(lambda: here.program.coordinator.attempts)
             sock.close()
             await gone(here)
             gate.set()
-            await until(lambda: not here.program.coordinator.attempts and not workers.sending)
+            await until(lambda: not here.program.coordinator.attempts and not workers.attempts.sending)
             assert (await here.post("last")).body == b"TEXT"
             assert here.workers[0].methods() == ["POST"]  # and no DELETE: nothing was there to give up
 
@@ -159,7 +159,7 @@
             sock.close()
             await gone(here)
             gate.set()
-            await until(lambda: not here.program.workers.busy and not here.program.workers.sending)
+            await until(lambda: not here.program.workers.busy and not here.program.workers.attempts.sending)
             assert len(posts) == 1
 
     asyncio.run(scenario())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -19,8 +19,8 @@
 from tests.site import CONFIG, site
 
 ROOT = Path(weldquay.__file__).parent
-# Caught where they arise: nobody is told of them.
-INNER = {"RequestNotSent", "ConnectionLost", "_Doubled", "_NotFinite", "OperatorError"}
+# Roots of errors that are handled inside the program and are never shown to operators.
+INNER = {"WorkerRequestError", "_Doubled", "_NotFinite", "OperatorError"}
 
 
 def kinds() -> list[type[OperatorError]]:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -105,14 +105,14 @@
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as here:
             workers, gate = here.program.workers, asyncio.Event()
-            connect = workers._connect
+            connect = workers.connections.connect
 
             async def slow(worker: WorkerEndpoint) -> WorkerConnection:
                 if worker.endpoint.id == "w0":
                     await gate.wait()
                 return await connect(worker)
 
-            workers._connect = slow  # type: ignore[method-assign]
+            workers.connections.connect = slow  # type: ignore[method-assign]
             answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
             await until(lambda: any(name == "w0" for _, name in here.program.coordinator.attempts.by_worker))
             assert await here.operate("match-workers/w0/offline") == 200
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,11 +13,11 @@
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
 from weldquay.policy import members as listed
-from weldquay.net import worker_client as workers
+from weldquay.net import attempt_runner
 from weldquay.net import endpoint_list_adapter as list_intake
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
-from weldquay.net.worker_client import MAX_IDLE
+from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 
 
 async def hang_up(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -230,7 +230,7 @@
             told = ["POST"] if begun else ["POST", "DELETE"]
             await until(lambda: first[0].methods()[:2] == told)  # it may be drawn again
 
-    monkeypatch.setattr(workers, "ACCEPT_S", 0.2)
+    monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
     play(scenario())
 
 
@@ -273,15 +273,15 @@
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as here:
-            workers, gate = here.program.workers, asyncio.Event()
-            connect, first = workers._connect, here.workers[0]
+            connections, gate = here.program.workers.connections, asyncio.Event()
+            connect, first = connections.connect, here.workers[0]
 
             async def slow(worker: WorkerEndpoint) -> WorkerConnection:
                 if worker.endpoint.id == first.name:
                     await gate.wait()
                 return await connect(worker)
 
-            workers._connect = slow  # type: ignore[method-assign]
+            connections.connect = slow  # type: ignore[method-assign]
             answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
             attempts = here.program.coordinator.attempts
             await until(lambda: any(worker_id == first.name for _, worker_id in attempts.by_worker))
@@ -362,7 +362,9 @@
             worker.script = once
             for number in range(6):
                 assert (await here.post(f"c{number}", "/import")).body == b"ok"
-            assert len(next(iter(here.program.workers.workers.values())).idle_connections) <= MAX_IDLE
+            assert (
+                len(next(iter(here.program.workers.workers.values())).idle_connections) <= MAX_IDLE_PER_WORKER
+            )
 
     play(scenario())
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -27,7 +27,7 @@
 from weldquay.lab.http import Pool, write_line
 from weldquay.lab.servers import MOST_TRIES, TRY_AGAIN_S
 from weldquay.net.config import read
-from weldquay.net import worker_client as workers
+from weldquay.net import connection_pool
 from weldquay.net import dispatcher_process as program
 from weldquay.net.dispatcher_process import Phase
 from weldquay.net.streams import connect
@@ -143,12 +143,12 @@
 
     async def scenario() -> None:
         async with site(workers=6) as here:
-            side, counts = here.program.workers, here.program.counters.counts
+            pool, counts = here.program.workers.connections, here.program.counters.counts
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            side.most_connections = 2
+            pool.max_connections = 2
             for number in range(24):
                 assert (await here.post(f"c{number}")).body == b"TEXT"
-                assert side.open_connections <= 2 and len(side.idle) <= 2
+                assert pool.open_connections <= 2 and len(pool.idle) <= 2
             assert counts["connections_evicted"] > 2 and not counts["connections_over_limit"]
             held: list[Message] = []
             answer = asyncio.Event()
@@ -161,15 +161,17 @@
             for worker in here.workers:
                 worker.script = partial(hold, worker)
             calls = [asyncio.create_task(here.post(f"d{number}")) for number in range(6)]
-            await until(lambda: len(held) == 2 and side.waiting)
+            await until(lambda: len(held) == 2 and pool.waiting)
             answer.set()
             assert [(await call).body for call in calls] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
                 worker.is_ejected for worker in here.program.coordinator.dispatcher.workers.values()
             )
-            side.limit_connections(1 / side.full)  # another process has the others
-            await until(lambda: side.open_connections <= 1)
+            here.program.workers.limit_connections(
+                1 / pool.connection_limit
+            )  # another process has the others
+            await until(lambda: pool.open_connections <= 1)
 
     asyncio.run(scenario())
 
@@ -276,7 +278,7 @@
                 worker.is_ejected for worker in here.program.coordinator.dispatcher.workers.values()
             )
 
-    monkeypatch.setattr(workers, "connect", slow)
+    monkeypatch.setattr(connection_pool, "connect", slow)
     asyncio.run(scenario())
 
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -124,7 +124,8 @@
     async def scenario() -> None:
         async with site() as here:
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            lease, connect = here.program.coordinator.dispatcher.lease, here.program.workers._connect
+            connections = here.program.workers.connections
+            lease, connect = here.program.coordinator.dispatcher.lease, connections.connect
 
             async def slow(worker: object) -> object:
                 connection = await connect(worker)  # type: ignore[arg-type]
@@ -132,8 +133,8 @@
                     lease.deadline_ns = 1  # it has run out meanwhile
                 return connection
 
-            monkeypatch.setattr(here.program.workers, "_idle", lambda worker: None)
-            monkeypatch.setattr(here.program.workers, "_connect", slow)
+            monkeypatch.setattr(connections, "take_idle", lambda worker: None)
+            monkeypatch.setattr(connections, "connect", slow)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
             assert here.program.counters.counts["attempts_not_begun"] == 1
--- /dev/null
+++ b/weldquay/net/attempt_runner.py
@@ -0,0 +1,178 @@
+"""Attempts: one POST of a request to a worker, and the outcomes of its response or failure.
+
+Rules: a worker has at most one attempt of a request at a time, and no byte of an attempt is written after the
+end of the endpoint list's lease, after the client has disconnected, or after the attempt's deadline.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import h11
+
+from weldquay import interface as api
+from weldquay.net.cancellation import JobCancellation
+from weldquay.net.config import Config
+from weldquay.net.connection_pool import ConnectionPool
+from weldquay.net.messages import JobPayload, job_headers, parse_load_report
+from weldquay.net.request_coordinator import RequestCoordinator
+from weldquay.net.requests import Attempt, ClientRequest
+from weldquay.net.tasks import Tasks
+from weldquay.net.worker_connection import (
+    AttemptAborted,
+    ConnectionLost,
+    RequestNotSent,
+    WorkerConnection,
+    WorkerResponse,
+)
+from weldquay.net.worker_endpoint import WorkerEndpoint
+
+ACCEPT_TIMEOUT_S = 0.6  # connecting included; workers accept or reject within 50 ms, 250 ms if they pause
+LATE_RESPONSE_S = 2.0  # the 202 may come this long after the callback that ended the attempt
+
+ACCEPTED = 202
+
+
+class AttemptRunner:
+    """The attempts that are being sent, and wait for their 202 or another response."""
+
+    def __init__(
+        self,
+        config: Config,
+        coordinator: RequestCoordinator,
+        workers: dict[str, WorkerEndpoint],
+        connections: ConnectionPool,
+        cancellation: JobCancellation,
+    ) -> None:
+        self._coordinator = coordinator
+        self._counters = coordinator.counters
+        self._workers = workers
+        self._connections = connections
+        self._cancellation = cancellation
+        self._tasks = Tasks()
+        self.sending: dict[Attempt, asyncio.Task[None]] = {}
+        self.reconfigure(config)
+
+    def reconfigure(self, config: Config) -> None:
+        """Use other settings for the attempts from now on."""
+        self._report_fields = config.report_fields
+        self._may_hedge = config.settings.may_hedge
+
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt."""
+        task = self._tasks.start(self._run(attempt), f"attempt {attempt.number} of {attempt.request.id}")
+        self.sending[attempt] = task
+        task.add_done_callback(lambda _: self.sending.pop(attempt, None))
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt: close its connection if there is no response yet, and send a DELETE.
+
+        The DELETE is sent even if the connection is closed: a 202 may be under way, and the job with it.
+        """
+        task = self.sending.get(attempt)
+        if task is not None:
+            task.cancel()
+        if attempt.possibly_sent:
+            self._cancellation.start(attempt)
+
+    def is_sending(self, request: ClientRequest) -> bool:
+        """True while an attempt of the request waits for its response."""
+        return any(attempt.request is request for attempt in self.sending)
+
+    async def stop(self) -> None:
+        """Stop all attempts."""
+        await self._tasks.stop()
+
+    async def _run(self, attempt: Attempt) -> None:
+        worker = self._workers[attempt.worker_id]
+        request = attempt.request
+        # Earlier attempts must have been cancelled first: at this worker, or without hedging at all workers,
+        # since a 202 may have been lost in a reset and its job runs until the DELETE arrives.
+        cancellations = self._cancellation.pending(request.id, worker if self._may_hedge else None)
+        if cancellations:
+            await asyncio.wait(cancellations)
+        job = request.payload
+        assert isinstance(job, JobPayload)
+        left_ns = attempt.deadline_ns - time.monotonic_ns()
+        headers = job_headers(request.id, job, left_ns, worker.host_header)
+        message = h11.Request(method=job.method, target=job.target, headers=headers)
+        timeout_s = ACCEPT_TIMEOUT_S if request.is_idempotent else left_ns / 1e9 + LATE_RESPONSE_S
+        due_s = time.monotonic() + timeout_s
+        try:
+            async with asyncio.timeout(timeout_s):
+                connection = await self._acquire(worker, attempt)
+                response = await self._connections.send(worker, connection, message, job.body)
+        except AttemptAborted:
+            self._counters.add("attempts_not_begun")
+            self._coordinator.attempt_ended(attempt, api.Outcome.ABORTED_BEFORE_SEND)
+        except RequestNotSent:
+            self._coordinator.attempt_ended(attempt, api.Outcome.CONNECT_FAILED)
+        except ConnectionLost:
+            self._reset(attempt)
+        except TimeoutError:
+            self._on_timeout(attempt, due_s)
+        else:
+            if response.status != ACCEPTED:  # after a 202 the worker's callbacks end the attempt
+                self._on_rejection(attempt, response)
+
+    async def _acquire(self, worker: WorkerEndpoint, attempt: Attempt) -> WorkerConnection:
+        """A connection on which the attempt is written next.
+
+        A job that must not run twice gets a new connection: an idle one may have been dropped silently, and
+        if it is reset by the request, whether the job ran is unknown.
+        Raises RequestNotSent, and AttemptAborted if the attempt is not allowed to start any more.
+        """
+        connection = self._connections.take_idle(worker) if attempt.request.is_idempotent else None
+        if connection is None:
+            connection = await self._connections.connect(worker)
+        if not self._is_allowed(worker, attempt):
+            connection.abort()
+            raise AttemptAborted("the attempt is not allowed to start any more")
+        attempt.possibly_sent = True
+        return connection
+
+    def _is_allowed(self, worker: WorkerEndpoint, attempt: Attempt) -> bool:
+        """True if the attempt may start now, after all that it had to wait for.
+
+        Meanwhile the worker may have begun to drain, or have been banned; the lease of the endpoint list may
+        have ended; the client may have disconnected; or the attempt may be too late for a safe retry.
+        """
+        now_ns = time.monotonic_ns()
+        return (
+            now_ns < self._coordinator.endpoint_list.expires_ns
+            and attempt.request.is_open
+            and not attempt.ended
+            and not worker.is_banned
+            and worker.endpoint.state is api.WorkerState.READY
+            and not 0 < attempt.send_before_ns < now_ns
+        )
+
+    def _reset(self, attempt: Attempt) -> None:
+        """End an attempt whose response was lost, and cancel its job: the worker may have accepted it."""
+        if not attempt.ended:
+            self._coordinator.attempt_ended(attempt, api.Outcome.RESET)
+            self._cancellation.start(attempt)
+
+    def _on_timeout(self, attempt: Attempt, due_s: float) -> None:
+        """Handle a missing response; due_s: when the timeout was due (s, monotonic clock)."""
+        if not attempt.possibly_sent:  # the time went into the connection
+            has_stalled = self._connections.has_stalled(due_s)
+            self._coordinator.attempt_ended(
+                attempt, api.Outcome.ABORTED_BEFORE_SEND if has_stalled else api.Outcome.CONNECT_FAILED
+            )
+            return
+        self._counters.add("answers_missing")
+        # A connection may fail silently: an idempotent request is retried well before its deadline.
+        if attempt.request.is_idempotent and not attempt.started_ns:
+            self._reset(attempt)
+
+    def _on_rejection(self, attempt: Attempt, response: WorkerResponse) -> None:
+        """End an attempt by a response other than 202."""
+        load_report = parse_load_report(response.headers.get(b"x-backend-load"), self._report_fields)
+        outcome = api.Outcome.ERROR
+        if response.status in (503, 504) and response.headers.get(b"x-unprocessed") == b"1":
+            outcome = api.Outcome.OVERLOADED
+        elif 400 <= response.status < 500:  # the request is at fault, not the worker
+            outcome = api.Outcome.UNPROCESSABLE
+        self._coordinator.attempt_ended(attempt, outcome, load_report)
--- /dev/null
+++ b/weldquay/net/connection_pool.py
@@ -0,0 +1,209 @@
+"""The connections to all workers: idle ones for reuse, the limit on their number, and their ends."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+
+import h11
+
+from weldquay.net.config import Config
+from weldquay.net.counters import Counters
+from weldquay.net.messages import Body
+from weldquay.net.streams import connect
+from weldquay.net.tasks import Tasks
+from weldquay.net.worker_connection import (
+    READ_SIZE,
+    AttemptAborted,
+    RequestNotSent,
+    WorkerConnection,
+    WorkerResponse,
+)
+from weldquay.net.worker_endpoint import WorkerEndpoint
+
+IDLE_TIMEOUT_FRACTION = 0.8  # of the workers' idle timeout; a connection idle for longer is not reused
+MAX_IDLE_PER_WORKER = 2
+CONNECTION_WAIT_S = 0.2  # for a connection below the limit; with connecting it fits in the accept timeout
+STALL_S = 0.1  # a timeout that fires this late is due to a stall of this process, not to the worker
+SWEEP_INTERVAL_S = 1.0
+
+
+class ConnectionPool:
+    """Opens connections, keeps idle ones for reuse, and enforces the limit on open connections."""
+
+    def __init__(self, config: Config, counters: Counters) -> None:
+        self._counters = counters
+        self._tasks = Tasks()
+        self.reconfigure(config)
+        self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # of all workers, the longest idle first
+        self.waiting: deque[asyncio.Future[None]] = deque()  # requests that wait for a connection
+        self.open_connections = 0
+        self.connection_limit = config.sockets * 3 // 10  # the clients' side has the other sockets
+        self.max_connections = self.connection_limit
+        self._tasks.start(self._sweep(), "closing of idle connections")
+
+    def reconfigure(self, config: Config) -> None:
+        """Use other settings for the connections from now on."""
+        self._connect_timeout_s = config.connect_timeout_ns / 1e9
+        self._idle_timeout_s = config.settings.connection_idle_timeout_ns / 1e9 * IDLE_TIMEOUT_FRACTION
+
+    def limit(self, fraction: float) -> None:
+        """Lower the limit to a fraction of its full value: another process uses the rest."""
+        self.max_connections = int(self.connection_limit * fraction)
+        surplus = max(0, self.open_connections - self.max_connections)
+        for connection in list(self.idle)[:surplus]:
+            self._close_idle_connection(connection)
+        for _ in range(len(self.waiting)):
+            self._wake_next()
+
+    async def request(self, worker: WorkerEndpoint, method: bytes, target: bytes) -> WorkerResponse:
+        """Send a request without a body, on an idle connection or on a new one.
+
+        Raises RequestNotSent, AttemptAborted, ConnectionLost.
+        """
+        connection = self.take_idle(worker) or await self.connect(worker)
+        headers = [(b"Host", worker.host_header.encode())]
+        return await self.send(worker, connection, h11.Request(method=method, target=target, headers=headers))
+
+    async def send(
+        self,
+        worker: WorkerEndpoint,
+        connection: WorkerConnection,
+        request: h11.Request,
+        body: Body = b"",
+    ) -> WorkerResponse:
+        """Send a request on a connection, then keep the connection as idle or close it.
+
+        Raises RequestNotSent, ConnectionLost.
+        """
+        is_reusable = False
+        try:
+            response = await connection.send_request(request, body)
+            is_reusable = connection.mark_idle()
+            if is_reusable:
+                self.idle[connection] = worker
+                worker.idle_connections.append(connection)
+                if len(worker.idle_connections) > MAX_IDLE_PER_WORKER:
+                    self._close_idle_connection(worker.idle_connections[0])
+                self._wake_next()
+            return response
+        finally:
+            if not is_reusable:
+                connection.abort()
+
+    def take_idle(self, worker: WorkerEndpoint) -> WorkerConnection | None:
+        """An idle connection that can be reused, the last used first; None if there is none."""
+        while worker.idle_connections:
+            connection = worker.idle_connections[-1]
+            if time.monotonic() - connection.idle_since < self._idle_timeout_s and connection.is_usable():
+                del self.idle[worker.idle_connections.pop()]
+                connection.resume_reading()
+                return connection
+            self._close_idle_connection(connection)
+        return None
+
+    async def connect(self, worker: WorkerEndpoint) -> WorkerConnection:
+        """Open a connection, once the limit allows it.
+
+        Raises RequestNotSent if the worker cannot be reached, and AttemptAborted if the limit or a stall of
+        this process is the cause.
+        """
+        if self.open_connections >= self.max_connections:
+            await self._wait_for_connection()
+        self.open_connections += 1
+        due_s = time.monotonic() + self._connect_timeout_s
+        try:
+            async with asyncio.timeout(self._connect_timeout_s):
+                reader, writer = await connect(worker.endpoint.host, worker.endpoint.port, READ_SIZE)
+        except OSError as error:  # TimeoutError is a subclass
+            self._on_closed()
+            if isinstance(error, TimeoutError) and self.has_stalled(due_s):
+                raise AttemptAborted("this process stalled while it connected") from error
+            self._counters.add("connections_failed")
+            raise RequestNotSent(f"connecting failed: {error}") from error
+        except BaseException:
+            self._on_closed()
+            raise
+        self._counters.add("connections")
+        self._tasks.start(self._count_out(writer), "a connection's end")
+        return WorkerConnection(reader, writer)
+
+    def has_stalled(self, due_s: float) -> bool:
+        """True if a timeout due at due_s (s, monotonic clock) fires so late that this process has stalled."""
+        has_stalled = time.monotonic() > due_s + STALL_S
+        if has_stalled:
+            self._counters.add("connections_stalled")
+        return has_stalled
+
+    def close_idle(self, worker: WorkerEndpoint) -> None:
+        """Close the idle connections to a worker."""
+        for connection in list(worker.idle_connections):
+            self._close_idle_connection(connection)
+
+    async def stop(self) -> None:
+        """Stop the pool's tasks and close all idle connections."""
+        await self._tasks.stop()
+        for connection in list(self.idle):
+            self._close_idle_connection(connection)
+
+    def _close_idle_connection(self, connection: WorkerConnection) -> None:
+        self.idle.pop(connection).idle_connections.remove(connection)
+        connection.abort()
+
+    async def _wait_for_connection(self) -> None:
+        """Wait until one more connection is allowed; the longest idle connection is closed for it.
+
+        There may be more workers than connections, so idle ones must not block requests to other workers.
+        Raises AttemptAborted after CONNECTION_WAIT_S: the shortage is this process's, not the worker's.
+        """
+        try:
+            async with asyncio.timeout(CONNECTION_WAIT_S):
+                while self.open_connections >= self.max_connections:
+                    if self.idle:
+                        self._counters.add("connections_evicted")
+                        self._close_idle_connection(next(iter(self.idle)))
+                    await self._wait_for_turn()
+        except TimeoutError:
+            self._counters.add("connections_over_limit")
+            raise AttemptAborted("no connection came free below the limit") from None
+
+    async def _wait_for_turn(self) -> None:
+        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.waiting.append(turn)
+        try:
+            await turn
+        except asyncio.CancelledError:
+            if turn.done() and not turn.cancelled():
+                self._wake_next()  # the turn passes to the next request
+            raise
+
+    def _wake_next(self) -> None:
+        """Wake the request that has waited longest: a connection has been closed, or is idle."""
+        while self.waiting:
+            turn = self.waiting.popleft()
+            if not turn.done():
+                turn.set_result(None)
+                return
+
+    async def _count_out(self, writer: asyncio.StreamWriter) -> None:
+        """Count a connection as closed once it is."""
+        try:
+            await writer.wait_closed()
+        except OSError:
+            pass  # how the connection ended makes no difference
+        finally:
+            self._on_closed()
+
+    def _on_closed(self) -> None:
+        self.open_connections -= 1
+        self._wake_next()
+
+    async def _sweep(self) -> None:
+        """Close idle connections that the worker has closed or that are near their idle timeout."""
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            expired_before = time.monotonic() - self._idle_timeout_s
+            for connection in list(self.idle):
+                if connection.idle_since <= expired_before or not connection.is_usable():
+                    self._close_idle_connection(connection)
--- a/weldquay/net/worker_endpoint.py
+++ b/weldquay/net/worker_endpoint.py
@@ -1,4 +1,4 @@
-"""A match worker as the workers' side keeps it."""
+"""A match worker as the workers' side holds it."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerEndpoint:
-    """A match worker as discovery last told of it, with its idle connections, last used last."""
+    """A worker's latest entry in the endpoint list, and its idle connections in the order of last use."""
 
     endpoint: Endpoint
     is_banned: bool = False  # by operators
     idle_connections: list[WorkerConnection] = field(default_factory=list)
 
     @property
-    def host(self) -> str:
-        """The Host header of requests to it."""
+    def host_header(self) -> str:
+        """The value of the Host header in requests to the worker."""
         return f"{self.endpoint.host}:{self.endpoint.port}"
