--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -11,7 +11,7 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, Site, job, site, until
-from weldquay.net import worker_client as workers
+from weldquay.net import attempt_runner
 
 FULL = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
@@ -57,7 +57,7 @@
     script: Script, path: str, posts: int, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It may have run: what may run again is sent again, once the worker was told; the other fails."""
-    monkeypatch.setattr(workers, "ACCEPT_S", 0.2)
+    monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
@@ -186,7 +186,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
             await until(lambda: not here.program.server.connections)
-            assert worker.methods() == ["POST"] and not here.program.coordinator.calls
+            assert worker.methods() == ["POST"] and not here.program.coordinator.requests
             assert here.program.counters.counts["answers_served"] == 1
 
     asyncio.run(scenario())
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -40,7 +40,7 @@
 
 async def in_hand(here: Site, count: int) -> None:
     """Wait until so many calls wait."""
-    await until(lambda: len(here.program.coordinator.calls) == count)
+    await until(lambda: len(here.program.coordinator.requests) == count)
 
 
 async def gone(here: Site, count: int = 1) -> float:
@@ -109,20 +109,20 @@
     async def scenario() -> None:
         async with site(caps={"probes": False, "cancel": cancel}) as here:
             workers, gate = here.program.workers, asyncio.Event()
-            connect = workers._connect
+            connect = workers.connections.connect
 
             async def slow(worker: WorkerEndpoint) -> WorkerConnection:
                 await gate.wait()
                 return await connect(worker)
 
-            workers._connect = slow  # type: ignore[method-assign]
+            workers.connections.connect = slow  # type: ignore[method-assign]
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job(path=path))
             await until(lambda: here.program.coordinator.attempts)
             sock.close()
             await gone(here)
             gate.set()
-            await until(lambda: not here.program.coordinator.attempts and not workers.sending)
+            await until(lambda: not here.program.coordinator.attempts and not workers.attempts.sending)
             assert (await here.post("last")).body == b"TEXT"
             assert here.workers[0].methods() == ["POST"]  # and no DELETE: nothing was there to give up
 
@@ -151,12 +151,15 @@
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job())
             await until(
-                lambda: any(call.attempts_started == 2 for call in here.program.coordinator.calls.values())
+                lambda: any(
+                    request.attempts_started == 2
+                    for request in here.program.coordinator.requests.by_number.values()
+                )
             )
             sock.close()
             await gone(here)
             gate.set()
-            await until(lambda: not here.program.workers.busy and not here.program.workers.sending)
+            await until(lambda: not here.program.workers.busy and not here.program.workers.attempts.sending)
             assert len(posts) == 1
 
     asyncio.run(scenario())
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -72,9 +72,9 @@
 async def told_then_broken(here: Site, failing: Failing) -> None:
     """The list has come, then the calls fail until the lease has run out."""
     exchange = here.program.coordinator
-    await until(lambda: exchange.endpoint_list_expires_ns > time.monotonic_ns())
+    await until(lambda: exchange.endpoint_list.expires_ns > time.monotonic_ns())
     assert (await here.post("before")).body == b"TEXT"
-    await until(lambda: exchange.endpoint_list_expires_ns <= time.monotonic_ns())
+    await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
 
 
 class ToldThen(Failing):
@@ -124,7 +124,8 @@
     async def scenario() -> None:
         async with site() as here:
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            lease, connect = here.program.coordinator.dispatcher.lease, here.program.workers._connect
+            connections = here.program.workers.connections
+            lease, connect = here.program.coordinator.dispatcher.lease, connections.connect
 
             async def slow(worker: object) -> object:
                 connection = await connect(worker)  # type: ignore[arg-type]
@@ -132,8 +133,8 @@
                     lease.deadline_ns = 1  # it has run out meanwhile
                 return connection
 
-            monkeypatch.setattr(here.program.workers, "_idle", lambda worker: None)
-            monkeypatch.setattr(here.program.workers, "_connect", slow)
+            monkeypatch.setattr(connections, "take_idle", lambda worker: None)
+            monkeypatch.setattr(connections, "connect", slow)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
             assert here.program.counters.counts["attempts_not_begun"] == 1
@@ -156,7 +157,7 @@
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
             exchange = here.program.coordinator
-            await until(lambda: exchange.endpoint_list_expires_ns <= time.monotonic_ns())
+            await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
             silent.address_told = here.workers[0].address
             silent.left = 0
