--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -160,7 +160,8 @@
             writer.write(data[:30])
             await until(
                 lambda: any(
-                    each.has_received and each.call is None for each in here.program.server.connections
+                    each.has_received and each.requests.open_request is None
+                    for each in here.program.server.connections
                 )
             )
             here.program.server.begin_closing()
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -11,9 +11,9 @@
 from example.toy import read_message, request, write_message
 from tests.site import job, play, site, until
 from weldquay.net import http_channel
-from weldquay.net import client_server as server
+from weldquay.net import client_server, connection_table
 from weldquay.net import dispatcher_process as program
-from weldquay.net import client_connection as connection
+from weldquay.net.connection_state import ConnectionState
 
 
 def test_a_client_that_does_not_read_fills_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -35,7 +35,7 @@
             client.close()
 
     monkeypatch.setattr(program, "STAY_S", 0.01)
-    monkeypatch.setattr(server, "LINGER_S", 0.1)
+    monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.1)
     play(scenario())
 
 
@@ -112,7 +112,7 @@
             if kept:
                 writer.write(job())
                 assert (await read_message(reader)).body == b"TEXT"
-                await asyncio.sleep(3 * server.REQUEST_TIMEOUT_S)
+                await asyncio.sleep(3 * connection_table.REQUEST_TIMEOUT_S)
             writer.write(part)
             if kept and not part:
                 writer.write(job("c2"))
@@ -121,7 +121,7 @@
                 assert (await reader.read()).startswith(b"HTTP/1.1 408 " if part else b"")
             writer.close()
 
-    monkeypatch.setattr(server, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.2)
     play(scenario())
 
 
@@ -147,7 +147,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            here.program.server.max_connections = 10
+            here.program.server.table.max_connections = 10
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             crowd = []
             for number in range(5):
@@ -170,7 +170,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            here.program.server.max_connections = 10
+            here.program.server.table.max_connections = 10
             address = ("127.0.0.1", here.program.server.port)
             reader, writer = await asyncio.open_connection(*address)
             crowd: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -198,14 +198,14 @@
             writer.write(job("c0"))
             await read_message(reader)
             await until(lambda: len(taking.connections) == 1)  # the call-back's has gone
-            (resting,) = taking.by_state[connection.State.IDLE]
+            (resting,) = taking.table.by_state[ConnectionState.IDLE]
             writer.write(job("c1"))
             await writer.drain()
-            assert resting.unread() and not taking._make_room()
+            assert resting.has_unread_data() and not taking.table.evict_one()
             assert (await read_message(reader)).body == b"TEXT"
             resting.abort()
             await asyncio.sleep(0)  # its socket is closed, its end not yet taken in
-            assert not resting.unread() and taking._make_room()
+            assert not resting.has_unread_data() and taking.table.evict_one()
             writer.close()
 
     play(scenario())
@@ -221,7 +221,7 @@
             files = len(os.listdir("/proc/self/fd"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert len(os.listdir("/proc/self/fd")) - files <= 2 * server.MAX_ACCEPTS
+            assert len(os.listdir("/proc/self/fd")) - files <= 2 * client_server.MAX_ACCEPTS
             await until(lambda: here.program.counters.counts["client_connections"] >= 100)
             for each in crowd:
                 each.close()
@@ -244,7 +244,7 @@
                 bad.close()
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
-            assert http_channel.MAX_HEAD < 20_000
+            assert http_channel.MAX_HEAD_BYTES < 20_000
 
     play(scenario())
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -75,7 +75,7 @@
             await asyncio.sleep(0.05)  # what lies ahead is read, as far as it is
             leave(sock, how)
             assert await gone(here) < 1  # in 0.1 s, unless this machine stalls
-            assert here.program.server.buffered_bytes == 0
+            assert here.program.server.context.read_ahead_budget.used_bytes == 0
             await serve_again(here)
             assert here.workers[0].methods() == ["POST"]
             sock.close()
@@ -227,8 +227,8 @@
             for _ in range(32):
                 writer.write(b"z" * 100_000)
                 await writer.drain()
-            await until(lambda: connection.overrun)
-            assert here.program.server.buffered_bytes <= 256 * 1024
+            await until(lambda: connection.requests.read_ahead.is_exceeded)
+            assert here.program.server.context.read_ahead_budget.used_bytes <= 256 * 1024
             told.set()
             got = b""
             while data := await reader.read(65536):
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -8,7 +8,8 @@
 
 from weldquay import interface as api
 from weldquay.net.requests import Answer
-from weldquay.net.client_connection import State
+from weldquay.net.connection_state import ConnectionState
+from weldquay.net.connection_table import EVICTION_COUNTERS
 from weldquay.net.counter_names import (
     ATTEMPT_COUNTERS,
     LIST_COUNTERS,
@@ -17,7 +18,6 @@
 )
 from weldquay.net.request_coordinator import ANSWER_COUNTERS
 from weldquay.net.operators import OPERATION_COUNTERS
-from weldquay.net.client_server import EVICTION_COUNTERS
 
 PLANNER = Path(__file__).parents[1] / "weldquay" / "reservations" / "scheduler.py"
 OUTCOMES = [
@@ -61,7 +61,7 @@
 
 def test_evictions_and_operators() -> None:
     """Connections with a call are never evicted; the other states have a counter."""
-    assert set(EVICTION_COUNTERS) == set(State) - {State.WAITING}
+    assert set(EVICTION_COUNTERS) == set(ConnectionState) - {ConnectionState.WAITING}
     assert sorted(EVICTION_COUNTERS.values()) == ["evicted_leaving", "evicted_reading", "evicted_resting"]
     verbs = ["in-service", "offline", "online", "out-of-service", "ready"]
     assert sorted(OPERATION_COUNTERS.values()) == [f"operators_{verb}" for verb in verbs]
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -85,7 +85,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its connection is still open when all else is over; nobody waits for it for another second."""
-    monkeypatch.setattr(program, "LINGER_S", 30.0)
+    monkeypatch.setattr(program, "LINGER_TIMEOUT_S", 30.0)
 
     async def scenario() -> None:
         async with site(services=SHORT) as here:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -60,7 +60,7 @@
             await worker.tell("c1", state="started")
             async with newer(here) as second:
                 assert second.ready() and older.phase is Phase.HANDED_OVER
-                assert second.coordinator.bans == {"w0"} and second.server.peer_request_ids == {"c1"}
+                assert second.coordinator.bans == {"w0"} and second.server.context.peer_request_ids == {"c1"}
                 assert (await here.post("c1")).start.split()[1] == "409"
                 await until(lambda: second.counters.counts["client_connections"] >= 2)
                 worker.script = None
@@ -78,8 +78,8 @@
                 assert (older.counters.counts["calls"], second.counters.counts["calls"]) == (2, 3)
                 assert here.workers[0].methods() == [] and second.counters.counts["handover_worker"] == 2
                 await until(lambda: second.hot_restart.link is None)
-                assert second.server.max_connections == second.server.connection_limit
-                assert not second.server.peer_request_ids
+                assert second.server.table.max_connections == second.server.table.connection_limit
+                assert not second.server.context.peer_request_ids
                 for writer in (rested, mute, caller):
                     writer.close()
 
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -11,8 +11,9 @@
 
 from example.toy import write_message
 from tests.site import Site, job, site, until
-from weldquay.net import client_server as server
-from weldquay.net.client_connection import ClientConnection, State
+from weldquay.net import connection_table
+from weldquay.net.client_connection import ClientConnection
+from weldquay.net.connection_state import ConnectionState
 
 BIG = "r" * 60_000  # more than the system's buffers below hold
 
@@ -57,7 +58,7 @@
     sock.send(job("c1"))
     await asyncio.get_running_loop().sock_recv(sock, 4096)
     connection = await accepted(here, sock)
-    await until(lambda: connection.state is State.IDLE)
+    await until(lambda: connection.state is ConnectionState.IDLE)
     return sock, connection
 
 
@@ -66,7 +67,7 @@
     large_results(here)
     sock = small(here)
     connection = await accepted(here, sock)
-    here.program.server.closing = True
+    here.program.server.context.is_closing = True
     sock.send(job())
     await until(lambda: connection.is_lingering)
     return sock
@@ -102,17 +103,17 @@
     half: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Longer than the close lingers, as long as it takes something; also where it has shut its own half."""
-    monkeypatch.setattr(server, "LINGER_S", 0.2)
+    monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
             large_results(here)
             sock = small(here)
             connection = await accepted(here, sock)
-            here.program.server.closing = not half
+            here.program.server.context.is_closing = not half
             sock.send(job())
             if half:
-                await until(lambda: connection.state is State.IDLE)
+                await until(lambda: connection.state is ConnectionState.IDLE)
                 sock.shutdown(socket.SHUT_WR)
             await until(lambda: connection.is_lingering)
             begun = time.monotonic()
@@ -125,7 +126,7 @@
 
 def test_a_client_that_reads_nothing_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     """After the close has lingered."""
-    monkeypatch.setattr(server, "LINGER_S", 0.2)
+    monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
@@ -196,7 +197,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(data)
             if behind:
-                await until(lambda: here.program.server.by_state[State.LINGERING])
+                await until(lambda: here.program.server.table.by_state[ConnectionState.LINGERING])
                 writer.write(b"z" * behind)
                 await writer.drain()
             got = await reader.read()
@@ -234,13 +235,13 @@
             fresh.setblocking(False)
             slow.send(job("c1"))
             leaving = await accepted(here, slow)
-            await until(lambda: leaving.state is State.IDLE)
-            here.program.server.closing = True
+            await until(lambda: leaving.state is ConnectionState.IDLE)
+            here.program.server.context.is_closing = True
             leaving.close_gracefully()
-            assert leaving.is_lingering and leaving.pending()
+            assert leaving.is_lingering and leaving.has_unsent_data()
             await until(lambda: len(here.program.server.connections) == 2)  # the worker's have ended
             fresh.send(job("c2"))
-            assert not here.program.server._make_room()
+            assert not here.program.server.table.evict_one()
             assert (await taken(slow)).count(b"r") >= len(BIG)
             got: Any = await taken(fresh)
             assert got.startswith(b"HTTP/1.1 200")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -52,7 +52,7 @@
             assert await here.operate("out-of-service") == await here.operate("out-of-service") == 200
             assert await here.health() == 503
             assert await resting.read() == b""
-            await until(lambda: here.program.server.rejecting)
+            await until(lambda: here.program.server.context.is_rejecting)
             late = await here.post("late")
             assert (late.start.split()[1], late.headers["connection"]) == ("503", "close")
             await worker.tell("c1", state="done", result="kept")
--- /dev/null
+++ b/weldquay/net/connection_migration.py
@@ -0,0 +1,105 @@
+"""The migration of one client connection to the newer process, during a hot restart."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from typing import Protocol
+
+from weldquay.net.client_context import ClientContext
+from weldquay.net.connection_state import ConnectionState
+from weldquay.net.hot_restart_messages import MigratedConnection
+from weldquay.net.http_channel import HttpChannel
+from weldquay.net.lingering_close import READ_SIZE
+from weldquay.net.messages import serialize_request
+from weldquay.net.request_handler import RequestHandler
+from weldquay.net.requests import ClientRequest
+from weldquay.net.streams import HUNG_UP, CountingReader, has_event
+
+MIGRATION_POLL_INTERVAL_S = 0.02  # between two checks of whether the open request can migrate
+
+
+class MigratableConnection(Protocol):
+    """What the migration uses of the connection."""
+
+    state: ConnectionState
+    since: float  # when the state began, on the monotonic clock (s)
+    reader: CountingReader
+    writer: asyncio.StreamWriter
+    channel: HttpChannel
+    requests: RequestHandler
+
+
+class ConnectionMigration:
+    """The migration of one connection, between two requests or with its open request."""
+
+    __slots__ = ("connection", "context")
+
+    def __init__(self, connection: MigratableConnection, context: ClientContext) -> None:
+        """Stop reading, so that the connection's pending read ends and it calls `run`."""
+        self.connection = connection
+        self.context = context
+        connection.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        connection.reader.feed_eof()
+
+    async def run(self, data: bytes) -> None:
+        """Migrate the connection with `data` and whatever else was read.
+
+        Waits until an open request can migrate too, or has its answer, and until all answers are written.
+
+        Raises:
+            OSError: the connection is lost.
+        """
+        connection = self.connection
+        while more := await connection.reader.read(READ_SIZE):
+            data += more
+        if not await self._wait_for_open_request():
+            return
+        if connection.requests.open_request is None:
+            connection.writer.transport.set_write_buffer_limits(high=0)
+            await connection.writer.drain()
+        is_closed = connection.state is ConnectionState.LINGERING or connection.writer.is_closing()
+        migrate = self.context.migrate_connection
+        if migrate is not None and not is_closed:
+            migrate(self._migrated_connection(data))
+
+    async def _wait_for_open_request(self) -> bool:
+        """Wait until the open request can migrate or has its answer; False if the client disconnects."""
+        connection = self.connection
+        coordinator = self.context.coordinator
+        while (open_request := connection.requests.open_request) is not None:
+            if self.context.migrate_connection is not None and coordinator.can_migrate(open_request):
+                break
+            if has_event(connection.writer, HUNG_UP):  # reading has stopped, so no read would show it
+                return False
+            await asyncio.sleep(MIGRATION_POLL_INTERVAL_S)
+        return True
+
+    def _migrated_connection(self, data: bytes) -> MigratedConnection:
+        """The message for the newer process; `data` is what was read and not fed to the channel."""
+        connection = self.connection
+        unparsed = connection.channel.trailing + data
+        request = None
+        if (open_request := connection.requests.open_request) is not None:
+            self.context.counters.add("calls_passed_on")
+            unparsed = self._serialize(open_request) + unparsed
+            request = self.context.coordinator.migrate_request(open_request)
+            self.context.open_request_ids.discard(open_request.id)
+            connection.requests.open_request = None
+        self.context.counters.add("clients_passed_on")
+        return MigratedConnection(
+            # A duplicate, so that closing this process's descriptor does not end the connection.
+            os.dup(connection.writer.get_extra_info("socket").fileno()),
+            unparsed,
+            connection.state is ConnectionState.IDLE,
+            connection.since,
+            request,
+        )
+
+    def _serialize(self, open_request: ClientRequest) -> bytes:
+        """The bytes of the open request, with the time that is left until its deadline."""
+        channel = self.connection.channel
+        assert channel.request is not None
+        remaining_ns = open_request.deadline_ns - time.monotonic_ns()
+        return serialize_request(channel.request, bytes(channel.body), remaining_ns)
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -14,7 +14,8 @@
 from dataclasses import replace
 
 from weldquay.errors import OperatorError
-from weldquay.net.client_server import LINGER_S, ClientServer
+from weldquay.net.client_server import ClientServer
+from weldquay.net.connection_table import LINGER_TIMEOUT_S
 from weldquay.net.config import Config, ConfigError, reload
 from weldquay.net.counters import Counters
 from weldquay.net.request_coordinator import RequestCoordinator
@@ -108,7 +109,7 @@
         if self.inherited:
             self._inherit_list()
         await self.server.listen(-1 if offered is None else offered.file)
-        self.server.return_callback = lambda body: self.hot_restart.send(ForwardedCallback(body))
+        self.server.context.return_callback = lambda body: self.hot_restart.send(ForwardedCallback(body))
         exchange.start(self.workers, self.discovery)
         for worker_id in self.bans.read():
             exchange.ban(worker_id, True)
@@ -159,7 +160,7 @@
         """The listener, for a newer process, and room for its connections."""
         if self.phase not in (Phase.SERVING, Phase.OUT_OF_SERVICE) or self.server.listener is None:
             return None
-        self.server.reserve_connections(NEWER_FILES)
+        self.server.table.reserve(NEWER_FILES)
         self.workers.limit_connections(1 - NEWER_PART)
         members = map(endpoint_to_json, self.workers.listed_endpoints())
         for piece in split_into_messages(members) if self.coordinator.is_endpoint_list_confirmed else ():
@@ -187,7 +188,7 @@
         for worker_id, snapshot in self.coordinator.worker_snapshots().items():
             host, port = self.workers.address(worker_id)
             self.hot_restart.send(WorkerStateMessage(worker_id, host, port, snapshot))
-        for ids in split_into_messages(self.server.open_request_ids):
+        for ids in split_into_messages(self.server.context.open_request_ids):
             self.hot_restart.send(OpenRequests(tuple(ids)))
         self.hot_restart.send(ClientConnectionCount(len(self.server.connections)))
         self.server.start_migration(self.hot_restart.send)
@@ -208,7 +209,7 @@
             case EndpointListChunk():
                 self.inherited.append(message)
             case OpenRequests():
-                self.server.peer_request_ids.update(message.request_ids)
+                self.server.context.peer_request_ids.update(message.request_ids)
             case MigratedConnection(file=file) if file == NO_FILE:  # there was no descriptor left for it
                 self.counters.add("handover_without_descriptor")
             case MigratedConnection():
@@ -225,20 +226,20 @@
                         parse_callback(message.body, self.config.report_fields)
                     )
                     # Guards against a call-back that overtakes its call: back it comes behind it.
-                    if not matched and self.server.migrate_connection is not None:
+                    if not matched and self.server.context.migrate_connection is not None:
                         self.hot_restart.send(message)
 
     def _leave_room(self, others: int) -> None:
         """Count the clients' connections that the older process still holds."""
         self.others = others
-        self.server.reserve_connections(NEWER_FILES + others)
+        self.server.table.reserve(NEWER_FILES + others)
 
     def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
         """The other process has gone: all room is this one's; if it was to take over, this one goes on."""
-        self.server.reserve_connections(0)
+        self.server.table.reserve(0)
         self.workers.limit_connections(1)
-        self.server.peer_request_ids.clear()
-        self.server.migrate_connection = None
+        self.server.context.peer_request_ids.clear()
+        self.server.context.migrate_connection = None
         for message in unsent:
             if not isinstance(message, MigratedConnection | ListenerOffer) or message.file == NO_FILE:
                 continue
@@ -293,7 +294,7 @@
         await asyncio.sleep(self.out_since + SEEN_S - time.monotonic())
         self.server.begin_closing()
         await asyncio.sleep(self.out_since + EMPTY_S - time.monotonic())
-        self.server.rejecting = True
+        self.server.context.is_rejecting = True
 
     def _stop_emptying(self) -> None:
         if self.draining_task is not None:
@@ -325,7 +326,7 @@
         await self.discovery.stop()
         await self.operators.stop()
         now = asyncio.get_running_loop().time()
-        await self.server.stop(min(LINGER_S, max(0.0, last + LAST_S * 0.8 - now)))
+        await self.server.stop(min(LINGER_TIMEOUT_S, max(0.0, last + LAST_S * 0.8 - now)))
         await self.workers.stop()
         self.hot_restart.stop()
         self._enter(Phase.STOPPED)
--- a/weldquay/net/http_channel.py
+++ b/weldquay/net/http_channel.py
@@ -1,7 +1,7 @@
-"""The HTTP/1.1 side of one connection that a client or a match worker opened, without any I/O.
+"""HTTP/1.1 of one connection that a client or a worker opened, without any I/O.
 
-Bytes go in and whole requests come out; answers go in and their bytes come out.  A request whose length is
-ambiguous, or whose body is too large, is rejected as soon as that shows.
+Received bytes become requests, and answers become bytes to send.  A request whose length is ambiguous, or
+whose body is too large, is rejected as soon as that can be seen.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from weldquay.net.messages import MAX_BODY, Body
 
-MAX_HEAD = 16 * 1024  # bytes
-REASONS = {
+MAX_HEAD_BYTES = 16 * 1024
+REASON_PHRASES = {
     200: b"OK",
     204: b"No Content",
     502: b"Bad Gateway",
@@ -23,39 +23,39 @@
 
 
 class Progress(Enum):
-    """What the bytes so far amount to."""
+    """What the received bytes contain."""
 
     NEED_DATA = "need data"
-    REQUEST = "request"  # a whole request has come
-    CLOSED = "closed"  # the other side has ended the connection between two requests
+    REQUEST = "request"  # a complete request
+    CLOSED = "closed"  # the client has ended its half of the connection between two requests
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that is not taken in: the status and the text of its answer."""
+    """A bad request: the status and the text of its answer."""
 
     status: int
-    why: str
+    reason: str
 
 
 TOO_LARGE = Rejection(413, "the body is too large")
 
 
 class HttpChannel:
-    """Reads the requests of one connection and writes their answers, one at a time."""
+    """Parses the requests of one connection and serializes their answers, one at a time."""
 
     def __init__(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        self.request: h11.Request | None = None  # the head of the current request, once it has come
-        self.parts: list[Body] = []
-        self.size = 0  # bytes of its body so far
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.request: h11.Request | None = None  # the head of the current request, once it is parsed
+        self.body_parts: list[Body] = []
+        self.body_size = 0  # bytes so far
 
     def feed_data(self, data: bytes) -> None:
-        """Take in what was read; b"" is the end of the other side's half."""
+        """Add received bytes; b"" is the end of the stream."""
         self.http.receive_data(data)
 
     def advance(self) -> Progress | Rejection:
-        """Parse up to the end of a request, or to the point where it cannot be taken in."""
+        """Parse up to the end of a request, or to the point where it has to be rejected."""
         rejection: Rejection | None = None
         try:
             while rejection is None:
@@ -75,32 +75,36 @@
         return rejection
 
     def _begin(self, request: h11.Request) -> Rejection | None:
-        self.request, self.parts, self.size = request, [], 0
+        """Start a request with its head."""
+        self.request = request
+        self.body_parts = []
+        self.body_size = 0
         headers = dict(request.headers)
         if b"transfer-encoding" in headers and (
             b"content-length" in headers or request.http_version < b"1.1"
         ):
-            # Guards against a request hidden in a body: where it ends depends on which header one believes.
+            # The end of such a body depends on the header used, so it could hide a second request.
             return Rejection(400, "the length of the body is ambiguous")
         return TOO_LARGE if int(headers.get(b"content-length", b"0")) > MAX_BODY else None
 
     def _collect(self, data: bytes | bytearray) -> Rejection | None:
-        self.size += len(data)
-        if self.size > MAX_BODY:
+        """Add a part of the body."""
+        self.body_size += len(data)
+        if self.body_size > MAX_BODY:
             return TOO_LARGE
-        self.parts.append(memoryview(data))
+        self.body_parts.append(memoryview(data))
         return None
 
     @property
     def body(self) -> Body:
-        """The body of the current request; where it came in one piece, a view of what was read."""
-        if len(self.parts) != 1:
-            self.parts = [b"".join(self.parts)]  # with the parts that it came in it would be held twice
-        return self.parts[0]
+        """The body of the current request; a view of the received bytes where it arrived in one part."""
+        if len(self.body_parts) != 1:
+            self.body_parts = [b"".join(self.body_parts)]  # the parts are released
+        return self.body_parts[0]
 
     @property
     def trailing(self) -> bytes:
-        """What has come and is not parsed yet."""
+        """Received bytes that are not parsed yet."""
         return self.http.trailing_data[0]
 
     def interim(self) -> bytes:
@@ -111,16 +115,29 @@
 
     def respond(self, status: int, body: bytes, headers: list[tuple[bytes, bytes]]) -> bytes:
         """The bytes of the current request's answer."""
-        response = h11.Response(status_code=status, headers=headers, reason=REASONS[status])
+        response = h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES[status])
         data = self.http.send(response) or b""
         if body:
             data += self.http.send(h11.Data(data=body)) or b""
         return data + (self.http.send(h11.EndOfMessage()) or b"")
 
     def begin_next(self) -> bool:
-        """Go over to the next request; False where the connection has to close after the answer."""
-        self.request, self.parts = None, []
+        """Prepare for the next request; False where the connection has to close after the answer."""
+        self.request = None
+        self.body_parts = []
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
             return True
         return False
+
+
+def parse_request(data: bytes) -> tuple[h11.Request, bytearray]:
+    """The head and the body of the complete request that data begins with."""
+    http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+    http.receive_data(data)
+    request = http.next_event()
+    assert isinstance(request, h11.Request)
+    body = bytearray()
+    while isinstance(event := http.next_event(), h11.Data):
+        body += event.data
+    return request, body
--- /dev/null
+++ b/weldquay/net/request_handler.py
@@ -0,0 +1,187 @@
+"""Handles the parsed requests of one client connection: health checks, callbacks and job requests."""
+
+from __future__ import annotations
+
+from collections.abc import Coroutine
+from typing import Any, Protocol
+
+import h11
+
+from weldquay.net.client_context import ClientContext
+from weldquay.net.connection_state import ConnectionState
+from weldquay.net.http_channel import HttpChannel
+from weldquay.net.messages import (
+    MessageError,
+    class_name,
+    closing_response,
+    job_payload,
+    parse_callback,
+    parse_request_metadata,
+    retry_after,
+)
+from weldquay.net.read_ahead import ReadAhead
+from weldquay.net.requests import AcceptedRequest, Answer, ClientRequest, Completed, Rejected
+
+HEALTH_PATH = b"/_health"
+CALLBACK_PATH = b"/callback"
+
+
+class RequestConnection(Protocol):
+    """What the handler uses of the connection."""
+
+    state: ConnectionState
+
+    def enter(self, state: ConnectionState) -> None:
+        """Change the state."""
+
+    def write(self, data: bytes) -> None:
+        """Write bytes of an answer."""
+
+    def start_lingering_close(self) -> None:
+        """Close the connection after the answer that was written."""
+
+    def resume(self) -> Coroutine[Any, Any, None]:
+        """Handle the requests that were read already."""
+
+
+class RequestHandler:
+    """The request of one connection that is being handled, and its answer."""
+
+    __slots__ = ("accepted", "channel", "connection", "context", "open_request", "read_ahead")
+
+    def __init__(
+        self,
+        context: ClientContext,
+        channel: HttpChannel,
+        connection: RequestConnection,
+        accepted: AcceptedRequest | None,
+    ) -> None:
+        """Answer on a connection; accepted: its first request, if the older process had accepted it."""
+        self.context = context
+        self.channel = channel
+        self.connection = connection
+        self.accepted = accepted
+        self.open_request: ClientRequest | None = None  # a job request without an answer
+        self.read_ahead = ReadAhead(context.read_ahead_budget)
+
+    def handle(self) -> None:
+        """Handle the request that the channel has parsed."""
+        request = self.channel.request
+        assert request is not None
+        path = request.target.split(b"?", 1)[0]
+        job_class = self.context.classes.get(class_name(path))
+        try:
+            if path == HEALTH_PATH:
+                self._answer_health_check(request.method)
+            elif path != CALLBACK_PATH and job_class is None:
+                self.reject(404, "no such class or path")
+            elif request.method != b"POST":
+                self.reject(405, "only POST")
+            elif job_class is None:
+                self._handle_callback()
+            elif self.accepted is not None:
+                self._continue_accepted_request(self.accepted)
+            else:
+                self._submit_job(request, job_class)
+        except MessageError as error:
+            self.reject(400, str(error))
+
+    def _answer_health_check(self, method: bytes) -> None:
+        if method not in (b"GET", b"HEAD"):
+            self.reject(405, "only GET and HEAD")
+        elif self.context.is_serving():
+            self._respond_and_close(200, b"ok")
+        else:
+            self._respond_and_close(503, b"draining")
+
+    def _handle_callback(self) -> None:
+        """Report a callback to the coordinator; one that matches nothing may belong to the older process."""
+        body = self.channel.body
+        callback = parse_callback(body, self.context.config.report_fields)
+        if not self.context.coordinator.handle_callback(callback):
+            self.context.return_callback(bytes(body))
+        self._respond(204)
+
+    def _continue_accepted_request(self, accepted: AcceptedRequest) -> None:
+        """Wait for the answer of a request that the older process had accepted."""
+        self.accepted = None
+        self.open_request = accepted.request
+        accepted.request.on_answer = self._answer
+        self.connection.enter(ConnectionState.WAITING)
+        for answer in accepted.answers:
+            self._answer(answer)
+
+    def _submit_job(self, request: h11.Request, job_class: int) -> None:
+        """Submit a job request to the coordinator, or reject it."""
+        context = self.context
+        metadata = parse_request_metadata(request.headers)
+        if context.is_rejecting:
+            context.counters.add("calls_out_of_service")
+            self._respond_overload(context.config.settings.max_retry_after_ns)
+            return
+        if context.has_request(metadata.id):
+            self.reject(409, "a call with this id is in hand")
+            return
+        payload = job_payload(request, self.channel.body)
+        self.read_ahead.reset(len(self.channel.trailing))
+        self.open_request = context.coordinator.submit(job_class, metadata, payload, self._answer)
+        if self.open_request is None:
+            self._respond_overload(context.config.settings.max_retry_after_ns)
+        else:
+            context.open_request_ids.add(metadata.id)
+            self.connection.enter(ConnectionState.WAITING)
+
+    def _answer(self, answer: Answer) -> None:
+        """Write the final answer of the open request."""
+        assert self.open_request is not None
+        self.context.open_request_ids.discard(self.open_request.id)
+        self.open_request = None
+        if isinstance(answer, Completed):
+            self._respond(200, answer.result.encode())
+        elif isinstance(answer, Rejected):
+            self._respond_overload(answer.retry_after_ns)
+        else:
+            self._respond(502, b"failed")
+        if self.connection.state is ConnectionState.IDLE and self.channel.trailing:
+            self.context.tasks.start(self.connection.resume(), "next request of a connection")
+
+    def _respond_overload(self, retry_after_ns: int) -> None:
+        """Write a 503; retry_after_ns: the value of Retry-After, 0: none."""
+        headers = [(b"Retry-After", retry_after(retry_after_ns))] if retry_after_ns else []
+        self._respond(503, b"overloaded, come again", headers)
+
+    def _respond(
+        self, status: int, body: bytes = b"", headers: list[tuple[bytes, bytes]] | None = None
+    ) -> None:
+        """Write an answer; the connection closes after it if the client or the server requires that."""
+        headers = headers or []
+        if status != 204:
+            headers.append((b"Content-Length", b"%d" % len(body)))
+        if self.context.is_closing or self.read_ahead.is_exceeded:
+            headers.append((b"Connection", b"close"))
+        self.connection.write(self.channel.respond(status, body, headers))
+        if self.channel.begin_next():
+            self.connection.enter(ConnectionState.IDLE)
+        else:
+            self.connection.start_lingering_close()
+
+    def reject(self, status: int, reason: str) -> None:
+        """Answer a bad request and close the connection."""
+        self.context.counters.add(f"rejected_{status}")
+        self._respond_and_close(status, reason.encode())
+
+    def _respond_and_close(self, status: int, body: bytes) -> None:
+        """Write an answer and close the connection; without h11, which is slow for so short an answer."""
+        request = self.channel.request
+        is_head = request is not None and request.method == b"HEAD"
+        self.connection.write(closing_response(status, body, is_head))
+        self.connection.start_lingering_close()
+
+    def disconnect(self) -> None:
+        """The connection is lost: end its open request."""
+        self.read_ahead.reset(0)
+        if self.accepted is not None:
+            self.context.disconnect(self.accepted.request)
+        if self.open_request is not None:
+            self.context.disconnect(self.open_request)
+            self.open_request = None
