--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,9 @@
 from weldquay.net import dispatcher_process as program
 from weldquay.net import hot_restart as handover
 from weldquay.net.config import Address
-from weldquay.net.hot_restart import ProcessLink
+from weldquay.net.hot_restart_messages import PROTOCOL_VERSION
+from weldquay.net.hot_restart_packet import Packet
+from weldquay.net.process_link import ProcessLink
 from weldquay.net.persistence import StateFile, state_path
 from weldquay.net.dispatcher_process import Phase, DispatcherProcess
 
@@ -190,7 +192,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            told: list[handover.Message] = []
+            told: list[Packet] = []
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(job("c0"))
             assert (await read_message(reader)).body == b"TEXT"
@@ -199,7 +201,7 @@
                 sock.connect(str(state_path(NAME, ".sock")))
                 link = ProcessLink(sock, told.append, lambda unsent: None)
                 for kind in kinds:
-                    link.send(kind, form=handover.FORM)
+                    link.send(Packet(kind, {"form": PROTOCOL_VERSION}))
                 while last not in [each.kind for each in told]:
                     await asyncio.sleep(0.01)
                 link.close()
@@ -207,8 +209,8 @@
                 assert here.program.phase is Phase.SERVING
                 assert (await here.post(f"n{len(kinds)}")).body == b"TEXT"
             for message in told:
-                if message.file >= 0:
-                    os.close(message.file)
+                if message.descriptor >= 0:
+                    os.close(message.descriptor)
             writer.close()
 
     asyncio.run(scenario())
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -12,8 +12,9 @@
 from tests.site import site, until
 from weldquay.net import hot_restart as handover
 from weldquay.net.counters import Counters
-from weldquay.net.hot_restart import ProcessLink
-from weldquay.net.hot_restart_messages import HotRestartMessage, ListenerOffer
+from weldquay.net.process_link import MAX_PACKET_BYTES, ProcessLink
+from weldquay.net.hot_restart_messages import PROTOCOL_VERSION, HotRestartMessage, ListenerOffer
+from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.persistence import state_path
 from weldquay.net.dispatcher_process import Phase
 
@@ -44,7 +45,7 @@
             loop.remove_reader(door)
         door.close()
 
-    monkeypatch.setattr(handover, "ASK_S", 0.2)
+    monkeypatch.setattr(handover, "LISTENER_OFFER_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
 
 
@@ -53,17 +54,17 @@
 
     async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        got: list[handover.Message] = []
+        got: list[Packet] = []
         files = len(os.listdir("/proc/self/fd"))
         first = ProcessLink(ends[0], got.append, lambda unsent: None)
         for number in range(200):
-            first.send("x", b"d" * 9000, os.dup(0), number=number)
-        assert first.waiting
+            first.send(Packet("x", {"number": number}, b"d" * 9000, os.dup(0)))
+        assert first.unsent
         second = ProcessLink(ends[1], got.append, lambda unsent: None)
         await until(lambda: len(got) == 200)
-        assert [each.told["number"] for each in got] == list(range(200))
+        assert [each.fields["number"] for each in got] == list(range(200))
         for each in got:
-            os.close(each.file)
+            os.close(each.descriptor)
         assert len(os.listdir("/proc/self/fd")) == files
         first.close()
         second.close()
@@ -76,15 +77,15 @@
 
     async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        got: list[handover.Message] = []
+        got: list[Packet] = []
         lost = asyncio.Event()
         later = ProcessLink(ends[1], got.append, lambda unsent: lost.set())
-        later.send("unread")
+        later.send(Packet("unread", {}))
         for number in range(9):
-            ends[0].send(handover.Message("x", {"number": number}).encode())
+            ends[0].send(Packet("x", {"number": number}).encode())
         ends[0].close()
         await lost.wait()
-        assert [each.told["number"] for each in got] == list(range(9))
+        assert [each.fields["number"] for each in got] == list(range(9))
 
     asyncio.run(scenario())
 
@@ -105,7 +106,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            assert here.program.phase is Phase.SERVING and here.program.hot_restart.door is None
+            assert here.program.phase is Phase.SERVING and here.program.hot_restart.listening_socket is None
             assert (await here.post()).body == b"TEXT" and await here.health() == 200
             assert not handover.is_peer_listening(NAME)
 
@@ -113,8 +114,8 @@
     with caplog.at_level("INFO", logger=handover.__name__):
         asyncio.run(scenario())
     said = [record.getMessage() for record in caplog.records]
-    assert any(line.startswith("no handover, this process starts by itself") for line in said)
-    assert any(line.startswith("no newer process can take over") for line in said)
+    assert any(line.startswith("hot restart unavailable, starting without an older process") for line in said)
+    assert any(line.startswith("hot restart unavailable, no newer process can connect") for line in said)
 
 
 class Alone:
@@ -122,7 +123,7 @@
 
     def offer_listener(self) -> ListenerOffer:
         """A descriptor that the asker closes."""
-        return ListenerOffer(file=os.dup(0))
+        return ListenerOffer(descriptor=os.dup(0))
 
     def start_migration(self) -> None:
         """Nothing to pass on."""
@@ -140,27 +141,27 @@
     async def scenario() -> None:
         first, second = (handover.HotRestart(NAME, Counters(), Alone()) for _ in range(2))
         first.listen()
-        offered = await second.ask()
+        offered = await second.request_listener()
         assert offered is not None
-        os.close(offered.file)
-        await second.finish()
+        os.close(offered.descriptor)
+        await second.confirm_ready()
         first.stop()
         await until(lambda: second.link is None)
         second.listen()
         third = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         third.connect(str(state_path(NAME, ".sock")))
-        third.send(handover.Message("ask", {"form": handover.FORM}).encode())
-        packet, files, *_ = await asyncio.to_thread(socket.recv_fds, third, handover.MAX_MESSAGE, 1)
-        assert handover.Message.decode(packet).kind == "offer"
+        third.send(Packet("ask", {"form": PROTOCOL_VERSION}).encode())
+        packet, files, *_ = await asyncio.to_thread(socket.recv_fds, third, MAX_PACKET_BYTES, 1)
+        assert Packet.decode(packet).kind == "offer"
         for each in files:
             os.close(each)
-        parting = asyncio.create_task(second.part())
+        parting = asyncio.create_task(second.end_migration())
         for _ in range(20):
             await asyncio.sleep(0)
         assert not parting.done()  # the third process has not said that it has taken in all
-        packet = await asyncio.to_thread(third.recv, handover.MAX_MESSAGE)
-        assert handover.Message.decode(packet).kind == "end"
-        third.send(handover.Message("ended", {}).encode())
+        packet = await asyncio.to_thread(third.recv, MAX_PACKET_BYTES)
+        assert Packet.decode(packet).kind == "end"
+        third.send(Packet("ended", {}).encode())
         await parting
         second.stop()
         third.close()
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -26,7 +26,7 @@
 from weldquay.net.counters import Counters
 from weldquay.net.hot_restart import HotRestart
 from weldquay.net.hot_restart_codec import MalformedMessage, UnknownMessageKind, decode, encode
-from weldquay.net.hot_restart_packet import Message
+from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.worker_state_codec import decode_worker_state
 
 RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
@@ -41,18 +41,18 @@
 }  # fmt: skip
 
 
-class Packet(NamedTuple):
+class RecordedPacket(NamedTuple):
     """A recorded packet: its kind, its bytes, and its descriptor."""
 
     kind: str
     data: bytes
-    file: int
+    descriptor: int
 
 
-def recorded() -> Iterator[Packet]:
+def recorded() -> Iterator[RecordedPacket]:
     """The packets of two hot restarts, in the order in which they were sent."""
     for row in json.loads(RECORDED.read_text()):
-        yield Packet(row["kind"], row["packet"].encode("latin-1"), FILE if row["descriptor"] else -1)
+        yield RecordedPacket(row["kind"], row["packet"].encode("latin-1"), FILE if row["descriptor"] else -1)
 
 
 PACKETS = list(recorded())
@@ -60,25 +60,25 @@
 
 def of_kind(kind: str) -> list[Any]:
     """The recorded messages of a kind, decoded."""
-    return [decode(Message.decode(each.data, each.file)) for each in PACKETS if each.kind == kind]
+    return [decode(Packet.decode(each.data, each.descriptor)) for each in PACKETS if each.kind == kind]
 
 
 def received(kind: str, **fields: Any) -> Any:
     """The message of a packet with these fields."""
-    return decode(Message.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", FILE))
+    return decode(Packet.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", FILE))
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
-def test_a_decoded_message_is_encoded_to_the_same_bytes(packet: Packet) -> None:
+def test_a_decoded_message_is_encoded_to_the_same_bytes(packet: RecordedPacket) -> None:
     """Names, their order, numbers and the descriptor are those of the recorded packet."""
-    message = decode(Message.decode(packet.data, packet.file))
+    message = decode(Packet.decode(packet.data, packet.descriptor))
     encoded = encode(message)
     assert encoded.encode() == packet.data
-    assert encoded.kind == packet.kind and encoded.file == packet.file
+    assert encoded.kind == packet.kind and encoded.descriptor == packet.descriptor
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
-def test_unknown_names_are_ignored(packet: Packet) -> None:
+def test_unknown_names_are_ignored(packet: RecordedPacket) -> None:
     """A later release may send more: at the top, in a worker's state, in a request, and in the lease."""
     head, _, data = packet.data.partition(b"\n")
     fields = json.loads(head)
@@ -88,8 +88,8 @@
             more[inner] = {**fields[inner], "live": {}, "unknown": [1]}
     if "lease" in fields:
         more["lease"] = [*fields["lease"], "unknown"]
-    later = Message.decode(json.dumps(more).encode() + b"\n" + data, packet.file)
-    assert decode(later) == decode(Message.decode(packet.data, packet.file))
+    later = Packet.decode(json.dumps(more).encode() + b"\n" + data, packet.descriptor)
+    assert decode(later) == decode(Packet.decode(packet.data, packet.descriptor))
 
 
 def test_all_kinds_are_recorded() -> None:
@@ -207,7 +207,7 @@
     """One between two requests, one whose attempt has started, one whose attempt has not."""
     idle, waiting, started, *_ = of_kind("client")
     assert idle == messages.MigratedConnection(FILE, b"", True, 272.174916748, None)
-    assert waiting.file == FILE and not waiting.is_idle and waiting.state_since == 272.056656803
+    assert waiting.descriptor == FILE and not waiting.is_idle and waiting.state_since == 272.056656803
     assert waiting.unparsed.startswith(b"POST /lookup/a?b=1 HTTP/1.1\r\n")
     assert waiting.unparsed.endswith(b"\r\n\r\ntext")
     attempt = messages.MigratedAttempt(0, "w1", 272057147353, 277056602981, 0)
@@ -271,17 +271,17 @@
     handover = HotRestart("toy", counters, process)
     for kind in ("later", "worker"):
         file = os.dup(0)
-        handover._receive(Message(kind, {}, file=file))
+        handover._receive(Packet(kind, {}, descriptor=file))
         with pytest.raises(OSError):
             os.fstat(file)
     assert not process.method_calls and dict(counters.counts) == {"handover_unknown": 1}
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
-def test_received_messages_are_counted_by_their_external_kind(packet: Packet) -> None:
+def test_received_messages_are_counted_by_their_external_kind(packet: RecordedPacket) -> None:
     """The counters' names are those of 725bba5; what the link itself handles is not counted."""
     counters = Counters()
     handover = HotRestart("toy", counters, Mock(offer_listener=Mock(return_value=None)))
-    handover._receive(Message.decode(packet.data, packet.file))
+    handover._receive(Packet.decode(packet.data, packet.descriptor))
     own = {"ask", "offer", "ready", "taken", "end", "ended"}
     assert dict(counters.counts) == ({} if packet.kind in own else {f"handover_{packet.kind}": 1})
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -16,7 +16,7 @@
 from weldquay.net.connection_state import ConnectionState
 from weldquay.net.connection_table import LINGER_TIMEOUT_S, ConnectionTable
 from weldquay.net.counters import Counters
-from weldquay.net.hot_restart_messages import MigratedConnection
+from weldquay.net.hot_restart_messages import NO_DESCRIPTOR, MigratedConnection
 from weldquay.net.lingering_close import READ_SIZE
 from weldquay.net.read_ahead import ReadAheadBudget
 from weldquay.net.request_coordinator import RequestCoordinator
@@ -24,7 +24,6 @@
 
 log = logging.getLogger(__name__)
 
-NO_DESCRIPTOR = -1
 LISTEN_BACKLOG = 1024  # connections in the system's queue; beyond it a client repeats its SYN after a second
 # Connections accepted in one turn of the event loop.  They are counted up to four turns later, and
 # limits.RESERVE has descriptors for them.
@@ -177,7 +176,7 @@
 
     async def _adopt(self, adopted: AdoptedConnection) -> None:
         """Set up a migrated connection."""
-        sock = socket.socket(fileno=adopted.migrated.file)
+        sock = socket.socket(fileno=adopted.migrated.descriptor)
         sock.setblocking(False)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -20,9 +20,9 @@
 from weldquay.net.counters import Counters
 from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.loop_monitor import LoopMonitor
-from weldquay.net.hot_restart import HotRestart, split_into_messages
+from weldquay.net.hot_restart import HotRestart
 from weldquay.net.hot_restart_messages import (
-    NO_FILE,
+    NO_DESCRIPTOR,
     BanChange,
     ClientConnectionCount,
     EndpointListChunk,
@@ -33,6 +33,7 @@
     OpenRequests,
     WorkerStateMessage,
 )
+from weldquay.net.process_link import split_into_chunks
 from weldquay.net.persistence import BanList, StateFile
 from weldquay.net.messages import MessageError, parse_callback, endpoint_to_json, endpoint_list_from_json
 from weldquay.net.operators import Operators
@@ -105,10 +106,10 @@
         self.operators = Operators(self.config.mgmt, self.counters, self)
         await self.operators.listen()
         self.hot_restart = HotRestart(self.config.name, self.counters, self)
-        offered = await self.hot_restart.ask()
+        offered = await self.hot_restart.request_listener()
         if self.inherited:
             self._inherit_list()
-        await self.server.listen(-1 if offered is None else offered.file)
+        await self.server.listen(-1 if offered is None else offered.descriptor)
         self.server.context.return_callback = lambda body: self.hot_restart.send(ForwardedCallback(body))
         exchange.start(self.workers, self.discovery)
         for worker_id in self.bans.read():
@@ -145,7 +146,7 @@
         for worker_id in offered.banned_worker_ids:
             self.coordinator.ban(worker_id, True)
         await self._until_listed()
-        await self.hot_restart.finish()
+        await self.hot_restart.confirm_ready()
 
     async def _until_listed(self) -> None:
         """Wait for what discovery has: what an agent on this machine has counts as told from the start."""
@@ -163,7 +164,7 @@
         self.server.table.reserve(NEWER_FILES)
         self.workers.limit_connections(1 - NEWER_PART)
         members = map(endpoint_to_json, self.workers.listed_endpoints())
-        for piece in split_into_messages(members) if self.coordinator.is_endpoint_list_confirmed else ():
+        for piece in split_into_chunks(members) if self.coordinator.is_endpoint_list_confirmed else ():
             self.hot_restart.send(
                 EndpointListChunk(
                     revision=self.discovery.revision,
@@ -173,7 +174,7 @@
                 )
             )
         return ListenerOffer(
-            file=os.dup(self.server.listener.fileno()),
+            descriptor=os.dup(self.server.listener.fileno()),
             banned_worker_ids=tuple(sorted(self.coordinator.bans)),
             out_of_service_since=self.out_since if self.phase is Phase.OUT_OF_SERVICE else None,
         )
@@ -188,7 +189,7 @@
         for worker_id, snapshot in self.coordinator.worker_snapshots().items():
             host, port = self.workers.address(worker_id)
             self.hot_restart.send(WorkerStateMessage(worker_id, host, port, snapshot))
-        for ids in split_into_messages(self.server.context.open_request_ids):
+        for ids in split_into_chunks(self.server.context.open_request_ids):
             self.hot_restart.send(OpenRequests(tuple(ids)))
         self.hot_restart.send(ClientConnectionCount(len(self.server.connections)))
         self.server.start_migration(self.hot_restart.send)
@@ -210,7 +211,9 @@
                 self.inherited.append(message)
             case OpenRequests():
                 self.server.context.peer_request_ids.update(message.request_ids)
-            case MigratedConnection(file=file) if file == NO_FILE:  # there was no descriptor left for it
+            case MigratedConnection(descriptor=descriptor) if (
+                descriptor == NO_DESCRIPTOR
+            ):  # there was no descriptor left for it
                 self.counters.add("handover_without_descriptor")
             case MigratedConnection():
                 if self.others:
@@ -241,12 +244,15 @@
         self.server.context.peer_request_ids.clear()
         self.server.context.migrate_connection = None
         for message in unsent:
-            if not isinstance(message, MigratedConnection | ListenerOffer) or message.file == NO_FILE:
+            if (
+                not isinstance(message, MigratedConnection | ListenerOffer)
+                or message.descriptor == NO_DESCRIPTOR
+            ):
                 continue
             if isinstance(message, MigratedConnection) and self.phase not in (Phase.STOPPING, Phase.STOPPED):
                 self.handle_message(message)
             else:
-                os.close(message.file)
+                os.close(message.descriptor)
         if self.phase is Phase.DRAINING:
             self.server.begin_closing()
         elif self.phase is Phase.HANDED_OVER:
@@ -320,7 +326,7 @@
                 while handed_over and self.server.connections:
                     await asyncio.sleep(LOOK_S)
                 if handed_over:
-                    await self.hot_restart.part()
+                    await self.hot_restart.end_migration()
         self._enter(Phase.STOPPING)
         await self.tasks.stop()
         await self.discovery.stop()
--- a/weldquay/net/hot_restart.py
+++ b/weldquay/net/hot_restart.py
@@ -1,21 +1,19 @@
-"""The handover from an older to a newer process of one dispatcher, by a unix socket in $TMPDIR.
+"""The hot restart: an older and a newer process of one dispatcher, connected by a unix socket in $TMPDIR.
 
-asyncio's streams carry no descriptors, so these sockets are served by the loop's own readers and writers.
+The newer process requests the listener, gets the endpoint list and the listener, and reports that it is
+ready.  The older process then stops accepting and migrates its connections.  At its end it reports that it
+has sent its last message, and waits for the confirmation.
 """
 
 from __future__ import annotations
 
 import asyncio
-import errno
 import logging
 import os
 import socket
-from collections import deque
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Iterable
 from contextlib import suppress
-from typing import Any, Protocol
-
-import ujson
+from typing import Protocol
 
 from weldquay.net.counters import Counters
 from weldquay.net.hot_restart_codec import UnknownMessageKind, decode, encode
@@ -36,17 +34,14 @@
     OpenRequests,
     WorkerStateMessage,
 )
-from weldquay.net.hot_restart_packet import Message as Message  # part of this module's interface
+from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.persistence import state_path
+from weldquay.net.process_link import ProcessLink, open_socket
 
 log = logging.getLogger(__name__)
 
-FORM = PROTOCOL_VERSION
-MAX_MESSAGE = 160 * 1024  # a call-back or what was read ahead, and some more; the system's buffer holds it
-ASK_S = 1.5  # an older process that does not answer by then is left out
-TAKE_S = 1.5  # nor is it waited for any longer once this one is ready
-AGAIN_S = 0.01  # the system has too many descriptors on their way
-MAX_PIECE = MAX_MESSAGE // 2  # bytes of rows in one message
+LISTENER_OFFER_TIMEOUT_S = 1.5  # then the newer process starts without the older one
+CONFIRMATION_TIMEOUT_S = 1.5  # then a process goes on without the other one's confirmation
 
 RECEIVED_COUNTERS: dict[type[HotRestartMessage], str] = {
     WorkerStateMessage: "handover_worker",
@@ -60,295 +55,204 @@
 UNKNOWN_KIND_COUNTER = "handover_unknown"
 
 
-def split_into_messages(rows: Iterable[Any]) -> Iterator[list[Any]]:
-    """Rows in as many lists as messages need: by their sizes, as ids and addresses may be long."""
-    piece, size = list[Any](), 0
-    for row in rows:
-        length = len(ujson.dumps(row)) + 1
-        if piece and size + length > MAX_PIECE:
-            yield piece
-            piece, size = [], 0
-        piece.append(row)
-        size += length
-    if piece:
-        yield piece
-
-
-class ProcessLink:
-    """A connection to the other process: whole messages both ways, in order."""
-
-    def __init__(
-        self, sock: socket.socket, take: Callable[[Message], None], lost: Callable[[list[Message]], None]
-    ) -> None:
-        self.sock, self.take, self.lost = sock, take, lost
-        self.loop = asyncio.get_running_loop()
-        self.waiting: deque[Message] = deque()
-        self.writing = False  # the next message waits for room in the system
-        self.reset = False  # the other process has ended
-        self.open = True
-        sock.setblocking(False)
-        self.loop.add_reader(sock, self._read)
-
-    def send(self, kind: str, data: bytes = b"", file: int = -1, **told: Any) -> None:
-        """Send a message, with a descriptor, which is closed here then."""
-        self.waiting.append(Message(kind, told, data, file))
-        if self.open and not self.writing:
-            self._write()
-
-    def close(self) -> None:
-        """End the connection; what waits is given back, as from a process that has gone."""
-        if self.open:
-            self.open = False
-            self.loop.remove_reader(self.sock)
-            self.loop.remove_writer(self.sock)
-            self.sock.close()
-            unsent, self.waiting = list(self.waiting), deque()
-            self.lost(unsent)
-
-    def _write(self) -> None:
-        if self.writing:
-            self.loop.remove_writer(self.sock)
-            self.writing = False
-        while self.waiting:
-            message = self.waiting[0]
-            try:
-                socket.send_fds(self.sock, [message.encode()], [message.file] if message.file >= 0 else [])
-            except BlockingIOError:
-                self.writing = True
-                self.loop.add_writer(self.sock, self._write)
-                return
-            except OSError as error:
-                if error.errno == errno.ETOOMANYREFS:  # the other has yet to take in those on their way
-                    self.writing = True
-                    self.loop.call_later(AGAIN_S, self._write_again)
-                    return
-                if error.errno != errno.EMSGSIZE:
-                    self.close()
-                    return
-                log.error("a message %s is too long for the other process", message.kind)
-            self.waiting.popleft()
-            if message.file >= 0:
-                os.close(message.file)
-
-    def _write_again(self) -> None:
-        if self.open:
-            self._write()
-
-    def _read(self) -> None:
-        try:
-            packet, files, *_ = socket.recv_fds(self.sock, MAX_MESSAGE, 1)
-            if not packet:
-                raise EOFError
-            message = Message.decode(packet, files[0] if files else -1)
-        except BlockingIOError:
-            return
-        except ConnectionResetError as error:
-            # Guards against the loss of what waits here: a process that ends with something unread resets the
-            # connection, and the system tells that before the messages that it had sent.
-            if self.reset:
-                log.info("the other process has gone: %s", error)
-                self.close()
-            self.reset = True
-            return
-        except (OSError, EOFError, ValueError) as error:
-            log.info("the other process has gone: %s", error or type(error).__name__)
-            self.close()
-            return
-        self.take(message)
-
-
-def open_socket() -> socket.socket:
-    """A unix socket for the handover; OSError where the system allows none."""
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    sock.setblocking(False)
-    return sock
-
-
 def is_peer_listening(name: str) -> bool:
     """True where an older process of this dispatcher listens; False where there are no unix sockets."""
     try:
         with open_socket() as sock:
             return sock.connect_ex(str(state_path(name, ".sock"))) == 0
     except OSError as error:
-        log.info("no handover: %s", error)
+        log.info("hot restart unavailable: %s", error)
         return False
 
 
 class HotRestartDelegate(Protocol):
-    """What the handover asks of this process."""
+    """What the hot restart uses of this process."""
 
     def offer_listener(self) -> ListenerOffer | None:
-        """A copy of the listener and what goes with it, for a newer process; None where it is too late."""
+        """A duplicate of the listener, for a newer process; None where this process is not serving."""
 
     def start_migration(self) -> None:
-        """The newer process is ready: pass on all that can be."""
+        """The newer process is ready: stop accepting, and migrate the connections."""
 
     def handle_message(self, message: HotRestartMessage) -> None:
-        """Take in what the other process passes on."""
+        """Handle a message that is not part of the exchange that `HotRestart` itself controls."""
 
     def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
-        """The other process has gone; what it did not take comes back."""
+        """The link has ended; unsent: the messages that the other process did not receive."""
 
 
 class HotRestart:
-    """This process's end of the way to the other one, which is the older one or the newer one."""
-
-    def __init__(self, name: str, counters: Counters, process: HotRestartDelegate) -> None:
-        self.path, self.counters, self.process = state_path(name, ".sock"), counters, process
-        self.door: socket.socket | None = None
+    """This process's end of the link to the other one, which is older or newer."""
+
+    def __init__(self, name: str, counters: Counters, delegate: HotRestartDelegate) -> None:
+        """Use the socket of the dispatcher of this name."""
+        self.path = state_path(name, ".sock")
+        self.counters = counters
+        self.delegate = delegate
+        self.listening_socket: socket.socket | None = None
         self.link: ProcessLink | None = None
-        self.offered: ListenerOffer | None = None
-        self.asked = False  # a newer process has the listener
-        self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        self.listener_offer: ListenerOffer | None = None
+        self.is_listener_granted = False  # to a newer process
+        self._reset_events()
+
+    def _reset_events(self) -> None:
+        self.offer_received = asyncio.Event()
+        self.accepting_stopped = asyncio.Event()
+        self.migration_confirmed = asyncio.Event()
 
     # --- the newer process ---
 
-    async def ask(self) -> ListenerOffer | None:
-        """What an older process offers, its listener; None where there is no such process, or no answer."""
+    async def request_listener(self) -> ListenerOffer | None:
+        """The offer of the older process; None where there is none, or no answer in time."""
+        if (sock := self._connect()) is None:
+            return None
+        self._open_link(sock)
+        self.send(ListenerRequest())
+        await self._wait(self.offer_received, LISTENER_OFFER_TIMEOUT_S)
+        if self.listener_offer is None and self.link is not None:
+            self.link.close()
+        return self.listener_offer
+
+    def _connect(self) -> socket.socket | None:
+        """A socket that is connected to the older process; None where there is none."""
         try:
             sock = open_socket()
-        except OSError as error:  # a system without unix sockets: a start without handover
-            log.warning("no handover, this process starts by itself: %s", error)
+        except OSError as error:
+            log.warning("hot restart unavailable, starting without an older process: %s", error)
             return None
         try:
             sock.connect(str(self.path))
-        except OSError as error:  # no file, or a stale one
+        except OSError as error:
             sock.close()
             if not isinstance(error, FileNotFoundError):
                 log.info("no older process at %s: %s", self.path, error)
             return None
-        self._begin(sock)
-        self.send(ListenerRequest())
-        with suppress(TimeoutError):
-            async with asyncio.timeout(ASK_S):
-                await self.answered.wait()
-        if self.offered is None and self.link is not None:
-            self.link.close()
-        return self.offered
+        return sock
 
-    async def finish(self) -> None:
-        """Tell the older process that this one is ready, and wait until it has stopped accepting."""
+    async def confirm_ready(self) -> None:
+        """Report that this process is ready, and wait until the older one has stopped accepting."""
         self.send(NewerProcessReady())
-        with suppress(TimeoutError):
-            async with asyncio.timeout(TAKE_S):
-                await self.taken.wait()
+        await self._wait(self.accepting_stopped, CONFIRMATION_TIMEOUT_S)
 
     # --- the older process ---
 
     def listen(self) -> None:
-        """Wait for a newer process; one that came before, and what it left, is replaced by a rename."""
-        fresh = self.path.with_suffix(f".{os.getpid()}")
+        """Wait for a newer process; the socket replaces that of an earlier process by a rename."""
+        temporary_path = self.path.with_suffix(f".{os.getpid()}")
         try:
-            listening = open_socket()
+            sock = open_socket()
         except OSError as error:
-            log.warning("no newer process can take over from this one: %s", error)
+            log.warning("hot restart unavailable, no newer process can connect: %s", error)
             return
         try:
-            fresh.unlink(missing_ok=True)
-            listening.bind(str(fresh))
-            listening.listen(1)
-            fresh.replace(self.path)
+            temporary_path.unlink(missing_ok=True)
+            sock.bind(str(temporary_path))
+            sock.listen(1)
+            temporary_path.replace(self.path)
         except OSError as error:
-            log.error("no newer process can take over from this one, at %s: %s", self.path, error)
-            listening.close()
+            log.warning("hot restart unavailable, cannot listen at %s: %s", self.path, error)
+            sock.close()
             return
-        self.door = listening
-        asyncio.get_running_loop().add_reader(listening, self._accept)
+        self.listening_socket = sock
+        asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def _accept(self) -> None:
-        assert self.door is not None
+        assert self.listening_socket is not None
         try:
-            sock, _ = self.door.accept()
+            sock, _ = self.listening_socket.accept()
         except OSError:
             return
-        if self.link is not None and self.asked:
-            log.warning("a third process asks while another takes over: it is left to itself")
+        if self.link is not None and self.is_listener_granted:
+            log.warning("hot restart refused: another newer process has the listener")
             sock.close()
             return
-        if self.link is not None:  # it only looked whether there is a process here
+        if self.link is not None:  # its process has not requested the listener: see `is_peer_listening`
             self.link.close()
-        self._begin(sock)
+        self._open_link(sock)
 
-    async def part(self) -> None:
-        """Wait until the newer process has taken in all that was sent."""
+    async def end_migration(self) -> None:
+        """Report that all is sent, and wait until the newer process has handled it."""
         self.send(MigrationEnded())
-        with suppress(TimeoutError):
-            async with asyncio.timeout(TAKE_S):
-                await self.parted.wait()
+        await self._wait(self.migration_confirmed, CONFIRMATION_TIMEOUT_S)
+
+    def _answer_request(self, request: ListenerRequest) -> None:
+        """Offer the listener, or end the link where that is not possible."""
+        offer = None
+        if request.protocol_version == PROTOCOL_VERSION:
+            offer = self.delegate.offer_listener()
+        if offer is not None:
+            self.is_listener_granted = True
+            self.send(offer)
+        elif self.link is not None:
+            self.link.close()
 
     # --- both ---
 
-    def _begin(self, sock: socket.socket) -> None:
-        """A link to the other process, with waits of its own.
+    def _open_link(self, sock: socket.socket) -> None:
+        """Start a link with new events: those of an earlier link were set when it was lost."""
+        self._reset_events()
+        self.link = ProcessLink(sock, self._receive, self._on_link_lost)
 
-        Guards against the events of an earlier link: set when it was lost, they would end this one's waits at
-        once, and its last messages, connections with their calls, would be closed unread.
-        """
-        self.answered, self.taken, self.parted = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        self.link = ProcessLink(sock, self._receive, self._lost)
+    async def _wait(self, event: asyncio.Event, timeout_s: float) -> None:
+        """Wait for an event, or until the time (s) is over."""
+        with suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s):
+                await event.wait()
 
     def send(self, message: HotRestartMessage) -> None:
-        """Send a message to the other process, if there is one; a descriptor in it is closed here."""
+        """Send a message to the other process, if there is one; its descriptor is closed here."""
         packet = encode(message)
         if self.link is not None:
-            self.link.send(packet.kind, packet.data, packet.file, **packet.told)
-        elif packet.file >= 0:
-            os.close(packet.file)
+            self.link.send(packet)
+        elif packet.has_descriptor:
+            os.close(packet.descriptor)
 
     def stop(self) -> None:
-        """Leave: the other process goes on alone."""
-        if self.door is not None:
-            asyncio.get_running_loop().remove_reader(self.door)
-            self.door.close()
-            self.door = None
+        """Stop listening, and end the link."""
+        if self.listening_socket is not None:
+            asyncio.get_running_loop().remove_reader(self.listening_socket)
+            self.listening_socket.close()
+            self.listening_socket = None
         if self.link is not None:
             self.link.close()
 
-    def _receive(self, packet: Message) -> None:
-        """Decode a packet and handle its message; one that cannot be used is dropped."""
+    def _receive(self, packet: Packet) -> None:
+        """Decode a packet and handle its message; one that cannot be decoded is dropped."""
         try:
             message = decode(packet)
         except ValueError as error:
             if isinstance(error, UnknownMessageKind):
                 self.counters.add(UNKNOWN_KIND_COUNTER)
-            log.warning("a message of the other process is ignored: %s", error)
-            if packet.file >= 0:
-                os.close(packet.file)
+            log.warning("hot-restart message dropped: %s", error)
+            if packet.has_descriptor:
+                os.close(packet.descriptor)
         else:
-            self._take(message)
+            self._handle(message)
 
-    def _take(self, message: HotRestartMessage) -> None:
+    def _handle(self, message: HotRestartMessage) -> None:
         match message:
             case ListenerRequest():
                 self._answer_request(message)
             case ListenerOffer():
-                self.offered = message
-                self.answered.set()
+                self.listener_offer = message
+                self.offer_received.set()
             case NewerProcessReady():
-                self.process.start_migration()
+                self.delegate.start_migration()
                 self.send(AcceptingStopped())
             case AcceptingStopped():
-                self.taken.set()
+                self.accepting_stopped.set()
             case MigrationEnded():
                 self.send(MigrationEndConfirmed())
             case MigrationEndConfirmed():
-                self.parted.set()
+                self.migration_confirmed.set()
             case _:
                 self.counters.add(RECEIVED_COUNTERS[type(message)])
-                self.process.handle_message(message)
-
-    def _answer_request(self, request: ListenerRequest) -> None:
-        """Offer the listener, or end the link where that is not possible."""
-        offer = self.process.offer_listener() if request.protocol_version == PROTOCOL_VERSION else None
-        if offer is not None:
-            self.asked = True
-            self.send(offer)
-        elif self.link is not None:
-            self.link.close()
-
-    def _lost(self, unsent: list[Message]) -> None:
-        self.link, self.asked = None, False
-        self.answered.set()
-        self.taken.set()
-        self.parted.set()
-        self.process.on_peer_lost([decode(packet) for packet in unsent])
+                self.delegate.handle_message(message)
+
+    def _on_link_lost(self, unsent: list[Packet]) -> None:
+        self.link = None
+        self.is_listener_granted = False
+        self.offer_received.set()
+        self.accepting_stopped.set()
+        self.migration_confirmed.set()
+        self.delegate.on_peer_lost([decode(packet) for packet in unsent])
--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any, assert_never
+from typing import Any
 
 from weldquay.errors import OperatorError
 from weldquay.interface import NO_LEASE, LeaseState
@@ -30,7 +30,7 @@
     OpenRequests,
     WorkerStateMessage,
 )
-from weldquay.net.hot_restart_packet import Message
+from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
 
 # The kinds.
@@ -90,40 +90,12 @@
     remedy = "nothing; a later release sends it, and this one can do without it"
 
 
-def encode(message: HotRestartMessage) -> Message:
+def encode(message: HotRestartMessage) -> Packet:
     """The packet of a message."""
-    match message:
-        case ListenerRequest():
-            return Message(LISTENER_REQUEST, {PROTOCOL_VERSION: message.protocol_version})
-        case ListenerOffer():
-            return _encode_offer(message)
-        case EndpointListChunk():
-            return _encode_endpoints(message)
-        case NewerProcessReady():
-            return Message(NEWER_PROCESS_READY, {})
-        case AcceptingStopped():
-            return Message(ACCEPTING_STOPPED, {})
-        case WorkerStateMessage():
-            return _encode_worker(message)
-        case OpenRequests():
-            return Message(OPEN_REQUESTS, {REQUEST_IDS: list(message.request_ids)})
-        case ClientConnectionCount():
-            return Message(CLIENT_CONNECTION_COUNT, {CONNECTIONS: message.connections})
-        case MigratedConnection():
-            return _encode_connection(message)
-        case BanChange():
-            return Message(BAN_CHANGE, {WORKER_ID: message.worker_id, IS_BANNED: message.is_banned})
-        case ForwardedCallback():
-            return Message(FORWARDED_CALLBACK, {}, message.body)
-        case MigrationEnded():
-            return Message(MIGRATION_ENDED, {})
-        case MigrationEndConfirmed():
-            return Message(MIGRATION_END_CONFIRMED, {})
-        case _:
-            assert_never(message)
-
-
-def decode(packet: Message) -> HotRestartMessage:
+    return _ENCODERS[type(message)](message)
+
+
+def decode(packet: Packet) -> HotRestartMessage:
     """The message of a packet.
 
     Raises:
@@ -136,33 +108,37 @@
     return decoder(packet)
 
 
-def _required(packet: Message, name: str) -> Any:
-    if name not in packet.told:
+def _required(packet: Packet, name: str) -> Any:
+    if name not in packet.fields:
         raise MalformedMessage(f"{packet.kind} without {name}")
-    return packet.told[name]
+    return packet.fields[name]
+
+
+def _decode_listener_request(packet: Packet) -> ListenerRequest:
+    return ListenerRequest(protocol_version=packet.fields.get(PROTOCOL_VERSION))
 
 
-def _decode_listener_request(packet: Message) -> ListenerRequest:
-    return ListenerRequest(protocol_version=packet.told.get(PROTOCOL_VERSION))
+def _encode_listener_request(request: ListenerRequest) -> Packet:
+    return Packet(LISTENER_REQUEST, {PROTOCOL_VERSION: request.protocol_version})
 
 
-def _encode_offer(offer: ListenerOffer) -> Message:
+def _encode_offer(offer: ListenerOffer) -> Packet:
     fields = {
         BANNED_WORKER_IDS: list(offer.banned_worker_ids),
         OUT_OF_SERVICE_SINCE: offer.out_of_service_since,
     }
-    return Message(LISTENER_OFFER, fields, file=offer.file)
+    return Packet(LISTENER_OFFER, fields, descriptor=offer.descriptor)
 
 
-def _decode_offer(packet: Message) -> ListenerOffer:
+def _decode_offer(packet: Packet) -> ListenerOffer:
     return ListenerOffer(
-        file=packet.file,
-        banned_worker_ids=tuple(packet.told.get(BANNED_WORKER_IDS, ())),
-        out_of_service_since=packet.told.get(OUT_OF_SERVICE_SINCE),
+        descriptor=packet.descriptor,
+        banned_worker_ids=tuple(packet.fields.get(BANNED_WORKER_IDS, ())),
+        out_of_service_since=packet.fields.get(OUT_OF_SERVICE_SINCE),
     )
 
 
-def _encode_endpoints(chunk: EndpointListChunk) -> Message:
+def _encode_endpoints(chunk: EndpointListChunk) -> Packet:
     address = chunk.discovery_address
     lease = chunk.lease
     fields = {
@@ -171,16 +147,16 @@
         LEASE: [lease.until_ns, lease.missed, lease.silent],
         ENDPOINTS: list(chunk.endpoints),
     }
-    return Message(ENDPOINT_LIST_CHUNK, fields)
+    return Packet(ENDPOINT_LIST_CHUNK, fields)
 
 
-def _decode_endpoints(packet: Message) -> EndpointListChunk:
-    address = packet.told.get(DISCOVERY_ADDRESS)
+def _decode_endpoints(packet: Packet) -> EndpointListChunk:
+    address = packet.fields.get(DISCOVERY_ADDRESS)
     return EndpointListChunk(
-        revision=packet.told.get(REVISION, 0),
+        revision=packet.fields.get(REVISION, 0),
         discovery_address=None if address is None else (address[0], address[1]),
-        lease=_decode_lease(packet.told.get(LEASE, ())),
-        endpoints=tuple(packet.told.get(ENDPOINTS, ())),
+        lease=_decode_lease(packet.fields.get(LEASE, ())),
+        endpoints=tuple(packet.fields.get(ENDPOINTS, ())),
     )
 
 
@@ -191,50 +167,58 @@
     return LeaseState(until_ns=until_ns, missed=missed, silent=silent)
 
 
-def _encode_worker(message: WorkerStateMessage) -> Message:
+def _encode_worker(message: WorkerStateMessage) -> Packet:
     fields = {
         WORKER_ID: message.worker_id,
         WORKER_STATE_FIELDS: encode_worker_state(message.snapshot),
         WORKER_ADDRESS: [message.host, message.port],
     }
-    return Message(WORKER_STATE, fields)
+    return Packet(WORKER_STATE, fields)
 
 
-def _decode_worker(packet: Message) -> WorkerStateMessage:
+def _decode_worker(packet: Packet) -> WorkerStateMessage:
     host, port = _required(packet, WORKER_ADDRESS)
     return WorkerStateMessage(
         worker_id=_required(packet, WORKER_ID),
         host=host,
         port=port,
-        snapshot=decode_worker_state(packet.told.get(WORKER_STATE_FIELDS, {})),
+        snapshot=decode_worker_state(packet.fields.get(WORKER_STATE_FIELDS, {})),
     )
 
 
-def _decode_open_requests(packet: Message) -> OpenRequests:
-    return OpenRequests(request_ids=tuple(packet.told.get(REQUEST_IDS, ())))
+def _encode_open_requests(message: OpenRequests) -> Packet:
+    return Packet(OPEN_REQUESTS, {REQUEST_IDS: list(message.request_ids)})
+
+
+def _decode_open_requests(packet: Packet) -> OpenRequests:
+    return OpenRequests(request_ids=tuple(packet.fields.get(REQUEST_IDS, ())))
+
 
+def _encode_connection_count(message: ClientConnectionCount) -> Packet:
+    return Packet(CLIENT_CONNECTION_COUNT, {CONNECTIONS: message.connections})
 
-def _decode_connection_count(packet: Message) -> ClientConnectionCount:
-    return ClientConnectionCount(connections=packet.told.get(CONNECTIONS, 0))
 
+def _decode_connection_count(packet: Packet) -> ClientConnectionCount:
+    return ClientConnectionCount(connections=packet.fields.get(CONNECTIONS, 0))
 
-def _encode_connection(connection: MigratedConnection) -> Message:
+
+def _encode_connection(connection: MigratedConnection) -> Packet:
     request = connection.request
     fields = {
         IS_IDLE: connection.is_idle,
         STATE_SINCE: connection.state_since,
         REQUEST: None if request is None else _encode_request(request),
     }
-    return Message(MIGRATED_CONNECTION, fields, connection.unparsed, connection.file)
+    return Packet(MIGRATED_CONNECTION, fields, connection.unparsed, connection.descriptor)
 
 
-def _decode_connection(packet: Message) -> MigratedConnection:
-    request = packet.told.get(REQUEST)
+def _decode_connection(packet: Packet) -> MigratedConnection:
+    request = packet.fields.get(REQUEST)
     return MigratedConnection(
-        file=packet.file,
+        descriptor=packet.descriptor,
         unparsed=packet.data,
-        is_idle=packet.told.get(IS_IDLE, False),
-        state_since=packet.told.get(STATE_SINCE),
+        is_idle=packet.fields.get(IS_IDLE, False),
+        state_since=packet.fields.get(STATE_SINCE),
         request=None if request is None else _decode_request(request),
     )
 
@@ -280,26 +264,50 @@
     )
 
 
-def _decode_ban(packet: Message) -> BanChange:
-    return BanChange(worker_id=_required(packet, WORKER_ID), is_banned=packet.told.get(IS_BANNED, True))
+def _encode_ban(message: BanChange) -> Packet:
+    return Packet(BAN_CHANGE, {WORKER_ID: message.worker_id, IS_BANNED: message.is_banned})
+
+
+def _decode_ban(packet: Packet) -> BanChange:
+    return BanChange(worker_id=_required(packet, WORKER_ID), is_banned=packet.fields.get(IS_BANNED, True))
+
 
+def _encode_callback(callback: ForwardedCallback) -> Packet:
+    return Packet(FORWARDED_CALLBACK, {}, callback.body)
 
-def _decode_callback(packet: Message) -> ForwardedCallback:
+
+def _decode_callback(packet: Packet) -> ForwardedCallback:
     return ForwardedCallback(body=packet.data)
 
 
-_DECODERS: dict[str, Callable[[Message], HotRestartMessage]] = {
+_ENCODERS: dict[type[HotRestartMessage], Callable[[Any], Packet]] = {
+    ListenerRequest: _encode_listener_request,
+    ListenerOffer: _encode_offer,
+    EndpointListChunk: _encode_endpoints,
+    NewerProcessReady: lambda _: Packet(NEWER_PROCESS_READY, {}),
+    AcceptingStopped: lambda _: Packet(ACCEPTING_STOPPED, {}),
+    WorkerStateMessage: _encode_worker,
+    OpenRequests: _encode_open_requests,
+    ClientConnectionCount: _encode_connection_count,
+    MigratedConnection: _encode_connection,
+    BanChange: _encode_ban,
+    ForwardedCallback: _encode_callback,
+    MigrationEnded: lambda _: Packet(MIGRATION_ENDED, {}),
+    MigrationEndConfirmed: lambda _: Packet(MIGRATION_END_CONFIRMED, {}),
+}
+
+_DECODERS: dict[str, Callable[[Packet], HotRestartMessage]] = {
     LISTENER_REQUEST: _decode_listener_request,
     LISTENER_OFFER: _decode_offer,
     ENDPOINT_LIST_CHUNK: _decode_endpoints,
-    NEWER_PROCESS_READY: lambda packet: NewerProcessReady(),
-    ACCEPTING_STOPPED: lambda packet: AcceptingStopped(),
+    NEWER_PROCESS_READY: lambda _: NewerProcessReady(),
+    ACCEPTING_STOPPED: lambda _: AcceptingStopped(),
     WORKER_STATE: _decode_worker,
     OPEN_REQUESTS: _decode_open_requests,
     CLIENT_CONNECTION_COUNT: _decode_connection_count,
     MIGRATED_CONNECTION: _decode_connection,
     BAN_CHANGE: _decode_ban,
     FORWARDED_CALLBACK: _decode_callback,
-    MIGRATION_ENDED: lambda packet: MigrationEnded(),
-    MIGRATION_END_CONFIRMED: lambda packet: MigrationEndConfirmed(),
+    MIGRATION_ENDED: lambda _: MigrationEnded(),
+    MIGRATION_END_CONFIRMED: lambda _: MigrationEndConfirmed(),
 }
--- a/weldquay/net/hot_restart_messages.py
+++ b/weldquay/net/hot_restart_messages.py
@@ -1,6 +1,6 @@
 """The messages that an older and a newer process of one dispatcher exchange during a hot restart.
 
-A file descriptor in a message belongs to its receiver, which closes it; NO_FILE stands for none.  Their
+A file descriptor in a message belongs to its receiver, which closes it; NO_DESCRIPTOR stands for none.  Their
 external form is in `hot_restart_codec`.
 """
 
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from weldquay.net.hot_restart_packet import NO_DESCRIPTOR as NO_DESCRIPTOR  # part of this module's interface
 from weldquay.interface import NO_LEASE, UNKNOWN_WORKER, LeaseState, WorkerSnapshot
 
-NO_FILE = -1
 PROTOCOL_VERSION = 1  # a process with another version starts without a hot restart
 
 
@@ -31,7 +31,7 @@
     while it is in service.
     """
 
-    file: int = NO_FILE
+    descriptor: int = NO_DESCRIPTOR
     banned_worker_ids: tuple[str, ...] = ()
     out_of_service_since: float | None = None
 
@@ -41,7 +41,7 @@
     """A part of the endpoint list of the older process; all parts precede its offer.
 
     discovery_address: the discovery that the revision belongs to; None: not known.  endpoints: members in
-    discovery's own form (`messages.member_line`).
+    discovery's own form (`messages.endpoint_to_json`).
     """
 
     revision: int = 0
@@ -121,7 +121,7 @@
     an open one.
     """
 
-    file: int = NO_FILE
+    descriptor: int = NO_DESCRIPTOR
     unparsed: bytes = b""
     is_idle: bool = False
     state_since: float | None = None
--- a/weldquay/net/hot_restart_packet.py
+++ b/weldquay/net/hot_restart_packet.py
@@ -8,29 +8,40 @@
 import ujson
 
 KIND = "kind"  # the name of the packet's kind, the first one in its JSON object
+NO_DESCRIPTOR = -1
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
-    """A packet as it is sent: its kind, the other fields of its JSON object, and what follows them.
+class Packet:
+    """A packet as it is sent: its kind, the other fields of its JSON object, and the bytes after it.
 
-    Whoever receives a descriptor closes it; -1: there is none.
+    The receiver of a descriptor closes it.
     """
 
     kind: str
-    told: dict[str, Any]
+    fields: dict[str, Any]
     data: bytes = b""
-    file: int = -1
+    descriptor: int = NO_DESCRIPTOR
+
+    @property
+    def has_descriptor(self) -> bool:
+        """True where the packet carries a file descriptor."""
+        return self.descriptor != NO_DESCRIPTOR
 
     def encode(self) -> bytes:
         """The bytes of the packet."""
-        return ujson.dumps({KIND: self.kind, **self.told}).encode() + b"\n" + self.data
+        return ujson.dumps({KIND: self.kind, **self.fields}).encode() + b"\n" + self.data
 
     @classmethod
-    def decode(cls, packet: bytes, file: int = -1) -> Message:
-        """The message of a packet; ValueError where it is malformed."""
-        head, _, data = packet.partition(b"\n")
-        told = ujson.loads(head)
-        if not isinstance(told, dict) or not isinstance(kind := told.pop(KIND, None), str):
-            raise ValueError("a message without its kind")
-        return cls(kind, told, data, file)
+    def decode(cls, encoded: bytes, descriptor: int = NO_DESCRIPTOR) -> Packet:
+        """The packet of its bytes.
+
+        Raises:
+            ValueError: the bytes are malformed.
+        """
+        head, _, data = encoded.partition(b"\n")
+        fields = ujson.loads(head)
+        kind = fields.pop(KIND, None) if isinstance(fields, dict) else None
+        if isinstance(kind, str):
+            return cls(kind, fields, data, descriptor)
+        raise ValueError("packet without its kind")
