--- a/example/toy.py
+++ b/example/toy.py
@@ -1,8 +1,8 @@
 """A toy discovery and three toy match workers, in one process on the loopback.
 
 Run it as `python -m example.toy example/config.json`, beside a dispatcher with the same configuration.  It
-is made to be read: no limits, no checks, a job's result is its body in capitals.  The servers are those of
-`weldquay/lab/`, which also has match workers with slots, queues and speeds.
+is an example to read: it has no limits and no checks, and a job's result is its body in capitals.  The
+servers are those of `weldquay/lab/`, which also has match workers with slots, queues and speeds.
 """
 
 from __future__ import annotations
@@ -19,24 +19,27 @@
 
 __all__ = ["Discovery", "Message", "Server", "Worker", "read_message", "request", "write_message"]
 
-SLOTS = 4
-RUN_S = 0.2
+SLOTS = 4  # jobs that a worker runs at once, by its report
+RUN_S = 0.2  # running time of a job
 NO_LOAD = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
 
 
 class Worker(Server):
-    """A match worker: 202 at once, then call-backs to the dispatcher."""
+    """A match worker, which answers 202 at once and sends call-backs to the dispatcher."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__()
         self.name, self.dispatcher = name, dispatcher
         self.jobs: dict[str, asyncio.Task[None]] = {}
+        self.tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Take a job, drop one, or tell the load."""
+        """Start a job (POST), cancel one (DELETE) or report the load (GET)."""
         if message.method == "POST":
             call = message.headers["x-correlation-id"]
-            self.jobs[call] = asyncio.create_task(self.run(call, message.body))
+            self.jobs[call] = task = asyncio.create_task(self.run(call, message.body))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
             writer.write(write_message("HTTP/1.1 202 Accepted"))
         elif message.method == "DELETE":
             job = self.jobs.pop(message.target.rsplit("/", 1)[1], None)
@@ -47,11 +50,15 @@
             writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self.load()).encode()))
 
     def load(self) -> dict[str, float]:
-        """The load report."""
-        return {**NO_LOAD, "x0": max(0, SLOTS - len(self.jobs)), "pending": max(0, len(self.jobs) - SLOTS)}
+        """Return the load report."""
+        return {
+            **NO_LOAD,
+            "x0": max(0, SLOTS - len(self.jobs)),
+            "pending": max(0, len(self.jobs) - SLOTS),
+        }
 
     async def run(self, call: str, body: bytes) -> None:
-        """Run one job."""
+        """Run one job and send its call-backs."""
         await self.tell(call, state="started")
         await asyncio.sleep(RUN_S)
         self.jobs.pop(call, None)
@@ -59,27 +66,26 @@
         await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
 
     async def tell(self, call: str, **what: Any) -> Message:
-        """Send one call-back and return what the dispatcher answers."""
-        told = json.dumps({"id": call, "from": self.name, **what}).encode()
-        return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", told))
+        """Send one call-back and return the dispatcher's answer."""
+        body = json.dumps({"id": call, "from": self.name, **what}).encode()
+        return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", body))
 
 
 class Discovery(servers.Discovery):
     """The list of toy workers."""
 
     def add(self, worker: Worker, phase: str = "SERVING") -> None:
-        """List a worker."""
+        """List a worker, without a message to the watches."""
         self.put(worker.name, [worker.address], phase)
 
     async def change(self, worker: Worker, phase: str) -> None:
-        """Tell all watches of a worker's new phase."""
+        """Change a worker's phase and send the list to all watches."""
         self.add(worker, phase)
         await self.tell()
 
 
-async def main(path: str) -> None:
-    """Serve until interrupted."""
-    config = json.loads(Path(path).read_text())
+async def main(config: dict[str, Any]) -> None:
+    """Serve until interrupted, at the addresses of a dispatcher's configuration."""
     discovery = Discovery()
     await discovery.start(int(config["discovery"].rsplit(":", 1)[1]))
     for number in range(3):
@@ -92,4 +98,4 @@
 
 if __name__ == "__main__":
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(main(sys.argv[1]))
+        asyncio.run(main(json.loads(Path(sys.argv[1]).read_text())))
