--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -25,8 +25,8 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from weldquay.fleet.slow_start import mix
-from weldquay.fleet.subset import LEAST, SHARERS, subset
+from weldquay.fleet.hashing import mix
+from weldquay.fleet.subset import MIN_SUBSET_SIZE, MIN_DISPATCHERS_PER_WORKER, subset
 
 FLEETS = (
     (3, 10),
@@ -46,7 +46,7 @@
 
 def size_of(count: int, dispatchers: int) -> int:
     """Workers in a subset, as landed."""
-    return min(count, max(LEAST, -(-SHARERS * count // max(1, dispatchers))))
+    return min(count, max(MIN_SUBSET_SIZE, -(-MIN_DISPATCHERS_PER_WORKER * count // max(1, dispatchers))))
 
 
 def rendezvous(workers: Sequence[int], me: int, dispatchers: int) -> list[int]:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -12,7 +12,7 @@
 
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
-from weldquay.fleet.subset import LEAST, SHARERS, subset
+from weldquay.fleet.subset import MIN_DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE, subset
 from weldquay.policy.dispatcher import Dispatcher
 from tests.helpers import MS, SECOND, settings
 
@@ -94,8 +94,8 @@
     numbers = [1000 + 7 * n for n in range(workers)]
     shared = Counter(place for me in range(dispatchers) for place in subset(numbers, me, dispatchers))
     assert len(shared) == workers
-    if workers >= 2 * max(LEAST, SHARERS * workers / dispatchers):
-        assert max(shared.values()) <= 2 * LEAST * dispatchers / workers + 1
+    if workers >= 2 * max(MIN_SUBSET_SIZE, MIN_DISPATCHERS_PER_WORKER * workers / dispatchers):
+        assert max(shared.values()) <= 2 * MIN_SUBSET_SIZE * dispatchers / workers + 1
 
 
 def test_a_worker_more_changes_little() -> None:
@@ -106,7 +106,7 @@
         before = {numbers[place] for place in subset(numbers, me, DISPATCHERS)}
         more = [*numbers, 777]
         kept += len(before & {more[place] for place in subset(more, me, DISPATCHERS)})
-    assert kept > 0.7 * DISPATCHERS * LEAST
+    assert kept > 0.7 * DISPATCHERS * MIN_SUBSET_SIZE
 
 
 def test_a_change_of_the_list_moves_the_subset() -> None:
@@ -124,7 +124,7 @@
         ],
     )
     assert gone.worker not in {worker.entry.worker for worker in drive.subset}
-    assert len(drive.subset) >= LEAST and isinstance(drive.subset[0].slow_start_sends, deque)
+    assert len(drive.subset) >= MIN_SUBSET_SIZE and isinstance(drive.subset[0].slow_start_sends, deque)
 
 
 def test_refused_clients_do_not_return_in_one_wave() -> None:
@@ -170,7 +170,9 @@
         )
         sent = {action.worker for action in actions if isinstance(action, api.Send)}
         assert sent and sent <= ready
-        assert {worker.entry.worker for worker in each.subset} <= ready and len(each.subset) >= LEAST
+        assert {worker.entry.worker for worker in each.subset} <= ready and len(
+            each.subset
+        ) >= MIN_SUBSET_SIZE
 
 
 def test_an_old_list_gives_way_to_what_discovery_tells() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,13 +1,13 @@
-"""Turns at cold workers: what all dispatchers send together stays within the budget, and is of use."""
+"""Slow start: the work that all dispatchers together send stays within the budget, and uses much of it."""
 
 from __future__ import annotations
 
 import math
 import random
 from collections import deque
-from dataclasses import replace
+from dataclasses import dataclass, field, replace
 from functools import partial
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 from hypothesis import given, settings
@@ -22,291 +22,388 @@
 from weldquay.settings import Pairs, decode_settings
 from tests.helpers import MS, SECOND
 
-RULE = SlowStartPolicy(
+POLICY = SlowStartPolicy(
     initial_capacity_fraction=0.34, slow_start_ns=8900 * MS, overload_multiple=2.5, window_ns=2 * SECOND
 )
-CAPACITY, MEAN_NS = 4.0, 500 * MS
-MANY = 1e6  # calls in a slice: more than there are turns, so that only those that are paid for are taken
+CAPACITY = 4.0
+MEAN_NS = 500 * MS
+MANY = 1e6  # requests in a slice: more than there are send slots, so that none is overcommitted
+
+
+Job = tuple[int, int, int]  # (age of the worker in ns, dispatcher, work in ns)
+Sent = list[tuple[int, int]]  # (age of the worker in ns, work in ns)
+
+
+@dataclass
+class Fleet:
+    """What each dispatcher has sent to each warming worker, and all that each worker got."""
+
+    dispatcher_count: int
+    start_ids: list[int]
+    capacity: float = CAPACITY
+    own: dict[tuple[int, int], deque[tuple[int, float]]] = field(default_factory=dict)
+    sent: list[Sent] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Start with nothing sent."""
+        self.sent = [[] for _ in self.start_ids]
+
+    def try_send(self, worker: int, age_ns: int, dispatcher: int, work_ns: int, **changes: Any) -> bool:
+        """Send a job where the dispatcher's remaining budget at the worker allows."""
+        own = self.own.setdefault((dispatcher, worker), deque())
+        start_id = self.start_ids[worker]
+        warming = WarmingWorker(start_id, age_ns, self.capacity, dispatcher, self.dispatcher_count, **changes)
+        if remaining_budget_ns(POLICY, warming, own) < work_ns:
+            return False
+        own.append((age_ns, float(work_ns)))
+        self.sent[worker].append((age_ns, work_ns))
+        return True
 
 
 def play(
-    dispatchers: int, jobs: list[tuple[int, int, int]], heard: list[int], worker: int = 7, calls: float = MANY
-) -> list[tuple[int, int]]:
-    """What is sent: jobs are (age of the worker, dispatcher, work); heard: when each knows of the worker."""
-    sent: list[tuple[int, int]] = []
-    own: list[deque[tuple[int, float]]] = [deque() for _ in range(dispatchers)]
-    for age_ns, me, work_ns in sorted(jobs):
-        cold = WarmingWorker(
-            worker, age_ns, CAPACITY, me, dispatchers, mean_work_ns=MEAN_NS, expected_requests=calls
-        )
-        if age_ns >= heard[me] and remaining_budget_ns(RULE, cold, own[me]) >= work_ns:
-            own[me].append((age_ns, work_ns))
-            sent.append((age_ns, work_ns))
-    return sent
+    dispatcher_count: int,
+    jobs: list[Job],
+    known_from_ns: list[int],
+    start_id: int = 7,
+    expected_requests: float = MANY,
+) -> Sent:
+    """Return what is sent to one worker; known_from_ns: age at which each dispatcher learns of it."""
+    fleet = Fleet(dispatcher_count, [start_id])
+    for age_ns, dispatcher, work_ns in sorted(jobs):
+        if age_ns >= known_from_ns[dispatcher]:
+            fleet.try_send(
+                0,
+                age_ns,
+                dispatcher,
+                work_ns,
+                mean_work_ns=MEAN_NS,
+                expected_requests=expected_requests,
+            )
+    return fleet.sent[0]
 
 
-def fullest(sent: list[tuple[int, int]], capacity: float = CAPACITY, mean_ns: float = MEAN_NS) -> float:
-    """The work of the fullest window, as a part of what makes the worker fall."""
+def max_window_load(sent: Sent, capacity: float = CAPACITY, mean_ns: float = MEAN_NS) -> float:
+    """Return the work of the fullest window as a fraction of the overload threshold."""
     return max(
         (
-            sum(work for at_ns, work in sent if begin_ns <= at_ns < begin_ns + RULE.window_ns)
-            / RULE.overload_threshold_ns(begin_ns, capacity, mean_ns)
+            sum(work_ns for age_ns, work_ns in sent if begin_ns <= age_ns < begin_ns + POLICY.window_ns)
+            / POLICY.overload_threshold_ns(begin_ns, capacity, mean_ns)
             for begin_ns, _ in sent
         ),
         default=0.0,
     )
 
 
+def mean_capacity(capacity: float = CAPACITY) -> float:
+    """Return the mean capacity of a worker while it warms up, in ns of work a ns."""
+    return sum(POLICY.capacity_fraction(age_s * SECOND) for age_s in range(9)) / 9 * capacity
+
+
 @settings(deadline=None, max_examples=60)
 @given(st.integers(1, 64), st.integers(0, 2**32), st.floats(0.0, 3.0), st.floats(0.05, 1.5))
-def test_what_is_paid_for_stays_within_the_budget_in_every_window(
-    dispatchers: int, seed: int, skew: float, mean_s: float
+def test_the_budget_is_kept_in_every_window_without_overcommitment(
+    dispatcher_count: int, seed: int, skew: float, mean_s: float
 ) -> None:
-    """However unevenly traffic and news are spread, and however much more is wanted than may be sent."""
+    """With uneven traffic, dispatchers that learn of the worker late, and far more jobs than may be sent."""
     draw = random.Random(seed)
-    weights = [draw.random() ** skew + 1e-6 for _ in range(dispatchers)]
+    weights = [draw.random() ** skew + 1e-6 for _ in range(dispatcher_count)]
     jobs = [
         (
-            draw.randrange(RULE.slow_start_ns),
-            draw.choices(range(dispatchers), weights)[0],
+            draw.randrange(POLICY.slow_start_ns),
+            draw.choices(range(dispatcher_count), weights)[0],
             1 + int(draw.expovariate(1 / (mean_s * SECOND))),
         )
         for _ in range(400)
     ]
-    assert fullest(play(dispatchers, jobs, [draw.randrange(3 * SECOND) for _ in weights], seed)) < 1
+    known_from_ns = [draw.randrange(3 * SECOND) for _ in weights]
+    assert max_window_load(play(dispatcher_count, jobs, known_from_ns, seed)) < 1
 
 
-def crowd(seed: int, workers: int, calls_s: float, skew: float) -> tuple[list[float], float]:
-    """200 dispatchers with uneven traffic, and each call goes to a cold worker where its holder has a turn.
+def skewed_traffic(
+    seed: int, worker_count: int, requests_per_s: float, skew: float
+) -> tuple[list[float], float]:
+    """200 dispatchers with uneven traffic send to warming workers wherever they have a send slot.
 
-    The fullest window of each worker, and the work that each got in a second.  Nothing else restrains them,
-    as workers' reports would.
+    Returns the load of each worker's fullest window, and the mean work that each got in ns a ns.  Nothing
+    else limits the dispatchers, as load reports would.
     """
-    draw, fleet = random.Random(seed), 200
-    weights = [draw.lognormvariate(0, skew) for _ in range(fleet)]
-    own: dict[tuple[int, int], deque[tuple[int, float]]] = {}
-    sent: list[list[tuple[int, int]]] = [[] for _ in range(workers)]
-    numbers = [draw.randrange(2**32) for _ in range(workers)]
-    for at_ns in sorted(draw.randrange(RULE.slow_start_ns) for _ in range(int(calls_s * 8.9))):
-        me = draw.choices(range(fleet), weights)[0]
-        work_ns = int(draw.lognormvariate(-0.8, 1.27) * SECOND)  # 1 s at the mean, twice that the deviation
-        calls = calls_s * weights[me] / sum(weights)
-        for worker in draw.sample(range(workers), workers):
-            mine = own.setdefault((me, worker), deque())
-            cold = WarmingWorker(
-                numbers[worker], at_ns, CAPACITY, me, fleet, 0, 1.0, float(SECOND), calls, workers
-            )
-            if remaining_budget_ns(RULE, cold, mine) >= work_ns:
-                mine.append((at_ns, float(work_ns)))
-                sent[worker].append((at_ns, work_ns))
+    draw = random.Random(seed)
+    weights = [draw.lognormvariate(0, skew) for _ in range(200)]
+    fleet = Fleet(200, [draw.randrange(2**32) for _ in range(worker_count)])
+    request_count = int(requests_per_s * 8.9)
+    for age_ns in sorted(draw.randrange(POLICY.slow_start_ns) for _ in range(request_count)):
+        dispatcher = draw.choices(range(200), weights)[0]
+        work_ns = int(draw.lognormvariate(-0.8, 1.27) * SECOND)  # mean 1 s, standard deviation 2 s
+        expected = requests_per_s * weights[dispatcher] / sum(weights)
+        for worker in draw.sample(range(worker_count), worker_count):
+            if fleet.try_send(
+                worker,
+                age_ns,
+                dispatcher,
+                work_ns,
+                mean_work_ns=float(SECOND),
+                expected_requests=expected,
+                warming_count=worker_count,
+            ):
                 break
-    used = sum(work for each in sent for _, work in each) / workers / RULE.slow_start_ns
-    return [fullest(each, mean_ns=float(SECOND)) for each in sent], used
+    total_ns = sum(work_ns for sent in fleet.sent for _, work_ns in sent)
+    loads = [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.sent]
+    return loads, total_ns / worker_count / POLICY.slow_start_ns
+
+
+@pytest.mark.parametrize(
+    ("worker_count", "requests_per_s", "seeds"), [(1, 400, 12), (3, 900, 6), (20, 400, 1)]
+)
+def test_overcommitted_send_slots_overload_no_worker(
+    worker_count: int, requests_per_s: float, seeds: int
+) -> None:
+    """With more requests than the workers can take, windows stay a quarter below the threshold."""
+    max_load = 0.0
+    used = 0.0
+    for seed in range(seeds):
+        loads, work = skewed_traffic(seed, worker_count, requests_per_s, 1.0)
+        max_load = max(max_load, *loads)
+        used += work / seeds
+    assert max_load < 0.75
+    assert used > 0.5 * mean_capacity() / 2
+
 
+class Burst(NamedTuple):
+    """Requests a second of a fleet, before and after a jump, and its workers."""
 
-@pytest.mark.parametrize(("workers", "calls_s", "plays"), [(1, 400, 12), (3, 900, 6), (20, 400, 1)])
-def test_more_turns_than_are_paid_for_push_nobody_over(workers: int, calls_s: float, plays: int) -> None:
-    """Few cold workers and more calls than they could take, many and few: with a quarter to spare."""
-    windows, used = list[float](), 0.0
-    for seed in range(plays):
-        more, part = crowd(seed, workers, calls_s, 1.0)
-        windows, used = windows + more, used + part / plays
-    assert max(windows) < 0.75
-    assert used > 0.5 * sum(RULE.capacity_fraction(age * SECOND) for age in range(9)) / 9 * CAPACITY / 2
+    warming_count: int
+    usable_count: int
+    rate_before: float
+    rate_after: float
 
 
-def burst(seed: int, fleet: int, told: int, usable: int, before_s: float, after_s: float) -> list[float]:
-    """The fullest window of each usable worker where a fleet's calls jump from one rate to another at 3 s.
+def play_burst(seed: int, dispatcher_count: int, burst: Burst) -> list[float]:
+    """Return the load of each usable worker's fullest window where the requests a second jump at 3 s.
 
-    A dispatcher's rate is 5 s behind, calls wait up to 2 s, and it counts more cold workers than are usable.
+    A dispatcher's estimate of its rate lags by 5 s, requests wait up to 2 s, and more workers are warming up
+    than are usable.
     """
-    draw, rise_ns, last_ns = random.Random(seed), 3 * SECOND, RULE.slow_start_ns
-    numbers = [draw.randrange(2**32) for _ in range(usable)]
-    own: dict[tuple[int, int], deque[tuple[int, float]]] = {}
-    sent: list[list[tuple[int, int]]] = [[] for _ in range(usable)]
-    rate, seen_ns = [before_s / fleet] * fleet, [0] * fleet
-    held: list[list[tuple[int, int]]] = [[] for _ in range(fleet)]
-    moments = [draw.randrange(rise_ns) for _ in range(int(before_s * 3))]
-    moments += [draw.randrange(rise_ns, last_ns) for _ in range(int(after_s * (last_ns - rise_ns) / SECOND))]
-    for at_ns in sorted(moments):
-        me = draw.randrange(fleet)
-        waiting = [each for each in held[me] if at_ns - each[0] < 2 * SECOND]
-        waiting.append((at_ns, int(draw.lognormvariate(-0.8, 1.27) * SECOND)))
-        rate[me], seen_ns[me] = rate[me] * math.exp((seen_ns[me] - at_ns) / (5 * SECOND)), at_ns
-        for call in list(waiting):
-            for worker in draw.sample(range(usable), usable):
-                mine = own.setdefault((me, worker), deque())
-                calls = rate[me] + len(waiting)
-                cold = WarmingWorker(
-                    numbers[worker], at_ns, CAPACITY, me, fleet, 0, 1.0, float(SECOND), calls, told
-                )
-                if remaining_budget_ns(RULE, cold, mine) >= call[1]:
-                    mine.append((at_ns, float(call[1])))
-                    sent[worker].append((at_ns, call[1]))
-                    rate[me] += 1 / 5
-                    waiting.remove(call)
+    draw = random.Random(seed)
+    jump_ns = 3 * SECOND
+    fleet = Fleet(dispatcher_count, [draw.randrange(2**32) for _ in range(burst.usable_count)])
+    rate = [burst.rate_before / dispatcher_count] * dispatcher_count
+    updated_ns = [0] * dispatcher_count
+    queued: list[Sent] = [[] for _ in range(dispatcher_count)]
+    arrivals = [draw.randrange(jump_ns) for _ in range(int(burst.rate_before * 3))]
+    after_count = int(burst.rate_after * (POLICY.slow_start_ns - jump_ns) / SECOND)
+    arrivals += [draw.randrange(jump_ns, POLICY.slow_start_ns) for _ in range(after_count)]
+    for age_ns in sorted(arrivals):
+        dispatcher = draw.randrange(dispatcher_count)
+        waiting = [request for request in queued[dispatcher] if age_ns - request[0] < 2 * SECOND]
+        waiting.append((age_ns, int(draw.lognormvariate(-0.8, 1.27) * SECOND)))
+        rate[dispatcher] *= math.exp((updated_ns[dispatcher] - age_ns) / (5 * SECOND))
+        updated_ns[dispatcher] = age_ns
+        for request in list(waiting):
+            for worker in draw.sample(range(burst.usable_count), burst.usable_count):
+                if fleet.try_send(
+                    worker,
+                    age_ns,
+                    dispatcher,
+                    request[1],
+                    mean_work_ns=float(SECOND),
+                    expected_requests=rate[dispatcher] + len(waiting),
+                    warming_count=burst.warming_count,
+                ):
+                    rate[dispatcher] += 1 / 5
+                    waiting.remove(request)
                     break
-        held[me] = waiting
-    return [fullest(each, mean_ns=float(SECOND)) for each in sent]
+        queued[dispatcher] = waiting
+    return [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.sent]
 
 
-@pytest.mark.parametrize("fleet", [20, 200, 410])
-@pytest.mark.parametrize(("told", "usable", "before_s", "after_s"), [(1, 1, 0, 400), (60, 3, 200, 400)])
-def test_a_burst_at_a_few_of_the_cold_workers_pushes_nobody_over(
-    fleet: int, told: int, usable: int, before_s: float, after_s: float
-) -> None:
-    """Calls come to all dispatchers at once, before any rate tells of them; most cold workers are full."""
-    windows = [window for seed in range(2) for window in burst(seed, fleet, told, usable, before_s, after_s)]
-    assert 0.1 < max(windows) < 1
+@pytest.mark.parametrize("dispatcher_count", [20, 200, 410])
+@pytest.mark.parametrize("burst", [Burst(1, 1, 0, 400), Burst(60, 3, 200, 400)])
+def test_a_burst_overloads_no_warming_worker(dispatcher_count: int, burst: Burst) -> None:
+    """Requests come to all dispatchers before their rates show it, and few of the workers are usable."""
+    loads = [load for seed in range(2) for load in play_burst(seed, dispatcher_count, burst)]
+    assert 0.1 < max(loads) < 1
+
+
+@dataclass
+class Processes:
+    """The processes of a fleet's dispatchers: some join late, some are replaced while the worker warms up."""
+
+    draw: random.Random
+    began_ns: list[int]
+    ends_ns: list[int]
+
+    @classmethod
+    def drawn(cls, draw: random.Random, count: int) -> Processes:
+        """A third of the dispatchers join late; -1: the process has been there since the worker's start."""
+        began_ns = [draw.choice([-1, -1, draw.randrange(POLICY.slow_start_ns)]) for _ in range(count)]
+        return cls(draw, began_ns, [draw.randrange(POLICY.slow_start_ns) for _ in range(count)])
+
+    def replace_if_ended(self, dispatcher: int, age_ns: int, own: deque[tuple[int, float]]) -> None:
+        """Replace the process at its end; one of three hands its record over, the others lose it."""
+        if not age_ns >= self.ends_ns[dispatcher] > self.began_ns[dispatcher]:
+            return
+        if self.draw.random() > 1 / 3:
+            own.clear()
+            self.began_ns[dispatcher] = self.ends_ns[dispatcher]
+        else:
+            self.began_ns[dispatcher] = -1
+        self.ends_ns[dispatcher] = POLICY.slow_start_ns
 
 
 def restarts(
-    seed: int, fleet: int, mean_s: float, capacity: float, many: float = 3.0
+    seed: int, dispatcher_count: int, mean_s: float, capacity: float, demand: float = 3.0
 ) -> tuple[list[float], float]:
-    """Cold starts while processes restart, join late and hand over: the fullest window of each, and the use.
+    """Four worker starts while processes restart, join late and hand over.
 
-    Each call of a skewed traffic goes to the cold worker where its dispatcher may; a process that ends takes
-    with it what it has sent, but for one in three that hands that on.
+    demand: of the mean capacity that the skewed traffic asks for.  Returns the load of the fullest window of
+    each start, and the mean fraction of the capacity that was used.
     """
-    draw, windows, used = random.Random(seed), list[float](), 0.0
+    draw = random.Random(seed)
+    loads = list[float]()
+    used = 0.0
+    capacity_while_warming = mean_capacity(capacity)
+    rate = demand * capacity_while_warming / mean_s
     for _ in range(4):
-        weights = [draw.lognormvariate(0, 1) for _ in range(fleet)]
-        began = [draw.choice([-1, -1, draw.randrange(RULE.slow_start_ns)]) for _ in weights]  # some join late
-        ends = [draw.randrange(RULE.slow_start_ns) for _ in weights]
-        own: list[deque[tuple[int, float]]] = [deque() for _ in weights]
-        number, sent = draw.randrange(2**32), list[tuple[int, int]]()
-        could = sum(RULE.capacity_fraction(age * SECOND) for age in range(9)) / 9 * capacity  # work a second
-        rate = many * could / mean_s
-        for at_ns in sorted(draw.randrange(RULE.slow_start_ns) for _ in range(int(rate * 8.9))):
-            me = draw.choices(range(fleet), weights)[0]
-            if at_ns >= ends[me] > began[me]:
-                began[me] = ends[me]
-                if draw.random() > 1 / 3:
-                    own[me].clear()
-                else:
-                    began[me] = -1  # handed over with all that was known
-                ends[me] = RULE.slow_start_ns
-            if at_ns < began[me]:
+        weights = [draw.lognormvariate(0, 1) for _ in range(dispatcher_count)]
+        processes = Processes.drawn(draw, dispatcher_count)
+        fleet = Fleet(dispatcher_count, [draw.randrange(2**32)], capacity)
+        for age_ns in sorted(draw.randrange(POLICY.slow_start_ns) for _ in range(int(rate * 8.9))):
+            dispatcher = draw.choices(range(dispatcher_count), weights)[0]
+            processes.replace_if_ended(dispatcher, age_ns, fleet.own.setdefault((dispatcher, 0), deque()))
+            if age_ns < processes.began_ns[dispatcher]:
                 continue
-            work_ns = 1 + int(draw.lognormvariate(-0.4, 0.9) * mean_s * SECOND)
-            cold = WarmingWorker(
-                number,
-                at_ns,
-                capacity,
-                me,
-                fleet,
-                max(0, began[me]),
-                1.0,
-                mean_s * SECOND,
-                rate * weights[me] / sum(weights),
-                1,
+            fleet.try_send(
+                0,
+                age_ns,
+                dispatcher,
+                1 + int(draw.lognormvariate(-0.4, 0.9) * mean_s * SECOND),
+                known_ns=max(0, processes.began_ns[dispatcher]),
+                mean_work_ns=mean_s * SECOND,
+                expected_requests=rate * weights[dispatcher] / sum(weights),
             )
-            if remaining_budget_ns(RULE, cold, own[me]) >= work_ns:
-                own[me].append((at_ns, float(work_ns)))
-                sent.append((at_ns, work_ns))
-        windows.append(fullest(sent, capacity, mean_s * SECOND))
-        used += sum(work for _, work in sent) / RULE.slow_start_ns / could / 4
-    return windows, used
+        loads.append(max_window_load(fleet.sent[0], capacity, mean_s * SECOND))
+        work_ns = sum(work_ns for _, work_ns in fleet.sent[0])
+        used += work_ns / POLICY.slow_start_ns / capacity_while_warming / 4
+    return loads, used
 
 
-@pytest.mark.parametrize("fleet", [3, 6, 20, 30, 200, 230, 410])
+@pytest.mark.parametrize("dispatcher_count", [3, 6, 20, 30, 200, 230, 410])
 @pytest.mark.parametrize(("mean_s", "capacity"), [(0.05, 8.0), (0.5, 4.0), (1.0, 2.0)])
-def test_the_sum_over_a_fleet_that_restarts_pushes_nobody_over(
-    fleet: int, mean_s: float, capacity: float
+def test_dispatchers_that_restart_overload_no_warming_worker(
+    dispatcher_count: int, mean_s: float, capacity: float
 ) -> None:
-    """N + 2 sqrt(N) + 2 calls of mean work over all processes, however traffic and restarts are spread."""
-    windows, used = list[float](), 0.0
+    """The threshold is N + 2 sqrt(N) + 2 jobs of mean work over all processes."""
+    max_load = 0.0
+    used = 0.0
     for seed in range(3 if mean_s < 0.1 else 10):
-        more, part = restarts(seed, fleet, mean_s, capacity)
-        windows, used = windows + more, used + part
-    assert max(windows) < 1 and used > 0
-
-
-@pytest.mark.parametrize("fleet", [3, 6])
-def test_a_fleet_that_restarts_within_one_window_spends_no_part_twice(fleet: int) -> None:
-    """All have sent their parts, all start again, and calls wait for more: a large worker of short calls."""
-    sent, mean_ns, capacity = list[tuple[int, int]](), 50 * MS, 64.0
-    for me in range(fleet):
+        loads, fraction = restarts(seed, dispatcher_count, mean_s, capacity)
+        max_load = max(max_load, *loads)
+        used += fraction
+    assert max_load < 1 and used > 0
+
+
+@pytest.mark.parametrize("dispatcher_count", [3, 6])
+def test_a_restart_of_all_dispatchers_within_a_window_stays_within_the_budget(dispatcher_count: int) -> None:
+    """All have used their parts of the budget and restart; the worker is large and the jobs are short."""
+    mean_ns = 50 * MS
+    fleet = Fleet(dispatcher_count, [7], capacity=64.0)
+    for dispatcher in range(dispatcher_count):
         for known_ns, begin_ns in ((0, SECOND), (1200 * MS, 1300 * MS)):
-            own: deque[tuple[int, float]] = deque()
-            for at_ns in range(begin_ns, begin_ns + 600):
-                cold = WarmingWorker(7, at_ns, capacity, me, fleet, known_ns, 1.0, float(mean_ns), MANY)
-                if remaining_budget_ns(RULE, cold, own) >= mean_ns:
-                    own.append((at_ns, float(mean_ns)))
-                    sent.append((at_ns, mean_ns))
-    assert 0.8 < fullest(sent, capacity, mean_ns) < 1
-
-
-def test_forty_dispatchers_with_enough_jobs_use_a_part_of_it() -> None:
-    """Divided by forty the budget holds no job at all, and a replaced worker stands idle until it is warm."""
-    draw, used = random.Random(5), 0.0
-    jobs = [(draw.randrange(RULE.slow_start_ns), draw.randrange(40), 300 * MS) for _ in range(40 * 27)]
-    for worker in range(10):
-        used += sum(work for _, work in play(40, jobs, [0] * 40, worker, 3.0)) / 10
-    could = sum(
-        RULE.capacity_fraction(age) * CAPACITY * 100 * MS for age in range(0, RULE.slow_start_ns, 100 * MS)
+            fleet.own.clear()
+            for age_ns in range(begin_ns, begin_ns + 600):
+                fleet.try_send(
+                    0,
+                    age_ns,
+                    dispatcher,
+                    mean_ns,
+                    known_ns=known_ns,
+                    mean_work_ns=float(mean_ns),
+                    expected_requests=MANY,
+                )
+    assert 0.8 < max_window_load(fleet.sent[0], 64.0, mean_ns) < 1
+
+
+def test_forty_dispatchers_use_much_of_a_warming_workers_capacity() -> None:
+    """A fortieth of the budget is less than a job, so that equal parts would leave the worker idle."""
+    draw = random.Random(5)
+    used = 0.0
+    jobs = [(draw.randrange(POLICY.slow_start_ns), draw.randrange(40), 300 * MS) for _ in range(40 * 27)]
+    for start_id in range(10):
+        used += sum(work_ns for _, work_ns in play(40, jobs, [0] * 40, start_id, 3.0)) / 10
+    capacity_ns = sum(
+        POLICY.capacity_fraction(age) * CAPACITY * 100 * MS
+        for age in range(0, POLICY.slow_start_ns, 100 * MS)
     )
-    assert 0.5 * could < used < 1.5 * could
+    assert 0.5 * capacity_ns < used < 1.5 * capacity_ns
 
 
-def test_a_turn_holds_a_large_job() -> None:
-    """Where calls have 0.88 s of work half of it is in jobs of over 0.8 s; small turns leave them to few."""
-    rooms = [
+def test_a_send_slot_holds_a_large_job() -> None:
+    """Of jobs with a mean of 0.88 s those well above the mean have half of the work."""
+    budgets_ns = [
         remaining_budget_ns(
-            RULE,
+            POLICY,
             WarmingWorker(
-                7, 4 * SECOND, CAPACITY, me, 40, mean_work_ns=0.88 * SECOND, expected_requests=MANY
+                7, 4 * SECOND, CAPACITY, dispatcher, 40, mean_work_ns=0.88 * SECOND, expected_requests=MANY
             ),
             deque(),
         )
-        for me in range(40)
+        for dispatcher in range(40)
     ]
-    assert sum(each > 0 for each in rooms) >= 1 and max(rooms) > 2 * SECOND
+    assert sum(budget_ns > 0 for budget_ns in budgets_ns) >= 1 and max(budgets_ns) > 2 * SECOND
 
 
-def test_a_dispatcher_with_few_calls_has_more_turns() -> None:
-    """Of turns that lapse more are dealt; one with many calls has only those that are paid for."""
-    held = [
+def test_a_dispatcher_with_few_requests_has_more_send_slots() -> None:
+    """Slots are overcommitted where many stay unused, and not where all are used."""
+    slot_counts = [
         sum(
             remaining_budget_ns(
-                RULE,
+                POLICY,
                 WarmingWorker(
-                    7, age * SECOND, CAPACITY, me, 40, mean_work_ns=MEAN_NS, expected_requests=calls
+                    7,
+                    age_s * SECOND,
+                    CAPACITY,
+                    dispatcher,
+                    40,
+                    mean_work_ns=MEAN_NS,
+                    expected_requests=expected_requests,
                 ),
                 deque(),
             )
             > 0
-            for me in range(40)
-            for age in range(8)
+            for dispatcher in range(40)
+            for age_s in range(8)
         )
-        for calls in (0.0, 8.0, MANY)
+        for expected_requests in (0.0, 8.0, MANY)
     ]
-    assert held[0] > 2 * held[2] and held[0] > held[1] >= held[2] >= 8
-
-
-def test_a_turn_is_not_used_again_by_a_process_that_has_just_started() -> None:
-    """It cannot know what the one before it sent in this slice; the next slice is its own."""
-    holder = next(me for me in range(40) if rank(7, 3, me, 40) == 0)
-    for known_ns, may in ((3200 * MS, False), (3000 * MS, True)):
-        cold = WarmingWorker(7, 3500 * MS, CAPACITY, holder, 40, known_ns, mean_work_ns=MEAN_NS)
-        assert (remaining_budget_ns(RULE, cold, deque()) > 0) is may
-
-
-@pytest.mark.parametrize("dispatchers", [3, 30, 200])
-def test_slots_go_by_the_mean_work_of_calls(dispatchers: int) -> None:
-    """Where all times are ten times shorter, what may be sent is as well: no figure is one site's jobs."""
-    fast = SlowStartPolicy(0.34, RULE.slow_start_ns // 10, RULE.overload_multiple, RULE.window_ns // 10)
-    for me in range(dispatchers):
-        for age in range(8):
-            slow = WarmingWorker(7, age * SECOND, CAPACITY, me, dispatchers, 0, 1.0, MEAN_NS, MANY)
-            short = replace(slow, age_ns=age * SECOND // 10, mean_work_ns=MEAN_NS / 10)
+    without_requests, with_some, with_many = slot_counts
+    assert without_requests > 2 * with_many and without_requests > with_some >= with_many >= 8
+
+
+def test_a_process_does_not_use_a_send_slot_of_the_slice_it_started_in() -> None:
+    """An earlier process of the dispatcher may have used the slot."""
+    holder = next(dispatcher for dispatcher in range(40) if rank(7, 3, dispatcher, 40) == 0)
+    for known_ns, may_send in ((3200 * MS, False), (3000 * MS, True)):
+        warming = WarmingWorker(7, 3500 * MS, CAPACITY, holder, 40, known_ns, mean_work_ns=MEAN_NS)
+        assert (remaining_budget_ns(POLICY, warming, deque()) > 0) is may_send
+
+
+@pytest.mark.parametrize("dispatcher_count", [3, 30, 200])
+def test_the_budget_scales_with_the_mean_work(dispatcher_count: int) -> None:
+    """Where all times are ten times shorter, so is the work that may be sent."""
+    fast = SlowStartPolicy(0.34, POLICY.slow_start_ns // 10, POLICY.overload_multiple, POLICY.window_ns // 10)
+    for dispatcher in range(dispatcher_count):
+        for age_s in range(8):
+            slow = WarmingWorker(
+                7, age_s * SECOND, CAPACITY, dispatcher, dispatcher_count, 0, 1.0, MEAN_NS, MANY
+            )
+            short = replace(slow, age_ns=age_s * SECOND // 10, mean_work_ns=MEAN_NS / 10)
             assert remaining_budget_ns(fast, short, deque()) == pytest.approx(
-                remaining_budget_ns(RULE, slow, deque()) / 10, rel=1e-6
+                remaining_budget_ns(POLICY, slow, deque()) / 10, rel=1e-6
             )
 
 
-def test_the_mean_work_is_that_of_the_calls_that_came() -> None:
-    """Slots times running time, by the mix of classes that comes; the settings' aims until then."""
+def test_the_mean_work_is_that_of_the_received_requests() -> None:
+    """Slots times running time by the mix of classes received; before, the latency objectives."""
     running = RuntimeEstimator([SECOND, 3 * SECOND])
     assert running.mean_work_ns() == running.mean_runtime_ns() == 2 * SECOND
     for _ in range(200):
@@ -315,42 +412,41 @@
         running.mean_work_ns() == pytest.approx(0.5 * SECOND, rel=0.01)
         and running.mean_runtime_ns() == 2 * SECOND
     )
-    running.configure_classes(
-        [SECOND, 3 * SECOND, 5 * SECOND], [True, False, True]
-    )  # a reload: nothing of the old mix stays
+    # Other settings discard the mix.
+    running.configure_classes([SECOND, 3 * SECOND, 5 * SECOND], [True, False, True])
     assert running.mean_work_ns() == 3 * SECOND
 
 
-def test_where_dispatchers_heard_of_it_at_other_times_each_has_only_its_part() -> None:
-    """A worker that operators put back: there are no slices that all count alike."""
-    parts = [
-        remaining_budget_ns(RULE, WarmingWorker(None, SECOND, CAPACITY, me, 40), deque()) for me in range(40)
+def test_without_a_common_start_each_dispatcher_has_an_equal_part() -> None:
+    """Dispatchers learn at different times of a worker that operators reinstate, so slices would differ."""
+    parts_ns = [
+        remaining_budget_ns(POLICY, WarmingWorker(None, SECOND, CAPACITY, dispatcher, 40), deque())
+        for dispatcher in range(40)
     ]
-    assert (
-        0 < sum(parts) <= RULE.overload_multiple * RULE.capacity_fraction(SECOND) * CAPACITY * RULE.window_ns
-    )
-
-
-@pytest.mark.parametrize("dispatchers", [1, 3, 40, 64])
-def test_each_slice_ranks_every_dispatcher_once(dispatchers: int) -> None:
-    """And over many slices each is first about as often."""
-    firsts = [0] * dispatchers
-    for number in range(64 * 20):
-        places = [rank(9, number, me, dispatchers) for me in range(dispatchers)]
-        assert sorted(places) == list(range(dispatchers))
-        firsts[places.index(0)] += 1
-        if number == 20 and dispatchers == 64:
+    capacity = POLICY.capacity_fraction(SECOND) * CAPACITY
+    assert 0 < sum(parts_ns) <= POLICY.overload_multiple * capacity * POLICY.window_ns
+
+
+@pytest.mark.parametrize("dispatcher_count", [1, 3, 40, 64])
+def test_each_slice_ranks_every_dispatcher_once(dispatcher_count: int) -> None:
+    """Over many slices each dispatcher is first about as often."""
+    first_counts = [0] * dispatcher_count
+    for slice_number in range(64 * 20):
+        ranks = [rank(9, slice_number, index, dispatcher_count) for index in range(dispatcher_count)]
+        assert sorted(ranks) == list(range(dispatcher_count))
+        first_counts[ranks.index(0)] += 1
+        if slice_number == 20 and dispatcher_count == 64:
             break
-    if dispatchers < 64:
-        assert min(firsts) > 0.3 * 1280 / dispatchers
+    if dispatcher_count < 64:
+        assert min(first_counts) > 0.3 * 1280 / dispatcher_count
 
 
-class Watched(Run):
-    """A run that keeps the work of each send."""
+class RecordedRun(Run):
+    """A run that records the work of each send, as (time, worker, work in ns)."""
 
-    def __init__(self, *args: Any, **more: Any) -> None:
+    def __init__(self, *args: Any, **options: Any) -> None:
         self.work: list[tuple[int, int, float]] = []
-        super().__init__(*args, **more)
+        super().__init__(*args, **options)
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
         if (client := self.clients[dispatcher].get(action.request_id)) is not None:
@@ -360,55 +456,59 @@
         super()._send(dispatcher, action)
 
 
-def test_forty_dispatchers_share_a_zone_that_returns_cold() -> None:
-    """Twenty workers of forty start at one moment: each gets work while it is cold, and never too much."""
+def test_forty_dispatchers_use_the_restarted_workers_of_a_zone() -> None:
+    """Twenty of forty workers restart at once: each gets work while it warms up, and is not overloaded."""
     specs = [model.Spec(f"s{n}") for n in range(40)]
     kinds = loads.KINDS
-    told = [
+    dispatcher_settings = [
         replace(
-            decode_settings(Pairs.from_nested(loads.settings(40, kinds, me)))[0],
-            initial_capacity_fraction=RULE.initial_capacity_fraction,
-            slow_start_ns=RULE.slow_start_ns,
-            overload_multiple=RULE.overload_multiple,
-            overload_window_ns=RULE.window_ns,
+            decode_settings(Pairs.from_nested(loads.settings(40, kinds, dispatcher)))[0],
+            initial_capacity_fraction=POLICY.initial_capacity_fraction,
+            slow_start_ns=POLICY.slow_start_ns,
+            overload_multiple=POLICY.overload_multiple,
+            overload_window_ns=POLICY.window_ns,
         )
-        for me in range(40)
+        for dispatcher in range(40)
     ]
     arrivals = loads.draw(3, 12 * SECOND, sum(spec.speed * spec.cores for spec in specs), 0.4, 40, kinds)
-    back = [Trouble(2 * SECOND, partial(Run.restart, worker=worker)) for worker in range(1, 21)]
-    run = Watched(arrivals, specs, told, 3, kinds, 1, back)
+    restarts = [Trouble(2 * SECOND, partial(Run.restart, worker=worker)) for worker in range(1, 21)]
+    run = RecordedRun(arrivals, specs, dispatcher_settings, 3, kinds, 1, restarts)
     run.go()
-    begun_ns, used = run.begun_ns + 2 * SECOND, 0.0
+    begun_ns = run.begun_ns + 2 * SECOND
+    used = 0.0
     for worker in range(1, 21):
         sent = [
-            (at_ns - begun_ns, work)
-            for at_ns, number, work in run.work
-            if number == worker and begun_ns <= at_ns < begun_ns + RULE.slow_start_ns
+            (sent_ns - begun_ns, work_ns)
+            for sent_ns, number, work_ns in run.work
+            if number == worker and begun_ns <= sent_ns < begun_ns + POLICY.slow_start_ns
         ]
         assert sent, worker
-        used += sum(work for _, work in sent)
-        assert fullest([(at_ns, int(work)) for at_ns, work in sent], specs[0].cores, 700 * MS) < 0.75
-    could = 20 * sum(
-        RULE.capacity_fraction(age) * specs[0].cores * 100 * MS
-        for age in range(0, RULE.slow_start_ns, 100 * MS)
+        used += sum(work_ns for _, work_ns in sent)
+        whole = [(age_ns, int(work_ns)) for age_ns, work_ns in sent]
+        assert max_window_load(whole, specs[0].cores, 700 * MS) < 0.75
+    capacity_ns = 20 * sum(
+        POLICY.capacity_fraction(age) * specs[0].cores * 100 * MS
+        for age in range(0, POLICY.slow_start_ns, 100 * MS)
     )
-    assert used > 0.2 * could, used / could
+    assert used > 0.2 * capacity_ns, used / capacity_ns
 
 
-def test_a_kind_of_machine_that_is_not_known_counts_as_slow() -> None:
-    """A process that has just started must not take an old machine for one of mean speed."""
+def test_a_machine_kind_without_samples_counts_as_slow() -> None:
+    """The uncertainty of its running times reduces the budget."""
     running = RuntimeEstimator([SECOND])
     assert running.uncertainty(2) > 1.5
     for _ in range(200):
         running.record_runtime(0, 2, SECOND)
     assert running.uncertainty(2) < 1.05
-    whole, part = (
+    certain_ns, uncertain_ns = (
         sum(
             remaining_budget_ns(
-                RULE, WarmingWorker(7, 4 * SECOND, CAPACITY, me, 40, 0, doubt, MEAN_NS, MANY), deque()
+                POLICY,
+                WarmingWorker(7, 4 * SECOND, CAPACITY, dispatcher, 40, 0, uncertainty, MEAN_NS, MANY),
+                deque(),
             )
-            for me in range(40)
+            for dispatcher in range(40)
         )
-        for doubt in (1.0, 1.6)
+        for uncertainty in (1.0, 1.6)
     )
-    assert part < 0.8 * whole
+    assert uncertain_ns < 0.8 * certain_ns
--- a/weldquay/fleet/__init__.py
+++ b/weldquay/fleet/__init__.py
@@ -1,5 +1,9 @@
-"""How one of many dispatchers behaves so that all of them together do no harm.
+"""Coordination of many dispatchers that do not communicate.
 
-No I/O, no clock; random draws come from a generator handed in.  Dispatchers share nothing and cannot talk:
-what they agree on follows from what each of them is told (its number, how many there are, a worker's start).
+`slow_start` limits what all dispatchers together send to a worker that is warming up.  `subset` assigns to
+each dispatcher the workers that it prefers.  Both use hashes of numbers that all dispatchers have: rendezvous
+hashing (Thaler and Ravishankar 1998) and deterministic subsets (Beyer et al., Site Reliability Engineering,
+2016, chapter 20).
+
+The package does no I/O, reads no clock and draws no random numbers.
 """
--- /dev/null
+++ b/weldquay/fleet/hashing.py
@@ -0,0 +1,13 @@
+"""A hash that is the same in all dispatchers."""
+
+from __future__ import annotations
+
+MASK = 2**64 - 1
+
+
+def mix(value: int) -> int:
+    """Return a 64-bit hash of a number (the finalizer of SplitMix64, Steele et al. 2014)."""
+    value &= MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK
+    return value ^ (value >> 31)
--- a/weldquay/fleet/slow_start.py
+++ b/weldquay/fleet/slow_start.py
@@ -1,17 +1,17 @@
-"""Turns at cold workers: who may send one work, and how much, without a word between dispatchers.
-
-A cold worker falls over where all dispatchers together send it more than its budget within any window.  A
-few dispatchers have each their part of that.  Of many a part would hold no job, so they take turns: time
-since the worker's start is cut into slices, and in each slice only those may send that a hash of worker,
-slice and dispatcher ranks first (rendezvous hashing, Thaler and Ravishankar 1998).  So each knows its own
-turns and nobody has to be told.  A window overlaps one slice more than it holds, and the parts are cut
-accordingly.
-
-A turn that is not used lapses, and most were: their holder had no call that fits in that slice.  So more
-turns are dealt than the budget pays for, by as much as a dispatcher will not use of them.  Where calls for w
-turns come to it within a slice and it holds v of the paid ones on the mean, it uses w / (1 + v o) of each if
-it takes o times as many: o w / (1 + v o) <= 1 as long as o <= 1 / (w - v).  So the expected sum stays within
-the paid part wherever the traffic is, and a dispatcher with more calls than turns takes only paid ones.
+"""Limit the work that all dispatchers together send to a worker that is warming up.
+
+A warming worker is overloaded where it gets more than its budget of work within any window of time.  A few
+dispatchers get an equal part of the budget each.  Of many dispatchers each part would be too small for a job.
+There the time since the worker's start is divided into slices, and each slice has a few send slots, which go
+to the dispatchers that a hash of worker, slice and dispatcher ranks first (rendezvous hashing, Thaler and
+Ravishankar 1998).  So all dispatchers agree on the holders without communication.  A window overlaps one
+slice more than it contains, which the size of the send slots takes into account.
+
+Send slots that are not used in their slice are lost, so more are handed out than the budget covers.  Where a
+dispatcher expects requests for w slots within a slice, holds v covered slots on average, and the slots are
+overcommitted by a factor o, it uses the fraction w / (1 + v o) of each.  The expected sum stays within the
+budget as long as o w / (1 + v o) <= 1, which is o <= 1 / (w - v).  A dispatcher with more requests than slots
+gets only covered ones.
 """
 
 from __future__ import annotations
@@ -22,23 +22,24 @@
 from functools import lru_cache
 from itertools import islice
 
-SLICES = 2  # slices in a window: more leave turns too small for a job, fewer waste half of the budget
-MIN_SHARE_JOBS = 0.9  # of the mean work: a part of the budget is of use to each from this on
-SLOT_JOBS = 2.3  # of the mean work is in a turn, where there is so much: large jobs hold half of all work
-BUDGET_FRACTION = 0.6  # of the budget is used: sizes and speeds of machines are only estimates
-SLOT_FRACTION = 0.48  # the same, of what makes it fall, where turns are taken: chance, unlike machines beside
-MIN_SLOT_JOBS = 1.25  # of the mean work is the least that a turn holds, where three such do not make it fall
-MAX_OVERCOMMIT = 6.0  # times the turns that are paid for, whatever lapses: a burst's part is a slice late
-_MASK = 2**64 - 1
-_CHANCE = 0xA0761D6478BD642F  # so that it is drawn apart from the ranks
+from weldquay.fleet.hashing import MASK, mix
+
+SLICES_PER_WINDOW = 2
+MIN_SHARE_JOBS = 0.9  # jobs of mean work, from which on an equal part of the budget is useful
+SLOT_JOBS = 2.3  # jobs of mean work in a send slot, where the budget allows: jobs well above the mean fit
+MIN_SLOT_JOBS = 1.25  # jobs of mean work in a send slot at least
+BUDGET_FRACTION = 0.6  # of the budget that equal parts use, since capacities are estimates
+SLOT_FRACTION = 0.48  # of the overload threshold that send slots use
+MAX_OVERCOMMIT = 6.0  # the expected requests lag behind a burst by a slice
+_FRACTION_SALT = 0xA0761D6478BD642F  # makes the hash of a fraction independent of the ranks
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartPolicy:
-    """When a worker that has just started falls over, as the settings tell it.
+    """When a worker that is warming up is overloaded.
 
-    cold_share: part of its capacity at its start, rising evenly until warm_after_ns; multiple: of what it can
-    do at a moment, sent for window_ns, pushes it over.
+    initial_capacity_fraction: of its capacity at its start, rising linearly to 1 within slow_start_ns;
+    overload_multiple: of what it can do at a moment, sent within window_ns, is its budget.
     """
 
     initial_capacity_fraction: float
@@ -49,37 +50,39 @@
     @property
     def slice_ns(self) -> int:
         """Length of a slice."""
-        return max(1, self.window_ns // SLICES)
+        return max(1, self.window_ns // SLICES_PER_WINDOW)
 
     def capacity_fraction(self, age_ns: float) -> float:
-        """Part of its capacity that a worker has at least, so long after its start."""
-        risen = min(1.0, max(0.0, age_ns) / self.slow_start_ns) if self.slow_start_ns > 0 else 1.0
-        return self.initial_capacity_fraction + (1 - self.initial_capacity_fraction) * risen
+        """Return the fraction of its capacity that a worker of this age has at least."""
+        progress = min(1.0, max(0.0, age_ns) / self.slow_start_ns) if self.slow_start_ns > 0 else 1.0
+        return self.initial_capacity_fraction + (1 - self.initial_capacity_fraction) * progress
 
     def budget_ns(self, age_ns: float, capacity: float) -> float:
-        """Work that the settings allow a worker of this capacity within a window, by what it can do then."""
+        """Return the work in ns that a worker of this age may get within a window.
+
+        capacity: once warmed up, in ns of work a ns.
+        """
         return self.overload_multiple * self.capacity_fraction(age_ns) * capacity * max(1, self.window_ns)
 
-    def overload_threshold_ns(self, age_ns: float, capacity: float, mean_ns: float) -> float:
-        """Work that pushes it over: N + 2 sqrt(N) + 2 calls of mean work, N being what the settings allow.
+    def overload_threshold_ns(self, age_ns: float, capacity: float, mean_work_ns: float) -> float:
+        """Return the work in ns that overloads a worker: N + 2 sqrt(N) + 2 jobs of mean work.
 
-        The users' final terms, over the sum of all processes: the rest is slack for chance, as calls come by
-        Poisson.
+        N is the budget in jobs; the rest allows for requests that arrive by a Poisson process.
         """
-        call_ns = max(1.0, mean_ns)
-        calls = self.budget_ns(age_ns, capacity) / call_ns
-        return (calls + 2 * math.sqrt(calls) + 2) * call_ns
+        job_ns = max(1.0, mean_work_ns)
+        jobs = self.budget_ns(age_ns, capacity) / job_ns
+        return (jobs + 2 * math.sqrt(jobs) + 2) * job_ns
 
 
 @dataclass(frozen=True, slots=True)
 class WarmingWorker:
-    """A worker that has just started, as one dispatcher sees it.
+    """A worker that is warming up, as one dispatcher sees it.
 
-    number: the same at all dispatchers for this start of this worker, None where they have not heard of it at
-    one time; age_ns: since its start; capacity: what it can do once warm, in ns of work a ns; me: the
-    dispatcher's number, from 0; known_ns: the age from which on this process knows of all that the dispatcher
-    has sent; doubt: how many times slower than that the worker may be; mean_ns: mean work of a call; calls:
-    that come to the dispatcher within a slice, and those that wait; workers: that are cold, with this one.
+    start_id: the same at all dispatchers for this start of the worker, None where they learn of it at
+    different times; age_ns: since its start; capacity: once warmed up, in ns of work a ns; known_ns: age from
+    which on this process has a record of all that the dispatcher sent; uncertainty: how many times slower the
+    worker may be; mean_work_ns: of a request; expected_requests: of this dispatcher within a slice, queued
+    ones included; warming_count: workers that are warming up, this one included.
     """
 
     start_id: int | None
@@ -94,67 +97,72 @@
     warming_count: int = 1
 
 
-def remaining_budget_ns(rule: SlowStartPolicy, cold: WarmingWorker, sent: deque[tuple[int, float]]) -> float:
-    """Work that the dispatcher may still send, in ns; sent: the worker's age and the work of what it sent.
+def remaining_budget_ns(
+    policy: SlowStartPolicy, worker: WarmingWorker, sent: deque[tuple[int, float]]
+) -> float:
+    """Return the work in ns that the dispatcher may still send to the worker.
 
-    What has left the window is dropped from sent.
+    sent: (age of the worker, work in ns) of what the dispatcher sent; entries that have left the window or
+    the slice are removed.
     """
-    window_ns = max(1, rule.window_ns)
-    budget_ns = rule.budget_ns(cold.age_ns, cold.capacity)
-    may_ns, since_ns = BUDGET_FRACTION * budget_ns / cold.dispatcher_count, cold.age_ns - window_ns + 1
-    if cold.known_ns > max(0, since_ns):  # what its earlier process has sent in this window is not known
-        may_ns *= (1 - BUDGET_FRACTION) / BUDGET_FRACTION
-    holds_job = may_ns >= MIN_SHARE_JOBS * cold.mean_work_ns
-    if cold.start_id is not None and cold.dispatcher_count > 1 and not holds_job:
-        may_ns, since_ns = _time_slot(rule, cold, cold.start_id)
+    budget_ns = policy.budget_ns(worker.age_ns, worker.capacity)
+    allowed_ns = BUDGET_FRACTION * budget_ns / worker.dispatcher_count
+    since_ns = worker.age_ns - max(1, policy.window_ns) + 1
+    if worker.known_ns > max(0, since_ns):
+        # An earlier process may have used its part in this window; the reserve covers a second part.
+        allowed_ns *= (1 - BUDGET_FRACTION) / BUDGET_FRACTION
+    share_holds_job = allowed_ns >= MIN_SHARE_JOBS * worker.mean_work_ns
+    if worker.start_id is not None and worker.dispatcher_count > 1 and not share_holds_job:
+        allowed_ns, since_ns = _slot_budget(policy, worker, worker.start_id)
     while sent and sent[0][0] < since_ns:
         sent.popleft()
-    return may_ns - sum(work_ns for _, work_ns in sent)
+    return allowed_ns - sum(work_ns for _, work_ns in sent)
 
 
-def _time_slot(rule: SlowStartPolicy, cold: WarmingWorker, worker: int) -> tuple[float, int]:
-    """Work that the dispatcher may send in this slice, and the worker's age at the slice's begin."""
-    number = max(0, cold.age_ns) // rule.slice_ns
-    begin_ns = number * rule.slice_ns
-    # Guards against a second use of a turn by a process that has just started, and cannot know of the first.
-    if begin_ns < cold.known_ns:
+def _slot_budget(policy: SlowStartPolicy, worker: WarmingWorker, start_id: int) -> tuple[float, int]:
+    """Return the work in ns that the dispatcher may send in this slice, and the slice's begin as an age."""
+    slice_number = max(0, worker.age_ns) // policy.slice_ns
+    begin_ns = slice_number * policy.slice_ns
+    if begin_ns < worker.known_ns:  # an earlier process may have used the slot
         return 0.0, begin_ns
-    most_ns = rule.overload_threshold_ns(begin_ns, cold.capacity / cold.uncertainty, cold.mean_work_ns) / (
-        SLICES + 1
-    )
-    whole_ns = SLOT_FRACTION * most_ns
-    # A turn that holds no job is of use to nobody: fewer then, some slices without any.
-    mean_ns = max(1.0, cold.mean_work_ns)
-    least_ns = min(most_ns, MIN_SLOT_JOBS * mean_ns)
-    each_ns = max(whole_ns / max(1, int(whole_ns / (SLOT_JOBS * mean_ns))), least_ns)
-    turns = whole_ns / each_ns
-    spare = (
-        cold.expected_requests * cold.mean_work_ns / each_ns
-        - cold.warming_count * turns / cold.dispatcher_count
-    )
-    over = max(1.0, min(MAX_OVERCOMMIT, 1 / max(spare, 1 / MAX_OVERCOMMIT)))
-    # A part of a turn is one by chance: the same at each look of this slice.
-    chance = mix(mix(worker ^ _CHANCE) ^ mix(number << 32 | cold.dispatcher_index)) / (_MASK + 1)
-    most = math.ceil(turns * MAX_OVERCOMMIT)
-    mine = rank(worker, number, cold.dispatcher_index, cold.dispatcher_count, most) + chance < turns * over
-    return each_ns if mine else 0.0, begin_ns
-
-
-@lru_cache(maxsize=16384)  # asked again at each step of a slice: cold workers times instances in a process
-def rank(worker: int, number: int, me: int, dispatchers: int, most: int | None = None) -> int:
-    """The place of a dispatcher in a slice's order, from 0; the same at all of them.
-
-    most: what is at least that is told as it; a few hashes show it, where all would be asked else.
+    lowest_capacity = worker.capacity / worker.uncertainty
+    threshold_ns = policy.overload_threshold_ns(begin_ns, lowest_capacity, worker.mean_work_ns)
+    max_slice_ns = threshold_ns / (SLICES_PER_WINDOW + 1)
+    slice_budget_ns = SLOT_FRACTION * max_slice_ns
+    mean_work_ns = max(1.0, worker.mean_work_ns)
+    whole_slots = max(1, int(slice_budget_ns / (SLOT_JOBS * mean_work_ns)))
+    # A slot has to hold a job; where it does not, there are fewer slots, and none in some slices.
+    slot_ns = max(slice_budget_ns / whole_slots, min(max_slice_ns, MIN_SLOT_JOBS * mean_work_ns))
+    send_slots = slice_budget_ns / slot_ns
+    overcommit = _overcommit(worker, slot_ns, send_slots)
+    # A fraction of a slot is a whole one with that probability, the same throughout the slice.
+    fraction_hash = mix(mix(start_id ^ _FRACTION_SALT) ^ mix(slice_number << 32 | worker.dispatcher_index))
+    limit = math.ceil(send_slots * MAX_OVERCOMMIT)
+    position = rank(start_id, slice_number, worker.dispatcher_index, worker.dispatcher_count, limit)
+    has_slot = position + fraction_hash / (MASK + 1) < send_slots * overcommit
+    return slot_ns if has_slot else 0.0, begin_ns
+
+
+def _overcommit(worker: WarmingWorker, slot_ns: float, send_slots: float) -> float:
+    """Return by which factor more slots are handed out than the budget covers."""
+    wanted_slots = worker.expected_requests * worker.mean_work_ns / slot_ns
+    unmet_slots = wanted_slots - worker.warming_count * send_slots / worker.dispatcher_count
+    return max(1.0, min(MAX_OVERCOMMIT, 1 / max(unmet_slots, 1 / MAX_OVERCOMMIT)))
+
+
+@lru_cache(maxsize=16384)  # the same for all decisions of a slice: warming workers times dispatchers
+def rank(
+    start_id: int,
+    slice_number: int,
+    dispatcher_index: int,
+    dispatcher_count: int,
+    limit: int | None = None,
+) -> int:
+    """Return the rank of a dispatcher in a slice, from 0, by rendezvous hashing.
+
+    limit: ranks from it on are returned as it, which needs fewer hashes.
     """
-    salt = mix(worker * 0x9E3779B97F4A7C15 + number)
-    own = (mix(salt ^ me), me)
-    before = (other for other in range(dispatchers) if (mix(salt ^ other), other) < own)
-    return sum(1 for _ in islice(before, most))
-
-
-def mix(value: int) -> int:
-    """A well-mixed 64-bit number from any number (the finaliser of SplitMix64, Steele et al. 2014)."""
-    value &= _MASK
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & _MASK
-    return value ^ (value >> 31)
+    salt = mix(start_id * 0x9E3779B97F4A7C15 + slice_number)
+    own = (mix(salt ^ dispatcher_index), dispatcher_index)
+    ahead = (other for other in range(dispatcher_count) if (mix(salt ^ other), other) < own)
+    return sum(1 for _ in islice(ahead, limit))
--- a/weldquay/fleet/subset.py
+++ b/weldquay/fleet/subset.py
@@ -1,9 +1,10 @@
-"""Which workers a dispatcher turns to first, so that few dispatchers meet a worker and these know it well.
+"""The subset of the workers that a dispatcher prefers.
 
-Where all turn to all, each meets a worker seldom, and forty act on the same news in the same second.
-Deterministic subsetting (Beyer et al., Site Reliability Engineering, 2016, chapter 20) deals the workers out:
-dispatchers come in rounds, each round puts the workers in an order of its own and deals all of them out once.
-The order is one of hashes: a worker more or less moves the borders, not the rest.
+With subsets each worker is used by few dispatchers, which use it often enough to have a recent estimate of
+its load.  This is deterministic subsetting (Beyer et al., Site Reliability Engineering, 2016, chapter 20):
+the dispatchers are divided into rounds, and each round assigns every worker to exactly one of its
+dispatchers.  The order of the workers in a round is one of hashes, so that an added or removed worker changes
+few subsets.
 """
 
 from __future__ import annotations
@@ -11,31 +12,32 @@
 from collections.abc import Sequence
 from functools import lru_cache
 
-from weldquay.fleet.slow_start import mix
+from weldquay.fleet.hashing import mix
 
-LEAST = 5  # workers in a subset: with fewer a busy dispatcher finds them all full
-SHARERS = 3  # dispatchers that a worker has at the least: a few dispatchers have all workers
-_ROUND = 0xD1B54A32D192ED03  # odd, so that rounds differ in all bits once mixed
+MIN_SUBSET_SIZE = 5  # workers: enough that a dispatcher finds one with room
+MIN_DISPATCHERS_PER_WORKER = 3
+_ROUND_SALT = 0xD1B54A32D192ED03  # odd, so that rounds differ in all bits of the hash
 
 
-@lru_cache(maxsize=16384)  # asked again for each worker at each change of the list
-def _height(worker: int, number: int) -> int:
-    """Where a worker stands in the order of a round."""
-    return mix(worker ^ (number + 1) * _ROUND)
+@lru_cache(maxsize=16384)  # computed for each worker at each change of the list
+def _hash_in_round(worker: int, round_number: int) -> int:
+    return mix(worker ^ (round_number + 1) * _ROUND_SALT)
 
 
-def subset(workers: Sequence[int], me: int, dispatchers: int) -> list[int]:
-    """The places in `workers` of those that dispatcher `me` turns to first.
+def subset(workers: Sequence[int], dispatcher_index: int, dispatcher_count: int) -> list[int]:
+    """Return the positions in `workers` that belong to a dispatcher's subset.
 
-    workers: a number for each, the same at all dispatchers; me: from 0 to dispatchers - 1.
+    workers: a number for each worker, the same at all dispatchers; dispatcher_index: from 0.
     """
     count = len(workers)
-    size = min(count, max(LEAST, -(-SHARERS * count // max(1, dispatchers))))
+    shared_size = -(-MIN_DISPATCHERS_PER_WORKER * count // max(1, dispatcher_count))  # rounded up
+    size = min(count, max(MIN_SUBSET_SIZE, shared_size))
     if size == count:
         return list(range(count))
-    groups = count // size
-    number, place = divmod(me, groups)
-    heights = [(_height(worker, number), worker) for worker in workers]
-    order = sorted(range(count), key=heights.__getitem__)
-    begin, end = place * count // groups, (place + 1) * count // groups
+    subsets_per_round = count // size
+    round_number, position = divmod(dispatcher_index, subsets_per_round)
+    hashes = [(_hash_in_round(worker, round_number), worker) for worker in workers]
+    order = sorted(range(count), key=hashes.__getitem__)
+    begin = position * count // subsets_per_round
+    end = (position + 1) * count // subsets_per_round
     return order[begin:end]
