--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -13,8 +13,11 @@
 from benchmarks.script import Script
 from weldquay import interface as api
 from weldquay.candidates import candidate_group
+from weldquay.candidates.calendar import RecheckCalendar
 from weldquay.candidates.candidate_group import CandidateGroup, worker_count
-from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Job, Worker
+from weldquay.candidates.runtime_bounds import RuntimeLowerBounds
+from weldquay.estimators.runtime import RuntimeEstimator
+from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Attempt, Job, Worker
 from weldquay.policy import members
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.policy.draw import SLOW
@@ -192,3 +195,33 @@
     idle = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
     assert len(idle) <= members.MAX_DEPARTED + 40  # of 4,000
     assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
+
+
+def test_the_calendar_keeps_the_earliest_moment_of_a_worker() -> None:
+    """A later moment is not noted while an earlier one is ahead; an earlier one replaces a later one."""
+    worker = Worker(api.WorkerEntry(3, api.WorkerState.READY))
+    calendar = RecheckCalendar()
+    calendar.schedule(worker, 0, math.inf)
+    assert calendar.entries == []
+    calendar.schedule(worker, 0, 100.0)
+    calendar.schedule(worker, 0, 200.0)
+    assert calendar.entries == [(100, 3)]
+    calendar.schedule(worker, 0, 50.0)
+    assert worker.recheck_ns == 50
+    assert calendar.pop_due(100) == [(50, 3), (100, 3)] and calendar.pop_due(100) == []
+
+
+def test_lower_bounds_report_estimates_that_fall_below_them() -> None:
+    """A bound is 0.9 of the estimate at first; an estimate above that is no fall, one below it is."""
+    runtimes = RuntimeEstimator([1_000_000_000])
+    bounds = RuntimeLowerBounds(runtimes)
+    job_class = Script(1, 1, False, seed=1).dispatcher.settings.classes[0]
+    job = Job(api.RequestReceived(0, 0, 5_000_000_000), job_class, 0, 5)
+    attempt = Attempt(job, 0, Worker(api.WorkerEntry(3, api.WorkerState.READY)), 0)
+    first_ns = bounds.min_run_ns(attempt)
+    assert first_ns == pytest.approx(0.9 * 0.9 * 1_000_000_000 * runtimes.relative_runtime(0))
+    assert not bounds.update()
+    for _ in range(50):
+        runtimes.record_runtime(0, 0, 100_000_000)
+    assert bounds.update() and not bounds.update()
+    assert bounds.min_run_ns(attempt) < first_ns
--- a/weldquay/reservations/settings.py
+++ b/weldquay/reservations/settings.py
@@ -90,11 +90,11 @@
     if len(data) > MAX_FILE_BYTES:
         raise ReservationSettingsError(f"{path}: larger than {MAX_FILE_BYTES} bytes; it has but a few keys")
     try:
-        document = msgspec.json.decode(data)
+        document: dict[str, Any] = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ReservationSettingsError(f"{path}: not valid JSON: {error}") from None
-    check(document, str(path))
-    return document  # type: ignore[no-any-return]
+    check(document, str(path))  # also that it is a JSON object
+    return document
 
 
 def check(document: object, name: str) -> ReservationSettings:
