--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -49,20 +49,22 @@
         for worker in dispatcher.table.recently_reported.values()
         if dispatcher.context.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
         and worker.free_slots is not None
-        and dispatcher.ejection.is_healthy(worker)
+        and dispatcher.parts.ejection.is_healthy(worker)
+    ]
+    quick = [
+        worker for worker in news if dispatcher.parts.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO
     ]
-    quick = [worker for worker in news if dispatcher.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO]
     return quick if 2 * len(quick) >= len(news) else news
 
 
 def check(dispatcher: Dispatcher, number: int) -> None:
     """Hold what the index answers against what asking each worker answers."""
-    index, now, rules = dispatcher.index, dispatcher.context.now_ns, dispatcher.settings
+    index, now, rules = dispatcher.parts.index, dispatcher.context.now_ns, dispatcher.settings
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job = Job(request, rules.classes[number % 3], now, 5, answer_due_ns=now + 5_000_000_000)
-    dispatcher.queue.refresh_index()
-    load = dispatcher.load_estimates.load
-    is_eligible = partial(dispatcher.eligibility.is_eligible, job)
+    dispatcher.parts.queue.refresh_index()
+    load = dispatcher.parts.load_estimates.load
+    is_eligible = partial(dispatcher.parts.eligibility.is_eligible, job)
     workers, slots = told(dispatcher), request.slots
     room = [
         worker
@@ -84,7 +86,7 @@
         worker
         for worker in dispatcher.ready_workers
         if worker.entry.worker not in dispatcher.table.recently_reported
-        and dispatcher.ejection.is_healthy(worker)
+        and dispatcher.parts.ejection.is_healthy(worker)
         and not (worker.probe_pending and now < worker.next_probe_ns)
         and load(worker) + slots <= -0.5
         and is_eligible(worker)
@@ -92,7 +94,9 @@
     silent = index.unreported_candidates(request, is_eligible, -0.5)
     assert {w.entry.worker for row in silent for w in row.members} == {w.entry.worker for w in others}
     cold = [
-        worker for worker in dispatcher.ready_workers if dispatcher.slow_start.remaining_ns(worker) < math.inf
+        worker
+        for worker in dispatcher.ready_workers
+        if dispatcher.parts.slow_start.remaining_ns(worker) < math.inf
     ]
     assert index.warming_workers() == cold
     asked = {w.entry.worker for w in dispatcher.table.recently_reported.values() if w.probe_pending}
@@ -123,16 +127,17 @@
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
     dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
-    dispatcher.queue.refresh_index()
+    dispatcher.parts.queue.refresh_index()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
-    found = dispatcher.index.reported_candidates(job, lambda _: True)
+    found = dispatcher.parts.index.reported_candidates(job, lambda _: True)
     members = [CandidateGroup([worker], row.load) for row in found for worker in row.members]
     assert len(found) < len(members) // 2
     monkeypatch.setattr(group, "MAX_ROWS", 0)
     drawn = Counter(
-        dispatcher.placement.choose(group.split_small_groups(found), 60.0).entry.worker for _ in range(20_000)
+        dispatcher.parts.placement.choose(group.split_small_groups(found), 60.0).entry.worker
+        for _ in range(20_000)
     )
-    rates = [1 / dispatcher.runtimes.relative_runtime(row.first.entry.kind) for row in members]
+    rates = [1 / dispatcher.parts.runtimes.relative_runtime(row.first.entry.kind) for row in members]
     loads = [row.load + round(row.first.estimated_slots) for row in members]
     shares = water_fill(loads, 60.0, [rate * len(rates) / sum(rates) for rate in rates])
     wanted = {
@@ -147,7 +152,7 @@
 def test_workers_that_come_and_go_leave_nothing_behind() -> None:
     """After a hundred lists of 40 new workers each, some probes never answered, one list's worth is kept."""
     script = Script(40, 1, True, seed=2)
-    dispatcher, index = script.dispatcher, script.dispatcher.index
+    dispatcher, index = script.dispatcher, script.dispatcher.parts.index
     for day in range(1, 101):
         entries = tuple(api.WorkerEntry(1000 * day + n, api.WorkerState.READY, start_id=n) for n in range(40))
         script.now += 20_000_000_000
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -137,7 +137,7 @@
     for number in range(1, 400):
         drive.now += 100 * MS
         drive.report(1, 3.0 + number // 9 / 100)
-    assert 700 * MS < drive.dispatcher.report_interval.ns < 1100 * MS
+    assert 700 * MS < drive.dispatcher.parts.report_interval.ns < 1100 * MS
 
 
 def test_the_same_report_again_does_not_hide_own_pushes() -> None:
@@ -212,4 +212,4 @@
     for number in range(40):
         drive.report(1, 3.0 + int(number * 0.8) * 0.001)
         drive.run(800 * MS)
-    assert 800 * MS < drive.dispatcher.report_interval.ns < 1200 * MS
+    assert 800 * MS < drive.dispatcher.parts.report_interval.ns < 1200 * MS
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -210,7 +210,9 @@
     )
     assert later.dispatcher.snapshots() == drive.dispatcher.snapshots()
     mine, theirs = (each.dispatcher.workers[1] for each in (later, drive))
-    assert later.dispatcher.load_estimates.load(mine) == drive.dispatcher.load_estimates.load(theirs)
+    assert later.dispatcher.parts.load_estimates.load(mine) == drive.dispatcher.parts.load_estimates.load(
+        theirs
+    )
 
 
 def test_jobs_keep_the_rules_they_came_with() -> None:
@@ -247,5 +249,9 @@
     drive.now = begun_ns + waits_ms[0] * MS
     dispatcher = drive.dispatcher
     dispatcher.context.now_ns = drive.now
-    held = sorted(dispatcher.requests.queued.values(), key=dispatcher.priorities.queue_priority, reverse=True)
+    held = sorted(
+        dispatcher.parts.requests.queued.values(),
+        key=dispatcher.parts.priorities.queue_priority,
+        reverse=True,
+    )
     assert [job.request.request_id for job in held] == order
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -115,8 +115,8 @@
 def test_changes_that_come_together_cost_one_look_at_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a stall: sorting 1,400 workers anew for each of 1,400 lines took seconds."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
     drive.step(*(changes(range(number, number + 1), GONE) for number in range(1, 701)))
     assert counted.call_count == 1 and len(drive.dispatcher.ready_workers) == 700
     assert {each.entry.worker for each in drive.dispatcher.table.subset} <= set(range(701, 1401))
@@ -132,8 +132,8 @@
 ) -> None:
     """An empty line comes every 2 s: sorting 1,400 workers anew for each took 1.1 ms."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
     drive.step(api.EndpointListUpdate(kind))
     assert counted.call_count == 0 and len(drive.dispatcher.ready_workers) == 1400
 
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -95,7 +95,7 @@
     async def scenario() -> None:
         async with site(**FIRST) as here:
             program, policy = here.program, here.program.coordinator.dispatcher
-            assert policy.runtimes.mean_runtime_ns() > 400e9
+            assert policy.parts.runtimes.mean_runtime_ns() > 400e9
             told = {**program.config.document, "settings": document(**SECOND)["settings"]}
             path.write_text(json.dumps(told))
             program.reload_wanted.set()
@@ -103,11 +103,14 @@
             await until(lambda: policy.settings.dispatcher_count == 20)
             offered = [
                 aim
-                for aim, rules in zip(policy.runtimes.mean_ns, policy.settings.classes, strict=True)
+                for aim, rules in zip(policy.parts.runtimes.mean_ns, policy.settings.classes, strict=True)
                 if rules.is_offered
             ]
-            assert len(offered) == 3 and policy.runtimes.mean_runtime_ns() == sum(offered) / 3
-            assert policy.backoff.dispatcher_count == 20 and policy.slow_start.policy.overload_multiple == 4.5
+            assert len(offered) == 3 and policy.parts.runtimes.mean_runtime_ns() == sum(offered) / 3
+            assert (
+                policy.parts.backoff.dispatcher_count == 20
+                and policy.parts.slow_start.policy.overload_multiple == 4.5
+            )
             assert program.discovery.config is program.config
             assert (await here.post("c1", "/lookup")).status == 404
             assert (await here.post("c2", "/print")).body == b"TEXT"
