--- a/weldquay/estimators/__init__.py
+++ b/weldquay/estimators/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher learns of its site from what it sees: no I/O, no clock, no randomness."""
+"""Estimators of the site's behaviour, from what a dispatcher observes. No I/O, no clock, no randomness."""
--- a/weldquay/estimators/idle_timeout.py
+++ b/weldquay/estimators/idle_timeout.py
@@ -1,22 +1,36 @@
-"""How long an idle connection to a worker can be trusted."""
+"""How long an idle connection to a worker may be reused."""
 
 from __future__ import annotations
 
-QUICK_NS = 50_000_000  # one that breaks this soon after a push broke before the push
-BACK_NS = 10_000_000_000  # a learnt limit doubles after this long without a failure
+EARLY_RESET_NS = 50_000_000  # a connection reset this soon after a send was closed before the send
+DOUBLING_NS = 10_000_000_000  # a learnt limit doubles at each such interval without a failure
 
 
 class IdleTimeoutEstimator:
-    """Guards against connections that are dropped unseen while idle: each job sent on one may be lost."""
+    """Learns the idle time after which workers, or what lies between, drop a connection without notice.
+
+    An attempt sent on a dropped connection may be lost.
+    """
 
     def __init__(self, limit_ns: int) -> None:
-        self.limit_ns, self.learnt_ns = limit_ns, 0
+        """Start with this limit, in nanoseconds."""
+        self.limit_ns = limit_ns
+        self.learnt_ns = 0
 
     def now(self, now_ns: int, most_ns: int) -> int:
-        """The limit, doubling back to the settings' figure after failures."""
-        return min(most_ns, self.limit_ns << min((now_ns - self.learnt_ns) // BACK_NS, 30))
+        """Return the limit at `now_ns`: it doubles after failures, up to `most_ns`."""
+        return min(most_ns, self.limit_ns << min((now_ns - self.learnt_ns) // DOUBLING_NS, 30))
 
     def broke(self, now_ns: int, most_ns: int, idle_ns: int, latency_ns: int) -> None:
-        """A connection that had been idle for so long (0: it was not) broke so soon after a push."""
-        if latency_ns < QUICK_NS and 0 < idle_ns // 2 < self.now(now_ns, most_ns):
-            self.limit_ns, self.learnt_ns = idle_ns // 2, now_ns
+        """Learn from a connection that was reset after a send.
+
+        Args:
+            now_ns: time of the reset.
+            most_ns: maximum of the limit.
+            idle_ns: how long the connection had been idle before the send; 0: it was new or busy.
+            latency_ns: time from the send to the reset.
+        """
+        half_ns = idle_ns // 2
+        if latency_ns < EARLY_RESET_NS and 0 < half_ns < self.now(now_ns, most_ns):
+            self.limit_ns = half_ns
+            self.learnt_ns = now_ns
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -1,83 +1,104 @@
-"""How long jobs run: means by class, and how much slower one kind of machine is than another."""
+"""Running times: means by class, and relative running times by kind of machine."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
 
-LEARN = 0.05  # weight of a new sample in learnt means
-KIND_SAMPLES = 10  # answers that a machine kind's speed starts from, so that chance does not rule at first
-MAX_SAMPLE = 10.0  # of the mean work is what one call counts for at the most: a huge one must not rule it
-UNKNOWN = 0.6  # a kind that no answer has come from yet may be slower than the mean by this part
+LEARNING_RATE = 0.05  # weight of a new sample in a mean
+KIND_PRIOR_SAMPLES = 10  # samples that the initial speed of a machine kind counts for
+MAX_WORK_RATIO = 10.0  # the work of a request counts up to this many times the mean
+UNKNOWN_KIND_SLOWNESS = 0.6  # a kind without samples may be slower than the mean by this fraction
 
 
 class RuntimeEstimator:
-    """Learnt running times; logarithms tame the few huge jobs."""
+    """Learns running times. Means of logarithms are used across kinds, as few jobs are very long.
+
+    Attributes:
+        mean_ns: mean running time of each class, in nanoseconds.
+        mean_logs: mean logarithm of the running time of each class on a mean machine; None before a sample.
+        slowness: by machine kind, the mean logarithm of its relative running time, and the samples of it.
+        service: by machine kind, the mean logarithm of reported service times, and the samples of it.
+        offered: whether requests may still name each class.
+        version: changes of means and relative running times so far.
+        updated: (class, kind) pairs whose estimates have changed; `weldquay/candidates` clears it.
+        work_ns: mean work of the requests since the last change of the classes, in nanoseconds; 0: none yet.
+    """
 
     def __init__(self, first_ns: Iterable[int]) -> None:
-        """first_ns: a guess for each class, in ns, until it is learnt."""
+        """Start with a running time for each class, in nanoseconds."""
         self.mean_ns: list[float] = []
-        self.logs: list[float | None] = []  # mean logarithm of the same
-        self.slowness: dict[int, tuple[float, int]] = {}  # by machine kind: its part of that, samples
-        self.service: dict[int, tuple[float, int]] = {}  # by kind: mean logarithm of told times, samples
+        self.mean_logs: list[float | None] = []
+        self.slowness: dict[int, tuple[float, int]] = {}
+        self.service: dict[int, tuple[float, int]] = {}
         self.offered: list[bool] = []
-        self.version = 0  # to means and paces so far
-        self.updated: set[tuple[int, int]] = set()  # (class, kind) that changed; cleared by candidates
-        self.work_ns = 0.0  # mean work of the calls that came under these classes; 0: none yet
+        self.version = 0
+        self.updated: set[tuple[int, int]] = set()
+        self.work_ns = 0.0
         self.configure_classes(first_ns)
 
     def configure_classes(self, first_ns: Iterable[int], offered: Iterable[bool] = ()) -> None:
-        """Take in the classes that have come; those known before keep what was learnt.
+        """Add the classes that are new; those known before keep what was learnt.
 
-        offered: whether calls may still name each class; empty: all.
+        Args:
+            first_ns: initial running time of each class, old and new, in nanoseconds.
+            offered: whether requests may still name each class; empty: all.
         """
-        fresh = [float(each) for each in first_ns][len(self.mean_ns) :]
-        self.mean_ns += fresh
-        self.logs += [None] * len(fresh)
+        added = [float(runtime_ns) for runtime_ns in first_ns][len(self.mean_ns) :]
+        self.mean_ns += added
+        self.mean_logs += [None] * len(added)
         self.offered = list(offered) or [True] * len(self.mean_ns)
         self.work_ns = 0.0
 
     def record_runtime(self, number: int, kind: int, run_ns: int) -> None:
-        """A job of a class has run for so long on a machine of this kind."""
-        self.mean_ns[number] += LEARN * (run_ns - self.mean_ns[number])
-        mean, (slow, samples) = self.logs[number], self.slowness.get(kind, (0.0, 0))
-        error = math.log(run_ns) - slow - (math.log(run_ns) if mean is None else mean)
-        self.logs[number] = math.log(run_ns) - slow if mean is None else mean + LEARN * error
+        """Learn that a request of class `number` has run for `run_ns` on a machine of this kind."""
+        self.mean_ns[number] += LEARNING_RATE * (run_ns - self.mean_ns[number])
+        mean = self.mean_logs[number]
+        slowness, samples = self.slowness.get(kind, (0.0, 0))
+        value = math.log(run_ns)
+        error = value - slowness - (value if mean is None else mean)
+        self.mean_logs[number] = value - slowness if mean is None else mean + LEARNING_RATE * error
         self.updated.add((number, kind))
         self.version += 1
-        self.slowness[kind] = slow + error * max(LEARN / 2, 1 / (samples + KIND_SAMPLES)), samples + 1
+        rate = max(LEARNING_RATE / 2, 1 / (samples + KIND_PRIOR_SAMPLES))
+        self.slowness[kind] = (slowness + error * rate, samples + 1)
 
     def apply_service_time(self, kind: int, service_ms: float, drag: float) -> float:
-        """A worker's slowness (logarithm of times its kind's usual) once its report of service time is heard.
+        """Return a worker's slowness after a report of its service time.
+
+        Every dispatcher gets the same report, so all of them detect a slow worker at once, without attempts
+        of their own. The slowness stays as it is until the kind has `KIND_PRIOR_SAMPLES` samples.
 
-        drag: what was known of it before, which weighs as much as the report.  Every dispatcher hears the
-        same report, so a slow worker is known at all of them at once, not after each has paid for its own
-        attempts there.  Until a kind's usual time rests on KIND_SAMPLES reports the drag stays.  A time
-        under 1 ms counts as 1 ms.
+        Args:
+            kind: the worker's machine kind.
+            service_ms: the reported service time, in milliseconds; less than 1 counts as 1.
+            drag: its slowness so far, a logarithm, which weighs as much as the report.
         """
         value = math.log(max(1.0, service_ms))
         mean, samples = self.service.get(kind, (value, 0))
-        self.service[kind] = mean + (value - mean) * max(LEARN, 1 / (samples + 1)), samples + 1
-        return (drag + value - mean) / 2 if samples >= KIND_SAMPLES else drag
+        rate = max(LEARNING_RATE, 1 / (samples + 1))
+        self.service[kind] = (mean + (value - mean) * rate, samples + 1)
+        return (drag + value - mean) / 2 if samples >= KIND_PRIOR_SAMPLES else drag
 
     def mean_runtime_ns(self) -> float:
-        """Mean running time over the classes that are offered, in ns."""
+        """Return the mean running time over the offered classes, in nanoseconds."""
         means = [mean for mean, offered in zip(self.mean_ns, self.offered, strict=True) if offered]
         return sum(means) / len(means)
 
     def record_request(self, work_ns: float) -> None:
-        """A call has come: its slots times its expected running time, in ns."""
+        """Learn from a request that was received: its slots times its expected running time, in ns."""
         self.work_ns = self.mean_work_ns()
-        self.work_ns += LEARN * (min(work_ns, MAX_SAMPLE * self.work_ns) - self.work_ns)
+        self.work_ns += LEARNING_RATE * (min(work_ns, MAX_WORK_RATIO * self.work_ns) - self.work_ns)
 
     def mean_work_ns(self) -> float:
-        """Mean work of a call, in ns: of those that have come, else the mean running time."""
+        """Return the mean work of a request, in ns; the mean running time before the first request."""
         return self.work_ns or self.mean_runtime_ns()
 
     def relative_runtime(self, kind: int) -> float:
-        """How many times longer than on a mean machine jobs run on one of this kind."""
+        """Return the running time on a machine of this kind over that on a mean machine."""
         return math.exp(self.slowness.get(kind, (0.0, 0))[0])
 
     def uncertainty(self, kind: int) -> float:
-        """How many times slower than its pace a kind may be, until that is known: limits must hold before."""
-        return 1 + UNKNOWN * KIND_SAMPLES / (self.slowness.get(kind, (0.0, 0))[1] + KIND_SAMPLES)
+        """Return how many times slower than estimated a kind may be; it falls to 1 with samples."""
+        samples = self.slowness.get(kind, (0.0, 0))[1]
+        return 1 + UNKNOWN_KIND_SLOWNESS * KIND_PRIOR_SAMPLES / (samples + KIND_PRIOR_SAMPLES)
--- a/weldquay/state/__init__.py
+++ b/weldquay/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher writes down of jobs, attempts and workers.  No I/O, no clock, no decisions."""
+"""The state of requests, attempts and workers. No I/O, no clock, no decisions."""
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -1,6 +1,7 @@
-"""A job, an attempt and a worker, as the decisions keep them: what was told, what was sent, what came back.
+"""The state of requests, attempts and workers, which refer to each other.
 
-A worker's load is kept as sums over own changes since its report, not added up at each look.
+All times are nanoseconds on the clock of the steps. A worker's unreported load is kept as a sum over its own
+load changes, which each send, each outcome and each report updates.
 """
 
 from __future__ import annotations
@@ -20,206 +21,287 @@
 )
 
 SECOND_NS = 1_000_000_000
-LOAD_REPORT_MAX_AGE_NS = 2 * SECOND_NS  # a report older than this no longer speaks for the worker
-INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # a suspect worker is tried again after this, doubling
+LOAD_REPORT_MAX_AGE_NS = 2 * SECOND_NS  # an older load report is not used
+INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # first pause before an ejected worker is tried again; it doubles
+CAPACITY_INCREASE_RATE = 0.3  # weight of a sample above the estimated capacity
+CAPACITY_DECREASE_RATE = 0.1  # weight of a sample below it, where the worker reports its busy requests
+ASSUMED_DECREASE_RATE = 0.002  # the same where it does not: requests of other dispatchers lower the sample
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that is owed its answer.  risky is the first attempt that may have run."""
+    """A request without a final answer.
+
+    Attributes:
+        request: the request as received.
+        class_settings: the settings of its class when it was received.
+        first_received_ns: when it, or the rejected request that it repeats, was received.
+        max_attempts: maximum number of attempts.
+        answer_due_ns: when its final answer is due.
+        attempts: attempts sent so far.
+        in_flight: attempts without an outcome, by number.
+        possibly_executed: the first attempt that a worker may have executed.
+        streaming: a response has started.
+        unprocessable: a worker could not process it, so no other worker could.
+        overload_count: attempts that were rejected as overloaded; from the second on retries back off.
+        retry_not_before_ns: no attempt before this time.
+        last_probed_ns: when workers were last probed for it.
+        reservation_tried_ns: when a reservation was last tried for it.
+        probe_rounds: probe rounds for it so far.
+        probed_workers: the workers of the last round.
+        queue_priority: its priority in the queue, higher first (`weldquay/candidates/queue_order.py`).
+        latest_start_ns: the last useful start; computed with the priority.
+        priority_valid_until_ns: until when both values hold.
+        estimate_version: version of the runtime estimates that both were computed from.
+    """
 
     request: RequestReceived
     class_settings: JobClass
     first_received_ns: int
-    max_attempts: int  # attempts
+    max_attempts: int
     answer_due_ns: int = 0
     attempts: int = 0
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     possibly_executed: Attempt | None = None
     streaming: bool = False
-    unprocessable: bool = False  # a worker could not use it
-    overload_count: int = 0  # 'full' outcomes; from the second on it waits before it is drawn again
+    unprocessable: bool = False
+    overload_count: int = 0
     retry_not_before_ns: int = 0
-    last_probed_ns: int = 0  # when workers were last probed for it
-    reservation_tried_ns: int = 0  # when room was last sought for it
+    last_probed_ns: int = 0
+    reservation_tried_ns: int = 0
     probe_rounds: int = 0
     probed_workers: list[Worker] = field(default_factory=list)
-    queue_priority: float = 0.0  # by which held jobs are ordered; see weldquay/candidates/queue_order.py
+    queue_priority: float = 0.0
     latest_start_ns: float = 0.0
-    priority_valid_until_ns: float = -1  # both hold so long
-    estimate_version: int = 0  # changes to what was learnt when they were computed
+    priority_valid_until_ns: float = -1
+    estimate_version: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One push of a job.  It outlives its job until its outcome has come."""
+    """A request sent to a worker. It outlasts its request until its outcome is known.
+
+    Attributes:
+        job: the request.
+        number: its number among the request's attempts, from 0.
+        worker: the worker.
+        sent_ns: when it was sent.
+        connection_idle_ns: how long its connection had been idle, in ns; 0: the connection was new or busy.
+        cancelled: a cancel was sent.
+        started_ns: when the worker reported its start; 0: not reported.
+    """
 
     job: Job
     number: int
     worker: Worker
     sent_ns: int
-    connection_idle_ns: int = (
-        0  # how long the connection it went out on had been idle; 0: a new or a busy one
-    )
+    connection_idle_ns: int = 0
     cancelled: bool = False
-    started_ns: int = 0  # when it told its start; 0: not told
+    started_ns: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class WorkerGroup:
-    """Workers with one key.  Each knows its place, so that it leaves without a search."""
+    """Workers with one key. Each records its position, so that it is removed in constant time.
+
+    Attributes:
+        key: what the members have in common.
+        members: the workers, in no order.
+    """
 
     key: Any
     members: list[Worker] = field(default_factory=list)
 
     def add(self, worker: Worker) -> None:
-        """Put a worker at the end."""
-        worker.group, worker.group_position = self, len(self.members)
+        """Append a worker."""
+        worker.group = self
+        worker.group_position = len(self.members)
         self.members.append(worker)
 
     def remove(self, worker: Worker) -> None:
-        """Take a worker out; the last one takes its place."""
+        """Remove a worker; the last member takes its position."""
         last = self.members.pop()
         if last is not worker:
-            self.members[worker.group_position], last.group_position = last, worker.group_position
+            self.members[worker.group_position] = last
+            last.group_position = worker.group_position
         worker.group = None
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """What this dispatcher knows of one worker."""
+    """The state that this dispatcher has of one worker.
+
+    Attributes:
+        entry: its entry in the endpoint list.
+        free_slots: by its last load report, negative for queued requests; None without a report.
+        free_memory: by its last load report; None without one.
+        estimated_slots: its capacity as learnt from its reports; 0 while unknown.
+        report: its last load report.
+        reported_ns: when the last load report arrived, with new figures or the same.
+        unreported_changes: own load changes that the last report may not contain: (time, slots, memory).
+        unreported_slots: sum of their slots.
+        unreported_memory: sum of their memory.
+        own_slots: slots of own attempts in flight.
+        in_flight: own attempts without an outcome, by request id and attempt number.
+        last_response_ns: when one of them last gave a sign of life.
+        connection_idle_since_ns: since when an attempt's connection has been idle; 0: none is.
+        consecutive_rejections: attempts in a row that it rejected as overloaded.
+        slowness: logarithm of how many times slower than its kind it was, and when that was measured.
+        failure_score: grows with failed attempts and decays with successful ones.
+        backoff_until_ns: no attempt before this time, after a rejection or errors.
+        probe_pending: a probe is in flight.
+        next_probe_ns: no probe before this time.
+        consecutive_probe_failures: failed probes in a row.
+        is_ejected: it gets no attempts until a probe or a trial succeeds.
+        next_trial_ns: when an ejected worker is tried again.
+        trial_backoff_ns: the pause before the trial after that.
+        reinstated_ns: when operators lifted its ban; it may have restarted then; 0: never.
+        slow_start_sends: (age of the worker, work in ns) of what was sent while it was warming up.
+        slow_start_budget_ns: work that may still be sent while it is warming up.
+        slow_start_budget_at_ns: when that budget was computed; -1: it has to be computed.
+        report_sequence: number of its last report, in the order in which reports arrived.
+        list_position: its position in the list of ready workers; -1: not in it.
+        group: its group, which `weldquay/candidates` maintains.
+        group_position: its position in that group.
+        recheck_ns: the next time at which its group may change without an event; -1: none is scheduled.
+    """
 
     entry: WorkerEntry
     free_slots: float | None = None
     free_memory: float | None = None
     estimated_slots: float = 0.0
-    report: LoadReport | None = None  # as last told
-    reported_ns: int = (
-        -LOAD_REPORT_MAX_AGE_NS
-    )  # when it was last told, new or the same again; long ago at first
-    unreported_changes: deque[tuple[int, float, float]] = field(
-        default_factory=deque
-    )  # own (time, slots, memory) since
-    unreported_slots: float = 0.0  # sums over changes, and the slots of live: kept, not added up at each look
+    report: LoadReport | None = None
+    reported_ns: int = -LOAD_REPORT_MAX_AGE_NS
+    unreported_changes: deque[tuple[int, float, float]] = field(default_factory=deque)
+    unreported_slots: float = 0.0
     unreported_memory: float = 0.0
     own_slots: float = 0.0
     in_flight: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     last_response_ns: int = 0
-    connection_idle_since_ns: int = (
-        0  # when an attempt last ended there and left its connection idle; 0: none, or closed
-    )
-    consecutive_rejections: int = 0  # in a row
-    slowness: tuple[float, int] = (
-        0.0,
-        0,
-    )  # logarithm of how many times slower than its kind it was, and when
-    failure_score: float = 0.0  # of its jobs; each that ends well takes a part of them away
-    backoff_until_ns: int = 0  # until then nothing more after a refusal
+    connection_idle_since_ns: int = 0
+    consecutive_rejections: int = 0
+    slowness: tuple[float, int] = (0.0, 0)
+    failure_score: float = 0.0
+    backoff_until_ns: int = 0
     probe_pending: bool = False
     next_probe_ns: int = 0
     consecutive_probe_failures: int = 0
     is_ejected: bool = False
     next_trial_ns: int = 0
     trial_backoff_ns: int = INITIAL_TRIAL_BACKOFF_NS
-    reinstated_ns: int = 0  # when operators put it back: it may be as cold as one that started then
-    slow_start_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (age, work) while cold
-    slow_start_budget_ns: float = 0.0  # work that may still go there while it is cold, as of cold_ns
+    reinstated_ns: int = 0
+    slow_start_sends: deque[tuple[int, float]] = field(default_factory=deque)
+    slow_start_budget_ns: float = 0.0
     slow_start_budget_at_ns: int = -1
-    report_sequence: int = 0  # the number of its last report, by the order in which they came
-    list_position: int = -1  # in the list of ready workers
-    group: WorkerGroup | None = None  # kept by weldquay/candidates, with its place there
+    report_sequence: int = 0
+    list_position: int = -1
+    group: WorkerGroup | None = None
     group_position: int = 0
-    recheck_ns: int = -1  # the next moment noted there at which time alone may change its cell
+    recheck_ns: int = -1
 
     @property
     def started_ns(self) -> int:
-        """When it became cold for the last time, as far as is known; 0: long ago."""
+        """When its last slow start began, as far as known; 0: long ago."""
         return max(self.entry.started_ns, self.reinstated_ns)
 
     def has_unstarted_attempt(self, before_ns: int) -> bool:
-        """True where an attempt that was sent before then has not told its start."""
+        """Return whether an attempt sent before this time has not reported its start."""
         return bool(self.in_flight) and any(
-            [not each.started_ns and each.sent_ns < before_ns for each in self.in_flight.values()]
+            [not attempt.started_ns and attempt.sent_ns < before_ns for attempt in self.in_flight.values()]
         )
 
     def silence_ns(self, now_ns: int) -> int:
-        """How long own attempts have been out there without a sign of any; 0 where none is out."""
-        waiting = [each.sent_ns for each in self.in_flight.values() if not each.cancelled]
-        return now_ns - max(self.last_response_ns, min(waiting)) if waiting else 0
+        """Return how long own attempts have been in flight without a sign of life; 0 where none is."""
+        sent_times = [attempt.sent_ns for attempt in self.in_flight.values() if not attempt.cancelled]
+        return now_ns - max(self.last_response_ns, min(sent_times)) if sent_times else 0
 
     def may_be_probed(self, now_ns: int, fresh_ns: int) -> bool:
-        """True where a probe would tell something new, and the worker is not resting."""
+        """Return whether its report is older than `fresh_ns` and no backoff holds."""
         return now_ns - self.reported_ns > fresh_ns and now_ns >= max(
             self.next_probe_ns, self.backoff_until_ns, self.is_ejected * self.next_trial_ns
         )
 
     def reset(self, now_ns: int) -> None:
-        """A new process: what was known and what it held is void."""
-        self.free_slots, self.report, self.failure_score, self.backoff_until_ns, self.next_probe_ns = (
-            None,
-            None,
-            0,
-            0,
-            0,
-        )
+        """Discard what belongs to an earlier process of the worker."""
+        self.free_slots = None
+        self.report = None
+        self.failure_score = 0
+        self.backoff_until_ns = 0
+        self.next_probe_ns = 0
         self.discard_changes(now_ns + 1)
         self.slow_start_sends.clear()
         self.mark_alive()
 
     def mark_alive(self) -> None:
-        """It has shown that it lives."""
-        (
-            self.is_ejected,
-            self.consecutive_probe_failures,
-            self.trial_backoff_ns,
-            self.consecutive_rejections,
-        ) = False, 0, INITIAL_TRIAL_BACKOFF_NS, 0
+        """End its ejection, as it has given a sign of life."""
+        self.is_ejected = False
+        self.consecutive_probe_failures = 0
+        self.trial_backoff_ns = INITIAL_TRIAL_BACKOFF_NS
+        self.consecutive_rejections = 0
 
     def apply_load_report(
         self, now_ns: int, report: LoadReport, cover_ns: int, in_order: bool = False
     ) -> None:
-        """Take in a report; own changes that it cannot have seen yet stay beside it."""
+        """Apply a load report with new figures.
+
+        Args:
+            now_ns: time of the step.
+            report: the report. Without free slots, and without busy requests or a known capacity, it changes
+                nothing.
+            cover_ns: own load changes of this last time remain, as the report may not contain them.
+            in_order: the worker serves its queue in order, so that free slots behind it cannot be used.
+        """
         free = report.free_slots
         if free is None and report.busy_requests is not None and self.estimated_slots:
             free = self.estimated_slots - report.busy_requests
         if free is None:
             return
         busy = report.busy_requests if report.busy_requests is not None else self.own_slots
-        sample = free + (busy if free >= 0.5 or not self.estimated_slots else min(busy, self.estimated_slots))
-        pace = 0.3 if sample > self.estimated_slots else (0.1 if report.busy_requests is not None else 0.002)
-        self.estimated_slots += (pace if self.estimated_slots else 1.0) * (sample - self.estimated_slots)
-        behind = (
-            report.queued_requests
-            if report.queued_requests is not None
-            else max(0.0, busy - max(self.estimated_slots, 1.0))
-        )
-        # Slots that are free behind a queue are not to be had: the first that waits needs more of them.
-        blocked = free < 0.5 or (in_order and (report.queued_requests or 0.0) >= 0.5)
-        self.free_slots = -float(round(behind)) if blocked else float(round(free))
+        self._learn_capacity(free, busy, report.busy_requests is not None)
+        queued = report.queued_requests
+        is_queue_blocked = in_order and (queued or 0.0) >= 0.5
+        if free < 0.5 or is_queue_blocked:
+            if queued is None:
+                queued = max(0.0, busy - max(self.estimated_slots, 1.0))
+            self.free_slots = -float(round(queued))
+        else:
+            self.free_slots = float(round(free))
         self.free_memory = report.free_memory
         self.discard_changes(now_ns - cover_ns)
 
+    def _learn_capacity(self, free: float, busy: float, is_busy_reported: bool) -> None:
+        """Update the estimated capacity.
+
+        Requests of a full worker may be in its queue, so they count up to the estimate only.
+        """
+        if not self.estimated_slots:
+            self.estimated_slots = free + busy
+            return
+        sample = free + (busy if free >= 0.5 else min(busy, self.estimated_slots))
+        if sample > self.estimated_slots:
+            rate = CAPACITY_INCREASE_RATE
+        else:
+            rate = CAPACITY_DECREASE_RATE if is_busy_reported else ASSUMED_DECREASE_RATE
+        self.estimated_slots += rate * (sample - self.estimated_slots)
+
     def discard_changes(self, before_ns: int) -> None:
-        """Drop own changes older than this."""
-        while self.unreported_changes and self.unreported_changes[0][0] < before_ns:
-            _, slots, memory = self.unreported_changes.popleft()
-            self.unreported_slots, self.unreported_memory = (
-                self.unreported_slots - slots,
-                self.unreported_memory - memory,
-            )
+        """Discard own load changes before this time."""
+        changes = self.unreported_changes
+        while changes and changes[0][0] < before_ns:
+            _, slots, memory = changes.popleft()
+            self.unreported_slots -= slots
+            self.unreported_memory -= memory
 
     def record_change(self, now_ns: int, slots: float, memory: float) -> None:
-        """Book an own push (positive) or an attempt's end (negative)."""
+        """Record an own send (positive) or the end of an attempt (negative)."""
         self.unreported_changes.append((now_ns, slots, memory))
-        self.unreported_slots, self.unreported_memory, self.own_slots = (
-            self.unreported_slots + slots,
-            self.unreported_memory + memory,
-            self.own_slots + slots,
-        )
+        self.unreported_slots += slots
+        self.unreported_memory += memory
+        self.own_slots += slots
         self.discard_changes(now_ns - LOAD_REPORT_MAX_AGE_NS)
 
     def snapshot(self) -> WorkerSnapshot:
-        """What the process that replaces this one needs to know of the worker."""
+        """Return the state for the process that replaces this one in a hot restart."""
         return WorkerSnapshot(
             free_slots=self.free_slots,
             free_memory=self.free_memory,
@@ -244,7 +326,7 @@
         )
 
     def restore(self, snapshot: WorkerSnapshot) -> None:
-        """Replace the state with that of an earlier process; the entry, attempts and report stay."""
+        """Replace the state by that of an earlier process; the entry, attempts and report stay."""
         self.free_slots = snapshot.free_slots
         self.free_memory = snapshot.free_memory
         self.estimated_slots = snapshot.estimated_slots
