--- a/weldquay/estimators/idle_timeout.py
+++ b/weldquay/estimators/idle_timeout.py
@@ -17,20 +17,20 @@
         self.limit_ns = limit_ns
         self.learnt_ns = 0
 
-    def now(self, now_ns: int, most_ns: int) -> int:
-        """Return the limit at `now_ns`: it doubles after failures, up to `most_ns`."""
-        return min(most_ns, self.limit_ns << min((now_ns - self.learnt_ns) // DOUBLING_NS, 30))
+    def limit_at(self, now_ns: int, max_ns: int) -> int:
+        """Return the limit at `now_ns`: it doubles after failures, up to `max_ns`."""
+        return min(max_ns, self.limit_ns << min((now_ns - self.learnt_ns) // DOUBLING_NS, 30))
 
-    def broke(self, now_ns: int, most_ns: int, idle_ns: int, latency_ns: int) -> None:
+    def record_reset(self, now_ns: int, max_ns: int, idle_ns: int, latency_ns: int) -> None:
         """Learn from a connection that was reset after a send.
 
         Args:
             now_ns: time of the reset.
-            most_ns: maximum of the limit.
+            max_ns: maximum of the limit.
             idle_ns: how long the connection had been idle before the send; 0: it was new or busy.
             latency_ns: time from the send to the reset.
         """
         half_ns = idle_ns // 2
-        if latency_ns < EARLY_RESET_NS and 0 < half_ns < self.now(now_ns, most_ns):
+        if latency_ns < EARLY_RESET_NS and 0 < half_ns < self.limit_at(now_ns, max_ns):
             self.limit_ns = half_ns
             self.learnt_ns = now_ns
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -27,13 +27,13 @@
         self.gaps_ns = 0.0
         self.renewals = 0.0
 
-    def learn(self, gap_ns: int, new: bool) -> None:
+    def learn(self, gap_ns: int, is_new: bool) -> None:
         """Learn from a report that came `gap_ns` after the worker's last one, with new figures or the same.
 
         Gaps longer than the interval are ignored.
         """
         if gap_ns <= self.ns:
             self.gaps_ns = RETENTION * self.gaps_ns + gap_ns
-            self.renewals = RETENTION * self.renewals + new
+            self.renewals = RETENTION * self.renewals + is_new
             interval_ns = (self.gaps_ns + PRIOR_WEIGHT * INITIAL_INTERVAL_NS) / (self.renewals + PRIOR_WEIGHT)
             self.ns = min(max(interval_ns, MIN_INTERVAL_NS), MAX_INTERVAL_NS)
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -63,7 +63,7 @@
         rate = max(LEARNING_RATE / 2, 1 / (samples + KIND_PRIOR_SAMPLES))
         self.slowness[kind] = (slowness + error * rate, samples + 1)
 
-    def apply_service_time(self, kind: int, service_ms: float, drag: float) -> float:
+    def apply_service_time(self, kind: int, service_ms: float, slowness: float) -> float:
         """Return a worker's slowness after a report of its service time.
 
         Every dispatcher gets the same report, so all of them detect a slow worker at once, without attempts
@@ -72,13 +72,13 @@
         Args:
             kind: the worker's machine kind.
             service_ms: the reported service time, in milliseconds; less than 1 counts as 1.
-            drag: its slowness so far, a logarithm, which weighs as much as the report.
+            slowness: its slowness so far, a logarithm, which weighs as much as the report.
         """
         value = math.log(max(1.0, service_ms))
         mean, samples = self.service.get(kind, (value, 0))
         rate = max(LEARNING_RATE, 1 / (samples + 1))
         self.service[kind] = (mean + (value - mean) * rate, samples + 1)
-        return (drag + value - mean) / 2 if samples >= KIND_PRIOR_SAMPLES else drag
+        return (slowness + value - mean) / 2 if samples >= KIND_PRIOR_SAMPLES else slowness
 
     def mean_runtime_ns(self) -> float:
         """Return the mean running time over the offered classes, in nanoseconds."""
--- a/weldquay/interface/__init__.py
+++ b/weldquay/interface/__init__.py
@@ -1,7 +1,8 @@
-"""The interface of the decision module: settings, events in, actions out.
+"""The interface of the decisions: settings, events in, actions out.
 
-Times are integer nanoseconds.  Ids of requests, workers, zones, cells and machine kinds are plain numbers
-that mean nothing beyond being equal or not.  An optional figure that is not known is None.
+Times and durations are integer nanoseconds; times are on the clock of the steps. Ids of requests, workers,
+zones, cells and machine kinds are numbers that are only compared for equality. An optional figure is None
+where it is not known.
 """
 
 from weldquay.interface.actions import (
@@ -9,43 +10,43 @@
     Cancel,
     CloseIdleConnections,
     Fail,
-    ReservationEnded,
     Log,
     Probe,
     Reject,
+    ReservationEnded,
     Send,
-    SetTimer,
     SendToPeer,
+    SetTimer,
     WatchEndpoints,
 )
 from weldquay.interface.events import (
-    RequestMigrated,
+    NO_LEASE,
     AttemptEnded,
     AttemptProgress,
-    WorkerBanChanged,
     ClientDisconnected,
-    ShutdownStarted,
-    Event,
-    NO_LEASE,
-    LeaseState,
     DiscoveryFailure,
     EndpointListKind,
-    LoadReport,
     EndpointListUpdate,
+    Event,
+    LeaseState,
+    LoadReport,
     Outcome,
     PeerMessage,
     ProbeEnded,
-    WorkerStateRestored,
+    RequestMigrated,
     RequestReceived,
-    SettingsChanged,
     ResponseStarted,
+    SettingsChanged,
+    ShutdownStarted,
     TimerDue,
+    WorkerBanChanged,
     WorkerEntry,
     WorkerState,
+    WorkerStateRestored,
 )
 from weldquay.interface.settings import (
-    Idempotency,
     DeduplicationScope,
+    Idempotency,
     JobClass,
     Settings,
 )
--- a/weldquay/interface/actions.py
+++ b/weldquay/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module asks for as the result of a step."""
+"""Actions: what a step of the decisions asks the caller to do, in order."""
 
 from __future__ import annotations
 
@@ -7,9 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; timeout_ns 0 means until the client gives up.
-
-    begin_by_ns: begun later on the steps' clock, it could repeat an effect and ends as moot; 0: no limit.
+    """Send a request to a worker.
+
+    Attributes:
+        request_id: the request.
+        worker: the worker.
+        timeout_ns: maximum duration of the attempt; 0: until the client's time runs out.
+        send_before_ns: an attempt that has not been sent by then ends as `Outcome.ABORTED_BEFORE_SEND`, since
+            it could repeat an effect; 0: no limit.
     """
 
     request_id: int
@@ -20,7 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless."""
+    """Give the final answer that the request was not served and may safely be sent again.
+
+    Attributes:
+        request_id: the request.
+        retry_after_ns: when the client may send it again, from now; 0: not given.
+    """
 
     request_id: int
     retry_after_ns: int = 0
@@ -28,14 +38,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised about the effect."""
+    """Give the final answer that the request failed; it may have been executed.
+
+    Attributes:
+        request_id: the request.
+    """
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel an attempt.
+
+    Attributes:
+        request_id: the request.
+        attempt: number of the attempt, from 0.
+    """
 
     request_id: int
     attempt: int
@@ -43,7 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerDue event after delay_ns."""
+    """Cause a `TimerDue` event.
+
+    Attributes:
+        delay_ns: from now.
+        token: passed to the event; one of `weldquay.policy.timers.TimerToken`.
+    """
 
     delay_ns: int
     token: int
@@ -51,26 +75,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a worker for its figures."""
+    """Send a health check to a worker; it may return a load report.
+
+    Attributes:
+        worker: the worker.
+    """
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close this dispatcher's idle connections to a worker."""
+    """Close this dispatcher's idle connections to a worker.
+
+    Attributes:
+        worker: the worker.
+    """
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the worker list."""
+    """Poll discovery and watch the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send bytes to one other dispatcher, or to all where peer is None."""
+    """Send a message to other dispatchers.
+
+    Attributes:
+        data: the message.
+        peer: the dispatcher; None: all.
+    """
 
     data: bytes
     peer: int | None = None
@@ -78,16 +115,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the staff."""
+    """Write a log line.
+
+    Attributes:
+        text: the line.
+    """
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationEnded:
-    """Room held for a job is held no more: placed, queued at its worker, or given up for a reason.
-
-    held_ns: for how long it was held; late_ns: how much later than expected at first that is.
+    """Report that capacity is no longer reserved for a request.
+
+    Attributes:
+        request_id: the request.
+        worker: the worker with the reserved capacity.
+        reason: why it ended: placed, queued at the worker, or given up.
+        reserved_ns: how long the capacity was reserved.
+        delay_ns: how much later than first expected the reservation ended; negative: earlier.
     """
 
     request_id: int
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decision module is told in a step."""
+"""Events: what the caller reports to a step of the decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 class Outcome(Enum):
     """How an attempt or a probe ended.
 
-    UNPROCESSABLE: the request itself is at fault, so that no other worker could serve it.
+    OK: with a result. ERROR: the worker failed. OVERLOADED: the worker had no room and rejected it. TIMEOUT:
+    no answer in time. CONNECT_FAILED: no connection was established. RESET: the connection was lost.
+    CANCELLED: it was cancelled. ABORTED_BEFORE_SEND: it was not sent. UNKNOWN: not known. UNPROCESSABLE: the
+    request itself is invalid, so no other worker could process it.
     """
 
     OK = "ok"
@@ -29,7 +32,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """True where the outcome proves that the worker never began the job."""
+        """Whether the outcome proves that the worker did not begin the request."""
         return self in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ABORTED_BEFORE_SEND)
 
 
@@ -42,10 +45,12 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list update holds.
+    """What an endpoint list update contains.
 
-    UNCHANGED, ADDRESS_CHANGED and FAILED hold no entries and leave the list as it was.  UNCHANGED: discovery
-    has no changes.  ADDRESS_CHANGED: a reload of the configuration gave discovery another address.
+    DELTA: the entries that changed. FULL: all entries. CACHED: all entries, of any age. The others contain no
+    entries and leave the list as it was. UNCHANGED: discovery has no changes.
+    ADDRESS_CHANGED: a reload of the configuration gave discovery another address. FAILED: a poll or a watch
+    failed.
     """
 
     DELTA = "delta"
@@ -59,10 +64,10 @@
 class DiscoveryFailure(Enum):
     """How a poll of discovery, or its watch, failed.
 
-    REFUSED: at once, by a refused or reset connection or a 503: discovery is down.  CONNECT_TIMEOUT: no
-    connection was established.  CLOSED: an open watch ended.  HEARTBEAT_TIMEOUT: an open watch sent nothing,
-    not even an empty line.  RESPONSE_TIMEOUT: discovery accepted the request and sent no update, or an
-    invalid one.  BUSY: it failed after a wait in discovery's queue; also where the cause is unknown.
+    REFUSED: at once, by a refused or reset connection or a 503: discovery is down. CONNECT_TIMEOUT: no
+    connection was established. CLOSED: an open watch ended. HEARTBEAT_TIMEOUT: an open watch sent nothing,
+    not even an empty line. RESPONSE_TIMEOUT: discovery accepted the request and sent no update, or an invalid
+    one. BUSY: it failed after a wait in discovery's queue; also where the cause is unknown.
     """
 
     REFUSED = "refused"
@@ -75,21 +80,38 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A worker's own figures, as far as it gives them."""
+    """A worker's own figures, as far as it reports them.
+
+    Attributes:
+        free_slots: slots that are free.
+        free_memory: memory that is free, in the units of `RequestReceived.memory`.
+        busy_requests: requests that run.
+        queued_requests: requests that wait at the worker.
+        cpu_utilization: fraction of its processors in use.
+        service_ms: recent service time, in milliseconds; every dispatcher gets the same value.
+    """
 
     free_slots: float | None = None
     free_memory: float | None = None
     busy_requests: float | None = None
     queued_requests: float | None = None
     cpu_utilization: float | None = None
-    service_ms: float | None = None  # its recent service time: the same news at every dispatcher
+    service_ms: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A line of the membership list.  started_ns is 0 where the start lies long ago.
-
-    common: a number of this start of this worker that is the same at all dispatchers.
+    """An entry of the endpoint list.
+
+    Attributes:
+        worker: number of the worker.
+        state: its state.
+        cell: its cell.
+        kind: its machine kind.
+        zone: its zone.
+        started_ns: when it started; 0: long ago.
+        weight: its weight in the list.
+        start_id: a number of this start of the worker, the same at all dispatchers.
     """
 
     worker: int
@@ -103,10 +125,12 @@
 
 
 class LeaseState(NamedTuple):
-    """What a process passes on of its lease on the list (`weldquay/discovery/list_lease.py`).
+    """The state of a lease on the endpoint list (`weldquay/discovery/list_lease.py`).
 
-    until_ns: no attempt begins by the list from then on; 0: the list may be of any age.  missed, silent: what
-    came since the last news, and keeps a refused call from prolonging the lease.
+    Attributes:
+        until_ns: no attempt begins by the list from then on; 0: the list may be of any age.
+        missed: discovery was reached since the last update and sent none.
+        silent: the watch has timed out since the last update.
     """
 
     until_ns: int = 0
@@ -119,10 +143,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """News of the worker list.
-
-    Of a call that failed: silent_ns since its last good news, or since it was made; and how it failed.  Of a
-    cached list: the lease that an earlier process of this dispatcher had on it.
+    """An update of the endpoint list, or a failure to get one.
+
+    Attributes:
+        kind: what it contains.
+        entries: the entries, in the order of the list.
+        since_update_ns: of a failure: time since the last update of the watch, or since the poll began.
+        failure: of a failure: how it failed.
+        lease: of a cached list: the lease that an earlier process of this dispatcher had on it.
     """
 
     kind: EndpointListKind
@@ -134,7 +162,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request: the dispatcher now owes one final answer within time_left_ns."""
+    """A client's request, to which the dispatcher owes one final answer.
+
+    Attributes:
+        request_id: the request.
+        job_class: number of its class.
+        time_left_ns: time until its answer is due, from now.
+        slots: slots that it occupies at a worker.
+        memory: memory that it occupies at a worker.
+        runtime_hint_ns: its running time on a mean machine, as the client estimates it.
+        key: its idempotency key as a number; 0: none.
+        is_retry: the client marks it as a repeat.
+    """
 
     request_id: int
     job_class: int
@@ -148,7 +187,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's outcome; over says that the client has its answer."""
+    """The outcome of an attempt.
+
+    Attributes:
+        request_id: the request.
+        attempt: number of the attempt, from 0.
+        worker: the worker.
+        outcome: how it ended.
+        latency_ns: time from the send to the outcome.
+        request_finished: the client has its answer.
+        report: the load report in the answer.
+    """
 
     request_id: int
     attempt: int
@@ -161,7 +210,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A probe's outcome."""
+    """The outcome of a probe.
+
+    Attributes:
+        worker: the worker.
+        outcome: how it ended.
+        latency_ns: time from the send to the outcome.
+        report: the load report in the answer.
+    """
 
     worker: int
     outcome: Outcome
@@ -171,7 +227,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """News of a running attempt: progress is the share done, or None when it has just started."""
+    """The start or the progress of a running attempt.
+
+    Attributes:
+        request_id: the request.
+        attempt: number of the attempt, from 0.
+        worker: the worker.
+        progress: fraction that is done; None: the attempt has just started.
+    """
 
     request_id: int
     attempt: int
@@ -181,7 +244,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer has begun to flow: the attempt is the client's from now on."""
+    """The client has got the beginning of a response: the request has no other attempt from now on.
+
+    Attributes:
+        request_id: the request.
+        attempt: number of the attempt, from 0.
+        worker: the worker.
+    """
 
     request_id: int
     attempt: int
@@ -190,21 +259,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed any more."""
+    """A client has left; its request needs no answer.
+
+    Attributes:
+        request_id: the request.
+    """
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set by the dispatcher has come due."""
+    """A timer of a `SetTimer` action is due.
+
+    Attributes:
+        token: the token of that action.
+    """
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another dispatcher."""
+    """A message of another dispatcher.
+
+    Attributes:
+        sender: the dispatcher.
+        data: the message.
+    """
 
     sender: int
     data: bytes
@@ -212,21 +294,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The dispatcher ends after left_ns: by then all that is owed is answered."""
+    """The dispatcher shuts down; it answers all requests before its end.
+
+    Attributes:
+        time_left_ns: time until its end, from now.
+    """
 
     time_left_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings, for the jobs that come from now on; numbers of classes stay, new ones come last."""
+    """A reload has changed the settings for the requests that are received from now on.
+
+    Attributes:
+        settings: the settings; classes keep their numbers, and new ones come last.
+    """
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerBanChanged:
-    """Operators take a worker out, or (on False) put it back: it may have been restarted meanwhile."""
+    """Operators have banned a worker or lifted its ban.
+
+    Attributes:
+        worker: the worker.
+        is_banned: False: the ban is lifted; the worker may have been restarted.
+    """
 
     worker: int
     is_banned: bool = True
@@ -234,7 +329,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerStateRestored:
-    """The state of a worker in an earlier process of this dispatcher."""
+    """The state of a worker in an earlier process of this dispatcher.
+
+    Attributes:
+        worker: the worker.
+        snapshot: its state.
+    """
 
     worker: int
     snapshot: WorkerSnapshot
@@ -242,7 +342,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMigrated:
-    """A request that an earlier process of this dispatcher took; worker 0 means that no attempt is out."""
+    """A request that an earlier process of this dispatcher received.
+
+    Attributes:
+        request: the request.
+        first_received_ns: when it was received.
+        attempts: attempts sent so far.
+        worker: worker of the attempt in flight; 0: none is in flight.
+        sent_ns: when that attempt was sent.
+        started_ns: when the worker reported its start; 0: not reported.
+    """
 
     request: RequestReceived
     first_received_ns: int
--- a/weldquay/interface/settings.py
+++ b/weldquay/interface/settings.py
@@ -1,4 +1,4 @@
-"""What a dispatcher is told at its start: its classes of jobs and its settings."""
+"""The settings of a dispatcher and of the classes of its requests."""
 
 from __future__ import annotations
 
@@ -6,12 +6,16 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # its library is loaded only where room is held
+if TYPE_CHECKING:  # that module is loaded only where reservations are configured
     from weldquay.reservations.settings import ReservationSettings
 
 
 class Idempotency(Enum):
-    """What a second run of a job would do."""
+    """The effect of executing a request twice.
+
+    IDEMPOTENT: the same as once. IDEMPOTENT_BY_KEY: the same as once at workers that recognise its key.
+    NON_IDEMPOTENT: it may differ.
+    """
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_BY_KEY = "keyed"
@@ -19,7 +23,10 @@
 
 
 class DeduplicationScope(Enum):
-    """The workers that drop the repeats of a keyed job."""
+    """The workers that recognise a repeat of an attempt by its idempotency key.
+
+    ALL: every worker. ZONE, CELL: the workers in the zone or cell of the first attempt.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +35,21 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of jobs.  In time means within aim_ns plus stretch times the job's own running time."""
+    """The settings of a class of requests.
+
+    Attributes:
+        latency_objective_ns: a request is on time within this duration, plus its allowance.
+        client_timeout_ns: how long a client waits for an answer.
+        idempotency: the effect of executing a request twice.
+        deduplication_scope: where idempotency keys are recognised.
+        idempotency_window_ns: how long a key is recognised after its first attempt.
+        priority_weight: value of a request that is on time.
+        late_weight: fraction of that value which a late request has; 0: late requests are rejected.
+        runtime_allowance: multiple of a request's own running time that is added to the objective.
+        machine_kind: the machine kind that requests need; -1: any.
+        streams_response: responses are streamed.
+        is_offered: requests may name the class; False after a reload has removed it.
+    """
 
     latency_objective_ns: int
     client_timeout_ns: int
@@ -40,12 +61,46 @@
     runtime_allowance: float = 0.0
     machine_kind: int = -1
     streams_response: bool = False
-    is_offered: bool = True  # False: a reload has dropped it, and no call names it any more
+    is_offered: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a dispatcher is told at its start."""
+    """The settings of a dispatcher.
+
+    Attributes:
+        classes: the classes of requests, by number.
+        dispatcher_count: number of dispatchers.
+        dispatcher_index: number of this one among them, from 0.
+        zone: zone of this dispatcher.
+        clock_resolution_ns: resolution of the clock.
+        polls_endpoint_list: the dispatcher polls discovery; otherwise updates are pushed to it.
+        endpoint_list_expires: changes may be missed, so the list may be acted on only while its lease lasts.
+        has_local_discovery_agent: an agent on the same machine serves the list, so that polls have no cost.
+        max_poll_delay_ns: maximum delay of a poll after a failure.
+        may_cancel: attempts may be cancelled.
+        may_probe: workers may be probed.
+        may_message_peers: dispatchers may send messages to each other.
+        may_hedge: a second attempt may be sent while the first is in flight.
+        max_attempts: maximum number of attempts of a request.
+        max_retry_after_ns: maximum delay that a rejected client is given; 0: none is given.
+        progress_interval_ns: workers report progress this often while a request runs; 0: never.
+        reports_start: workers report the start of a request.
+        workers_queue_in_order: the first request in a worker's queue blocks those behind it until it fits.
+        connection_idle_timeout_ns: an idle connection is not reused after this duration.
+        reports_in_answers: answers carry load reports.
+        reports_in_probes: probe results carry load reports.
+        weights_per_work: priority weights are per nanosecond of work, not per request.
+        initial_capacity_fraction: fraction of its capacity that a worker has at its start.
+        slow_start_ns: how long the capacity takes to reach its full value.
+        overload_multiple: a warming worker fails under this multiple of what it can process.
+        overload_window_ns: the window over which that load is measured.
+        probe_cost: cost of a probe, in priority weight.
+        cross_zone_cost: cost of an attempt in another zone, in priority weight.
+        wasted_work_cost: cost of work whose result is not used, in priority weight.
+        handshake_cost: cost of a new connection, in priority weight.
+        reservations: settings of capacity reservations for large requests; None: there are none.
+    """
 
     classes: tuple[JobClass, ...]
     dispatcher_count: int = 1
@@ -53,12 +108,8 @@
     zone: int = 0
     clock_resolution_ns: int = 1_000_000
     polls_endpoint_list: bool = False
-    endpoint_list_expires: bool = (
-        False  # changes may be missed unseen: the list may be acted on for a time only
-    )
-    has_local_discovery_agent: bool = (
-        False  # an agent on the dispatcher's own machine has the list: asking it costs nothing
-    )
+    endpoint_list_expires: bool = False
+    has_local_discovery_agent: bool = False
     max_poll_delay_ns: int = 10_000_000_000
     may_cancel: bool = False
     may_probe: bool = False
@@ -68,9 +119,7 @@
     max_retry_after_ns: int = 0
     progress_interval_ns: int = 0
     reports_start: bool = False
-    workers_queue_in_order: bool = (
-        False  # a worker's first waiting job waits until it fits, and all others with it
-    )
+    workers_queue_in_order: bool = False
     connection_idle_timeout_ns: int = 15_000_000_000
     reports_in_answers: bool = False
     reports_in_probes: bool = False
@@ -83,4 +132,4 @@
     cross_zone_cost: float = 0.0
     wasted_work_cost: float = 0.0
     handshake_cost: float = 0.0
-    reservations: ReservationSettings | None = None  # how room is held for large jobs; None: not at all
+    reservations: ReservationSettings | None = None
--- a/weldquay/interface/worker_snapshot.py
+++ b/weldquay/interface/worker_snapshot.py
@@ -1,4 +1,4 @@
-"""What a dispatcher process knows of one worker, for the process that replaces it in a hot restart.
+"""The state that a dispatcher process has of one worker, for the process that replaces it in a hot restart.
 
 All times are integer nanoseconds of the monotonic clock, which both processes read.
 """
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSnapshot:
-    """The state of one worker; the defaults are those of a worker that nothing is known of.
+    """The state of one worker; the defaults are those of a worker without any.
 
     Attributes:
         free_slots: by its last load report, less its queue; None without a report.
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -120,7 +120,7 @@
 
     def learn_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
         """Learn how long an idle connection may be reused."""
-        self.idle_timeout.broke(
+        self.idle_timeout.record_reset(
             self.context.now_ns,
             self.context.settings.connection_idle_timeout_ns,
             attempt.connection_idle_ns,
--- a/weldquay/policy/sending.py
+++ b/weldquay/policy/sending.py
@@ -79,7 +79,7 @@
         else:
             idle_ns = self.context.now_ns - worker.connection_idle_since_ns
         max_idle_ns = self.context.settings.connection_idle_timeout_ns
-        if idle_ns >= self.idle_timeout.now(self.context.now_ns, max_idle_ns):
+        if idle_ns >= self.idle_timeout.limit_at(self.context.now_ns, max_idle_ns):
             self.context.actions.append(CloseIdleConnections(worker.entry.worker))
             return 0
         return idle_ns
