--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders that keep the tests short."""
+"""Builders and models that several test files share."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
+WORKERS = tuple(api.WorkerEntry(w, api.WorkerState.READY, start_id=w) for w in range(1, 61))
 
 
 def settings(**changes: Any) -> api.Settings:
-    """One dispatcher, one safe class, probes and cancels allowed."""
+    """Return settings of one dispatcher and one idempotent class; probes and cancels are allowed."""
     values: dict[str, Any] = {
         "classes": (job_class(),),
         "may_cancel": True,
@@ -31,7 +32,7 @@
 
 
 def job_class(**changes: Any) -> api.JobClass:
-    """A safe class: aim 1 s and twice the running time, given up after 10 s."""
+    """Return an idempotent class: objective 1 s plus twice the running time, client timeout 10 s."""
     values: dict[str, Any] = {
         "latency_objective_ns": SECOND,
         "client_timeout_ns": 10 * SECOND,
@@ -42,7 +43,7 @@
 
 
 class Drive:
-    """Feeds one dispatcher and keeps what it did."""
+    """Feeds one dispatcher and records its actions."""
 
     def __init__(self, using: api.Settings | None = None, workers: int = 3, seed: int = 1) -> None:
         self.dispatcher = Dispatcher(using or settings(), seed)
@@ -52,54 +53,70 @@
         self.step(self.list_of())
 
     def list_of(self, kind: api.EndpointListKind = api.EndpointListKind.CACHED) -> api.EndpointListUpdate:
-        """The whole list, two workers a cell."""
+        """Return the whole list, with two workers in each cell."""
         entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
         return api.EndpointListUpdate(kind, tuple(entries))
 
     def step(self, *events: api.Event, after: int = 0) -> list[api.Action]:
-        """One step, `after` nanoseconds from the last."""
+        """Run one step, `after` nanoseconds from the last."""
         self.now += after
         actions = self.dispatcher.step(self.now, list(events))
         self.all += actions
         return actions
 
     def report(self, worker: int, free: float, **more: Any) -> list[api.Action]:
-        """A probe's answer."""
+        """Report free slots in a probe's result."""
         return self.step(api.ProbeEnded(worker, api.Outcome.OK, MS, api.LoadReport(free, **more)))
 
     def run(self, span: int, every: int = 50 * MS) -> list[api.Action]:
-        """Let time pass."""
-        done: list[api.Action] = []
+        """Let `span` nanoseconds pass, with a step `every` so many."""
+        actions: list[api.Action] = []
         for _ in range(span // every):
-            done += self.step(api.TimerDue(1), after=every)
-        return done
+            actions += self.step(api.TimerDue(1), after=every)
+        return actions
 
     def end(
         self, send: api.Send, outcome: api.Outcome, attempt: int = 0, over: bool = False
     ) -> list[api.Action]:
-        """An attempt's outcome."""
+        """Report an attempt's outcome."""
         return self.step(api.AttemptEnded(send.request_id, attempt, send.worker, outcome, MS, over))
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """The pushes among actions."""
+    """Return the sends among actions."""
     return [action for action in actions if isinstance(action, api.Send)]
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
-    """The final answers among actions."""
+    """Return the final answers among actions."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
 def started(
-    effect: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
+    idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
 ) -> tuple[Drive, api.Send]:
-    """A job of one attempt on one of four workers."""
+    """Return a dispatcher with four workers, and the first attempt of its request 7."""
     rules = job_class(
-        idempotency=effect, deduplication_scope=group, idempotency_window_ns=4 * SECOND, **changes
+        idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
     drive = Drive(settings(classes=(rules,)), workers=4)
     for worker in drive.worker_ids:
         drive.report(worker, 3.0)
     (send,) = sends(drive.step(api.RequestReceived(7, 0, 10 * SECOND)))
     return drive, send
+
+
+class Discovery:
+    """A model of discovery: it serves polls in order, and one that waits too long fails at full cost."""
+
+    def __init__(self, work_ns: int, busy_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
+        self.work_ns = work_ns
+        self.free_ns = busy_ns
+        self.max_wait_ns = max_wait_ns
+
+    def ask(self, now_ns: int) -> tuple[int, bool]:
+        """Return when a poll ends, in ns, and whether it is answered."""
+        begin_ns = max(self.free_ns, now_ns)
+        self.free_ns = begin_ns + self.work_ns
+        is_too_late = begin_ns - now_ns > self.max_wait_ns
+        return (now_ns + self.max_wait_ns, False) if is_too_late else (begin_ns + self.work_ns, True)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Which worker the dispatcher draws for a job, from reports, probes and its own sends, event by event."""
+"""Placement: which worker gets a request, by load reports, probes and own sends."""
 
 from __future__ import annotations
 
@@ -20,16 +20,18 @@
         (api.EndpointListKind.FULL, api.WorkerEntry(2, api.WorkerState.READY, cell=1)),
     ],
 )
-def test_draining_gone_and_absent_get_nothing(kind: api.EndpointListKind, entry: api.WorkerEntry) -> None:
-    """Nothing new goes to a worker from the step on that tells of its drain, or whose list is without it."""
+def test_draining_removed_and_unlisted_workers_get_no_requests(
+    kind: api.EndpointListKind, entry: api.WorkerEntry
+) -> None:
+    """This holds from the step with the update on."""
     drive = Drive(settings(may_probe=False), workers=2)
     drive.step(api.EndpointListUpdate(kind, (entry,)))
     actions = drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)])
     assert {send.worker for send in sends(actions)} == {2}
 
 
-def test_cold_worker_gets_its_budget_only() -> None:
-    """A worker that just started gets no burst, and more as it warms."""
+def test_warming_worker_gets_its_budget_only() -> None:
+    """A worker that has just started gets few requests at once, and more as it warms up."""
     drive = Drive(workers=1)
     fresh = api.WorkerEntry(1, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)))
@@ -42,8 +44,8 @@
     assert len(sends(drive.step(*jobs))) == 4
 
 
-def test_a_worker_without_reports_counts_as_the_mean() -> None:
-    """Incident i35f28b: some workers answer but never report; they must not look like the emptiest ones."""
+def test_worker_without_report_has_the_mean_load_of_its_zone() -> None:
+    """Incident i35f28b: workers that answer and never report must not look like the least loaded ones."""
     drive = Drive(settings(may_probe=False), workers=3)
     for worker in (1, 2):
         drive.report(worker, 0.0)
@@ -54,35 +56,35 @@
     assert 3 in {send.worker for send in sends(drive.all + drive.step(*jobs))}
 
 
-def test_an_idle_dispatcher_asks_nothing_and_sets_no_timer() -> None:
-    """With many dispatchers and workers, looks in turn cost most of the result and of the CPU."""
+def test_idle_dispatcher_sends_no_probes_and_sets_no_timers() -> None:
+    """With many dispatchers and workers, regular probes would have most of the cost."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     drive.step(*[api.TimerDue(1)] * 3, after=SECOND)
     assert not drive.all
 
 
-def test_a_job_is_drawn_among_the_few_workers_probed_for_it() -> None:
-    """The job waits for what a few random workers tell and goes to one that has room."""
+def test_request_waits_for_probes_and_goes_to_a_worker_with_room() -> None:
+    """A few random workers are probed for it."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     actions = drive.step(api.RequestReceived(1, 0, 10 * SECOND))
-    asked = [action.worker for action in actions if isinstance(action, api.Probe)]
-    assert 2 <= len(asked) <= 5 and not sends(actions)
-    for worker in asked[1:]:
+    probed = [action.worker for action in actions if isinstance(action, api.Probe)]
+    assert 2 <= len(probed) <= 5 and not sends(actions)
+    for worker in probed[1:]:
         drive.report(worker, 0.0)
     assert not sends(drive.all)
-    (send,) = sends(drive.report(asked[0], 2.0))
-    assert send.worker == asked[0]
+    (send,) = sends(drive.report(probed[0], 2.0))
+    assert send.worker == probed[0]
 
 
-def test_a_look_without_answer_does_not_hold_the_job() -> None:
-    """Probes that hang or are lost: the job goes by what is known, and soon."""
+def test_lost_probes_delay_a_request_only_briefly() -> None:
+    """The request is placed by what is known."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     assert len(sends(drive.run(100 * MS))) == 1
 
 
-def test_only_overflow_crosses_zones_where_that_has_a_price() -> None:
-    """Near workers take the jobs while one has room; then far ones do."""
+def test_requests_cross_zones_only_when_the_own_zone_is_full() -> None:
+    """This holds where crossing zones has a cost."""
     for seed in range(20):
         drive = Drive(settings(cross_zone_cost=0.03), workers=1, seed=seed)
         far = api.WorkerEntry(9, api.WorkerState.READY, zone=1)
@@ -95,29 +97,31 @@
         assert [send.worker for send in sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))] == [9]
 
 
-def test_a_first_look_goes_to_the_own_subset_a_second_one_to_all() -> None:
-    """Forty dispatchers that look everywhere meet a worker seldom, and act on the same news at once."""
+def test_first_probes_go_to_the_preferred_subset_later_ones_to_all() -> None:
+    """Subsets of few dispatchers are disjoint, so that dispatchers do not act on the same reports at once."""
     workers = tuple(api.WorkerEntry(w, api.WorkerState.READY, zone=w % 2, start_id=w) for w in range(1, 61))
-    first: set[int] = set()
-    for me in range(12):
+    probed_before: set[int] = set()
+    for dispatcher_index in range(12):
         drive = Drive(
-            settings(cross_zone_cost=0.03, dispatcher_count=40, dispatcher_index=me, max_attempts=1),
+            settings(
+                cross_zone_cost=0.03, dispatcher_count=40, dispatcher_index=dispatcher_index, max_attempts=1
+            ),
             workers=0,
         )
         drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, workers))
         for number in range(4):
             drive.step(api.RequestReceived(number, 0, SECOND))
         own = {action.worker for action in drive.all if isinstance(action, api.Probe)}
-        assert len(own) <= 5 and own.isdisjoint(first)
-        first |= own
+        assert len(own) <= 5 and own.isdisjoint(probed_before)
+        probed_before |= own
         for worker in own:
             drive.report(worker, 0.0)
         drive.run(100 * MS)
         assert {action.worker for action in drive.all if isinstance(action, api.Probe)} - own
 
 
-def test_speed_is_learnt_by_machine_kind() -> None:
-    """Workers of one kind run jobs in half the time: once that is seen they get about twice the jobs."""
+def test_faster_machine_kind_gets_more_requests() -> None:
+    """Workers of one kind take half the time: once that is learnt they get about twice the requests."""
     drive = Drive(settings(may_probe=False, reports_start=True), workers=0)
     entries = tuple(api.WorkerEntry(w, api.WorkerState.READY, kind=w % 2) for w in range(1, 9))
     drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, entries))
@@ -131,8 +135,8 @@
     assert 1.6 < counts[1] / counts[0] < 2.5
 
 
-def test_the_report_interval_is_learnt_from_repeats() -> None:
-    """Reports refreshed each 0.9 s were taken for fresh ones: room that was long gone drew herds."""
+def test_report_interval_is_learnt_from_repeated_reports() -> None:
+    """Reports are refreshed every 0.9 s and read every 0.1 s."""
     drive = Drive(workers=1)
     for number in range(1, 400):
         drive.now += 100 * MS
@@ -140,8 +144,8 @@
     assert 700 * MS < drive.dispatcher.parts.report_interval.ns < 1100 * MS
 
 
-def test_the_same_report_again_does_not_hide_own_pushes() -> None:
-    """A job pushed since the report was made is not in it, however often it is told again."""
+def test_repeated_report_does_not_hide_own_sends() -> None:
+    """A request sent after the report was made is not in it, however often it is repeated."""
     drive = Drive(workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
@@ -152,8 +156,8 @@
     assert sends(drive.end(first, Outcome.OK, over=True))
 
 
-def test_probes_turned_away_stop_blind_pushes() -> None:
-    """Late or refused probes stand for full workers: without them silence would look like the old mean."""
+def test_overloaded_probes_stop_sends_to_workers_without_reports() -> None:
+    """Rejected probes mean full workers; otherwise the old mean load would apply."""
     drive = Drive(settings(dispatcher_count=150), workers=40)
     for worker in drive.worker_ids:
         drive.step(api.ProbeEnded(worker, Outcome.OVERLOADED, MS))
@@ -162,8 +166,8 @@
     assert not sends(drive.run(500 * MS))
 
 
-def test_a_clock_that_starts_near_zero_makes_no_news_fresh() -> None:
-    """The clock has no special start: a worker that never told anything is not fresh in its first moments."""
+def test_worker_without_report_has_no_fresh_report_near_clock_zero() -> None:
+    """The clock has no special start, so the first moments after zero need probes too."""
     drive = Drive(workers=0)
     drive.dispatcher = Dispatcher(settings(), 1)
     drive.worker_ids = [1, 2, 3]
@@ -172,17 +176,19 @@
     assert any(isinstance(action, api.Probe) for action in actions) and not sends(actions)
 
 
-def test_a_cold_fleet_of_many_dispatchers_is_not_pushed_over() -> None:
-    """After a mass crash 150 dispatchers with more calls than there is room take turns at the cold ones."""
+def test_many_dispatchers_share_the_budget_of_warming_workers() -> None:
+    """After a mass crash, 150 dispatchers with more requests than room take turns at the warming workers."""
     sent: Counter[int] = Counter()
-    for me in range(150):
-        drive = Drive(settings(dispatcher_count=150, dispatcher_index=me, may_probe=False), workers=0)
-        cold = tuple(
+    for dispatcher_index in range(150):
+        drive = Drive(
+            settings(dispatcher_count=150, dispatcher_index=dispatcher_index, may_probe=False), workers=0
+        )
+        warming = tuple(
             api.WorkerEntry(w, api.WorkerState.READY, started_ns=drive.now, start_id=7 * w)
             for w in range(1, 21)
         )
         warm = tuple(api.WorkerEntry(w, api.WorkerState.READY) for w in range(21, 31))
-        drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, cold + warm))
+        drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, warming + warm))
         sent.update(
             send.worker
             for send in sends(drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in range(20)]))
@@ -192,8 +198,8 @@
     assert sum(sent[worker] for worker in range(1, 21)) > 10
 
 
-def test_no_job_goes_behind_an_own_one_that_waits() -> None:
-    """Its report still says that all slots are free; a job that has not begun there says that none is."""
+def test_worker_with_an_unstarted_attempt_gets_no_further_request() -> None:
+    """Its report still shows free slots, but the attempt that has not started shows a queue."""
     drive = Drive(settings(reports_start=True, may_probe=False, workers_queue_in_order=True), workers=2)
     drive.report(2, 0.0)
     drive.report(1, 4.0)
@@ -203,11 +209,11 @@
     drive.report(2, 0.0)
     assert send.worker == 1 and not sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))
     again = drive.step(api.AttemptProgress(1, 0, 1)) + drive.run(200 * MS)
-    assert [each.worker for each in sends(again)] == [1]
+    assert [send.worker for send in sends(again)] == [1]
 
 
-def test_the_report_interval_is_learnt_from_few_meetings() -> None:
-    """A worker met every 0.8 s that refreshes each second: gaps within a first guess of 0.3 s never come."""
+def test_report_interval_is_learnt_from_rare_reports() -> None:
+    """The reports are refreshed every second and read every 0.8 s."""
     drive = Drive(settings(may_probe=False), workers=1)
     for number in range(40):
         drive.report(1, 3.0 + int(number * 0.8) * 0.001)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""What forty dispatchers do together: asking discovery, and turning to workers."""
+"""Many dispatchers together: polls of discovery, and subsets of workers."""
 
 from __future__ import annotations
 
@@ -14,103 +14,105 @@
 from weldquay.discovery.backoff import Backoff
 from weldquay.fleet.subset import LEAST, SHARERS, subset
 from weldquay.policy.dispatcher import Dispatcher
-from tests.helpers import MS, SECOND, settings
+from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
 
 DISPATCHERS = 40
-WORKERS = tuple(api.WorkerEntry(w, api.WorkerState.READY, start_id=w) for w in range(1, 61))
 
 
-class Discovery:
-    """One call after another; one that waited too long fails, and costs its work all the same."""
-
-    def __init__(self, work_ns: int, busy_ns: int, patience_ns: int = 2 * SECOND) -> None:
-        self.work_ns, self.free_ns, self.patience_ns = work_ns, busy_ns, patience_ns
-
-    def ask(self, now_ns: int) -> tuple[int, bool]:
-        """When the call ends, and whether it is answered."""
-        begin_ns = max(self.free_ns, now_ns)
-        self.free_ns = begin_ns + self.work_ns
-        late = begin_ns - now_ns > self.patience_ns
-        return (now_ns + self.patience_ns, False) if late else (begin_ns + self.work_ns, True)
-
-
-def restart(discovery: Discovery, until_ns: int) -> dict[int, int]:
-    """Forty dispatchers start at one moment with an old list; when each has heard from discovery."""
+def restart_all(discovery: Discovery, until_ns: int) -> dict[int, int]:
+    """Start all dispatchers at once with an old list; return the ns until each had an update."""
     heard: dict[int, int] = {}
     queue: list[tuple[int, int, int, api.Event]] = []
     fleet = [
-        Dispatcher(settings(dispatcher_count=DISPATCHERS, dispatcher_index=me, polls_endpoint_list=True), me)
-        for me in range(DISPATCHERS)
+        Dispatcher(
+            settings(
+                dispatcher_count=DISPATCHERS, dispatcher_index=dispatcher_index, polls_endpoint_list=True
+            ),
+            dispatcher_index,
+        )
+        for dispatcher_index in range(DISPATCHERS)
     ]
-    for me in range(DISPATCHERS):
+    for dispatcher_index in range(DISPATCHERS):
         heapq.heappush(
-            queue, (SECOND, len(queue), me, api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS))
+            queue,
+            (
+                SECOND,
+                len(queue),
+                dispatcher_index,
+                api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS),
+            ),
         )
     number = len(queue)
     while queue and queue[0][0] <= until_ns and len(heard) < DISPATCHERS:
-        now_ns, _, me, event = heapq.heappop(queue)
+        now_ns, _, dispatcher_index, event = heapq.heappop(queue)
         if isinstance(event, api.EndpointListUpdate) and event.kind is api.EndpointListKind.DELTA:
-            heard[me] = now_ns - SECOND
-        for action in fleet[me].step(now_ns, [event]):
+            heard[dispatcher_index] = now_ns - SECOND
+        for action in fleet[dispatcher_index].step(now_ns, [event]):
             number += 1
             if isinstance(action, api.SetTimer):
-                heapq.heappush(queue, (now_ns + action.delay_ns, number, me, api.TimerDue(action.token)))
+                heapq.heappush(
+                    queue, (now_ns + action.delay_ns, number, dispatcher_index, api.TimerDue(action.token))
+                )
             elif isinstance(action, api.WatchEndpoints):
-                at_ns, answered = discovery.ask(now_ns)
-                kind = api.EndpointListKind.DELTA if answered else api.EndpointListKind.FAILED
-                heapq.heappush(queue, (at_ns, number, me, api.EndpointListUpdate(kind)))
+                end_ns, is_answered = discovery.ask(now_ns)
+                kind = api.EndpointListKind.DELTA if is_answered else api.EndpointListKind.FAILED
+                heapq.heappush(queue, (end_ns, number, dispatcher_index, api.EndpointListUpdate(kind)))
     return heard
 
 
-def test_a_fleet_that_restarts_gets_its_lists_from_a_discovery_that_is_behind() -> None:
-    """2 s of calls wait there already; forty that come back together keep it behind for good."""
-    heard = restart(Discovery(120 * MS, 4 * SECOND), 60 * SECOND)
+def test_restarted_fleet_gets_updates_from_an_overloaded_discovery() -> None:
+    """Discovery has 2 s of requests queued, and forty dispatchers that retry together would keep it so."""
+    heard = restart_all(Discovery(120 * MS, 4 * SECOND), 60 * SECOND)
     assert len(heard) == DISPATCHERS and max(heard.values()) < 25 * SECOND
 
 
-def test_a_fleet_that_starts_with_nothing_wrong_has_its_lists_at_once() -> None:
-    """The spread of the first asks costs less than two seconds."""
-    heard = restart(Discovery(10 * MS, 0), 60 * SECOND)
+def test_first_polls_are_spread_over_less_than_two_seconds() -> None:
+    """All dispatchers start at once, and discovery is not overloaded."""
+    heard = restart_all(Discovery(10 * MS, 0), 60 * SECOND)
     assert len(heard) == DISPATCHERS and max(heard.values()) < 2 * SECOND
 
 
-def test_one_dispatcher_asks_at_once_and_again_within_a_second() -> None:
-    """Alone it disturbs nobody."""
+def test_single_dispatcher_polls_at_once_and_retries_within_a_second() -> None:
+    """A single dispatcher cannot overload discovery."""
     backoff = Backoff(random.Random(1), 1)
     assert backoff.initial_delay_ns(0) == 0
     assert 0 <= backoff.retry_delay_ns(0, 10 * SECOND) <= SECOND
 
 
 @given(st.integers(1, 64), st.integers(0, 2**32))
-def test_waits_stay_within_what_the_rule_allows(dispatchers: int, seed: int) -> None:
-    """However often it fails."""
+def test_poll_delay_stays_within_its_maximum(dispatchers: int, seed: int) -> None:
+    """This holds after any number of failures."""
     backoff = Backoff(random.Random(seed), dispatchers)
     assert all(0 <= backoff.retry_delay_ns(0, 10 * SECOND) <= 10 * SECOND for _ in range(40))
 
 
 @pytest.mark.parametrize(("dispatchers", "workers"), [(1, 5), (3, 12), (5, 17), (40, 60), (40, 24), (64, 7)])
-def test_each_worker_is_in_some_subsets_and_few(dispatchers: int, workers: int) -> None:
-    """Few dispatchers have all workers; many have about five each, and no worker is left out."""
+def test_each_worker_is_in_a_bounded_number_of_subsets(dispatchers: int, workers: int) -> None:
+    """Few dispatchers prefer all workers; many prefer about five each, and every worker is in a subset."""
     numbers = [1000 + 7 * n for n in range(workers)]
-    shared = Counter(place for me in range(dispatchers) for place in subset(numbers, me, dispatchers))
+    shared = Counter(
+        place
+        for dispatcher_index in range(dispatchers)
+        for place in subset(numbers, dispatcher_index, dispatchers)
+    )
     assert len(shared) == workers
     if workers >= 2 * max(LEAST, SHARERS * workers / dispatchers):
         assert max(shared.values()) <= 2 * LEAST * dispatchers / workers + 1
 
 
-def test_a_worker_more_changes_little() -> None:
-    """Most of what a dispatcher knows stays of use when the list changes."""
+def test_added_worker_changes_few_subset_members() -> None:
+    """Most state of preferred workers stays useful when the list changes."""
     numbers = list(range(100, 160))
-    kept = 0
-    for me in range(DISPATCHERS):
-        before = {numbers[place] for place in subset(numbers, me, DISPATCHERS)}
+    unchanged = 0
+    for dispatcher_index in range(DISPATCHERS):
+        before = {numbers[place] for place in subset(numbers, dispatcher_index, DISPATCHERS)}
         more = [*numbers, 777]
-        kept += len(before & {more[place] for place in subset(more, me, DISPATCHERS)})
-    assert kept > 0.7 * DISPATCHERS * LEAST
+        unchanged += len(before & {more[place] for place in subset(more, dispatcher_index, DISPATCHERS)})
+    assert unchanged > 0.7 * DISPATCHERS * LEAST
 
 
-def test_a_change_of_the_list_moves_the_subset() -> None:
-    """A worker that is gone is turned to no more."""
+def test_list_change_renews_the_subset() -> None:
+    """A worker that was removed is not preferred any more."""
     drive = Dispatcher(settings(dispatcher_count=DISPATCHERS, dispatcher_index=3), 1)
     drive.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
     gone = drive.table.subset[0].entry
@@ -127,14 +129,17 @@
     assert len(drive.table.subset) >= LEAST and isinstance(drive.table.subset[0].slow_start_sends, deque)
 
 
-def test_refused_clients_do_not_return_in_one_wave() -> None:
-    """Forty dispatchers turn jobs away at one moment; the advice is about a report interval on the mean."""
+def test_retry_delays_of_rejected_clients_are_spread() -> None:
+    """Forty dispatchers reject requests at once; the mean delay is about a report interval."""
     waits = []
-    for me in range(DISPATCHERS):
-        told = settings(
-            dispatcher_count=DISPATCHERS, dispatcher_index=me, may_probe=False, max_retry_after_ns=2 * SECOND
+    for dispatcher_index in range(DISPATCHERS):
+        rules = settings(
+            dispatcher_count=DISPATCHERS,
+            dispatcher_index=dispatcher_index,
+            may_probe=False,
+            max_retry_after_ns=2 * SECOND,
         )
-        fleet = Dispatcher(told, me)
+        fleet = Dispatcher(rules, dispatcher_index)
         jobs: list[api.Event] = [api.RequestReceived(number, 0, 100 * MS) for number in range(10)]
         fleet.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, ()), *jobs])
         waits += [
@@ -148,11 +153,14 @@
     assert 0.9 * SECOND < sum(waits) / len(waits) < 1.1 * SECOND
 
 
-def test_a_list_of_sixty_of_which_most_change_in_one_line() -> None:
-    """Gone, draining and new ones at once: nothing new to those, and the subset is dealt out anew."""
+def test_update_that_changes_most_workers() -> None:
+    """Removed, draining and new workers come in one update: only ready ones get requests."""
     fleet = [
-        Dispatcher(settings(dispatcher_count=DISPATCHERS, dispatcher_index=me, may_probe=False), me)
-        for me in range(DISPATCHERS)
+        Dispatcher(
+            settings(dispatcher_count=DISPATCHERS, dispatcher_index=dispatcher_index, may_probe=False),
+            dispatcher_index,
+        )
+        for dispatcher_index in range(DISPATCHERS)
     ]
     states = [api.WorkerState.GONE, api.WorkerState.DRAINING, api.WorkerState.READY]
     line = tuple(api.WorkerEntry(w, states[w % 3], start_id=w) for w in range(1, 52))
@@ -162,21 +170,20 @@
         for entry in (*WORKERS, *line, *fresh)
         if entry.worker > 51 or entry.state is api.WorkerState.READY
     }
-    for each in fleet:
-        each.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
+    for dispatcher in fleet:
+        dispatcher.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
         jobs: list[api.Event] = [api.RequestReceived(number, 0, SECOND) for number in range(20)]
-        actions = each.step(
+        actions = dispatcher.step(
             2 * SECOND, [api.EndpointListUpdate(api.EndpointListKind.DELTA, line + fresh), *jobs]
         )
         sent = {action.worker for action in actions if isinstance(action, api.Send)}
         assert sent and sent <= ready
-        assert {worker.entry.worker for worker in each.table.subset} <= ready and len(
-            each.table.subset
-        ) >= LEAST
+        preferred = {worker.entry.worker for worker in dispatcher.table.subset}
+        assert preferred <= ready and len(preferred) >= LEAST
 
 
-def test_an_old_list_gives_way_to_what_discovery_tells() -> None:
-    """Workers that only the file knew are gone, and those that came since are in the subset."""
+def test_full_update_replaces_a_cached_list() -> None:
+    """Workers of the cache alone are removed, and new ones are in the subset."""
     drive = Dispatcher(settings(dispatcher_count=DISPATCHERS, dispatcher_index=5, may_probe=False), 1)
     drive.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS[:40])])
     drive.step(2 * SECOND, [api.EndpointListUpdate(api.EndpointListKind.FULL, WORKERS[30:])])
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -19,9 +19,8 @@
 from weldquay.net import discovery_client
 from weldquay.net.json_stream import MAX_VALUE, JsonStreamParser
 from weldquay.net.messages import MessageError
-from tests.helpers import MS, SECOND, settings
+from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
 from tests.site import site, until
-from tests.test_crowd import WORKERS, Discovery
 
 FLEET = 200
 BUSY, SILENT, UNREACHED = (
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The size limits of modules, and the layers of the decision modules."""
+"""Limits of the source: line length, and the order of imports in weldquay/policy."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 ROOT = Path(__file__).parents[1]
 
 
-def test_the_deploy_file_names_the_decision_modules() -> None:
-    """All of them and no other file; a name for each, and none that is long."""
+def test_deploy_file_lists_all_policy_modules() -> None:
+    """It lists these files and no others."""
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     present = [str(path.relative_to(ROOT)) for path in (ROOT / "weldquay" / "policy").rglob("*.py")]
     assert sorted(listed) == sorted(present)
 
 
-def test_each_layer_of_the_decisions_uses_those_beneath_it_only() -> None:
-    """No import circles: a file imports layers that stand before it in the deploy file."""
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    names = [Path(name).stem for name in told]
-    for at, name in enumerate(told):
+def test_policy_modules_import_only_earlier_ones() -> None:
+    """A module imports only modules that stand before it in the deploy file, so there are no cycles."""
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    names = [Path(name).stem for name in listed]
+    for position, name in enumerate(listed):
         for line in (ROOT / name).read_text().splitlines():
             if line.startswith("from weldquay.policy."):
-                assert line.split()[1].rpartition(".")[2] in names[:at], (name, line)
+                assert line.split()[1].rpartition(".")[2] in names[:position], (name, line)
 
 
-def test_lines_are_short() -> None:
-    """At most 110 characters in any line."""
+def test_lines_have_at_most_110_characters() -> None:
+    """This holds for all modules of the package."""
     for path in (ROOT / "weldquay").rglob("*.py"):
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path.name
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -1,4 +1,4 @@
-"""What the dispatcher owes a job: its attempts, its wait, its one answer, event by event."""
+"""Requests from arrival to answer: attempts, retries, the queue and the final answer."""
 
 from __future__ import annotations
 
@@ -11,49 +11,51 @@
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
 from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings, started
 
-RISKY = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN]
-NEVER_RAN = [Outcome.OVERLOADED, Outcome.CONNECT_FAILED]
+POSSIBLY_EXECUTED = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN]
+NOT_EXECUTED = [Outcome.OVERLOADED, Outcome.CONNECT_FAILED]
 
 
 @pytest.mark.parametrize(
-    ("effect", "outcome"),
+    ("idempotency", "outcome"),
     [
-        *((effect, outcome) for outcome in NEVER_RAN for effect in Idempotency),
-        *((Idempotency.IDEMPOTENT, outcome) for outcome in RISKY),
+        *((idempotency, outcome) for outcome in NOT_EXECUTED for idempotency in Idempotency),
+        *((Idempotency.IDEMPOTENT, outcome) for outcome in POSSIBLY_EXECUTED),
     ],
 )
-def test_what_never_ran_or_is_safe_is_drawn_again(effect: Idempotency, outcome: Outcome) -> None:
-    """Any class may go elsewhere after an attempt that never ran; a safe job may run twice."""
-    drive, send = started(effect)
+def test_request_not_executed_or_idempotent_is_retried_elsewhere(
+    idempotency: Idempotency, outcome: Outcome
+) -> None:
+    """After an attempt that was not executed any request is retried; an idempotent one may run twice."""
+    drive, send = started(idempotency)
     (again,) = sends(drive.end(send, outcome))
     assert again.request_id == 7 and again.worker != send.worker
 
 
 @pytest.mark.parametrize(
-    ("effect", "outcome"),
+    ("idempotency", "outcome"),
     [
-        *((Idempotency.NON_IDEMPOTENT, outcome) for outcome in RISKY),
+        *((Idempotency.NON_IDEMPOTENT, outcome) for outcome in POSSIBLY_EXECUTED),
         (Idempotency.IDEMPOTENT, Outcome.UNPROCESSABLE),
     ],
 )
-def test_what_must_not_be_sent_again_fails_at_once(effect: Idempotency, outcome: Outcome) -> None:
-    """No second attempt and no refusal of an unsafe job that may have run, nor of one that nobody can use.
+def test_request_that_must_not_be_retried_fails_at_once(idempotency: Idempotency, outcome: Outcome) -> None:
+    """No retry and no rejection, after which a client would send it again.
 
-    A client told to repeat a job that its worker rejected would do so for ever.
+    This holds for a non-idempotent request that may have run, and for one that no worker can process.
     """
-    drive, send = started(effect)
+    drive, send = started(idempotency)
     actions = drive.end(send, outcome)
     assert finals(actions) == [api.Fail(7)] and not sends(actions)
     assert not finals(drive.run(12 * SECOND))
 
 
-def test_a_dispatcher_that_ends_takes_only_what_can_end_with_it() -> None:
-    """A long job is refused at once, for another dispatcher; what is out is answered by the end."""
+def test_shutdown_accepts_only_requests_that_can_finish() -> None:
+    """A long request is rejected at once, for another dispatcher; the others are answered before the end."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.step(api.ShutdownStarted(3 * SECOND))
     drive.report(2, 4.0)
-    long = drive.step(api.RequestReceived(8, 0, 10 * SECOND, runtime_hint_ns=5 * SECOND))
-    assert [type(action) for action in finals(long)] == [api.Reject] and not sends(long)
+    long_request = drive.step(api.RequestReceived(8, 0, 10 * SECOND, runtime_hint_ns=5 * SECOND))
+    assert [type(action) for action in finals(long_request)] == [api.Reject] and not sends(long_request)
     assert sends(drive.step(api.RequestReceived(9, 0, 10 * SECOND, runtime_hint_ns=SECOND)))
     answered = [
         action.request_id for action in finals(drive.run(3 * SECOND)) if isinstance(action, api.Reject)
@@ -61,9 +63,9 @@
     assert sorted(answered) == [send.request_id, 9]
 
 
-@pytest.mark.parametrize("outcome", RISKY)
-def test_keyed_stays_in_its_cell_and_window(outcome: Outcome) -> None:
-    """Repeats of a keyed job go to the workers that drop them, while they remember."""
+@pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED)
+def test_idempotency_key_limits_retries_to_scope_and_window(outcome: Outcome) -> None:
+    """Retries with a key go to workers that recognise it, while they do."""
     drive, send = started(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL)
     (again,) = sends(drive.end(send, outcome))
     assert again.worker // 2 == send.worker // 2
@@ -71,8 +73,8 @@
     assert finals(drive.end(again, outcome, attempt=1)) == [api.Fail(7)]
 
 
-def test_ok_ends_and_nothing_follows() -> None:
-    """One answer, then silence, whatever still comes for the id."""
+def test_success_is_final() -> None:
+    """After the answer, later events of the request cause nothing."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.end(send, Outcome.OK, over=True)
     later = drive.end(send, Outcome.ERROR) + drive.step(api.ClientDisconnected(7)) + drive.run(11 * SECOND)
@@ -80,7 +82,7 @@
 
 
 def test_unknown_ids_are_ignored() -> None:
-    """Late, repeated and unknown events change nothing and raise nothing."""
+    """Late, repeated and unknown events change nothing and raise nothing, but for an unknown class."""
     drive = Drive()
     drive.step(
         api.AttemptEnded(5, 0, 99, Outcome.OK, 1, True),
@@ -95,17 +97,17 @@
         drive.step(api.RequestReceived(1, 4, SECOND))
 
 
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_answer_by_the_deadline(effect: Idempotency) -> None:
-    """A job that hangs is answered before its client leaves; unsafe work in flight is never refused."""
-    drive, _ = started(effect)
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_request_is_answered_by_its_deadline(idempotency: Idempotency) -> None:
+    """A request whose attempt hangs is answered in time; a non-idempotent one in flight is never rejected."""
+    drive, _ = started(idempotency)
     answers = finals(drive.run(10 * SECOND, every=5 * MS))
     assert len(answers) == 1
-    assert effect is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
+    assert idempotency is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
 
 
-def test_attempts_are_capped() -> None:
-    """No more attempts than allowed; then one answer."""
+def test_attempts_are_limited() -> None:
+    """No more attempts than allowed, then one answer."""
     drive, send = started(Idempotency.IDEMPOTENT)
     count = 1
     for number in range(6):
@@ -116,8 +118,8 @@
     assert count == 4 and len(finals(drive.all)) == 1
 
 
-def test_jobs_without_room_are_held_and_the_dearest_goes_first() -> None:
-    """Worker queues are first in, first out: a job waits here and a dearer one passes it."""
+def test_queued_request_with_the_highest_weight_is_placed_first() -> None:
+    """Worker queues are first in, first out; the dispatcher's queue is ordered by priority."""
     classes = (
         job_class(priority_weight=1.0, latency_objective_ns=5 * SECOND),
         job_class(priority_weight=9.0, latency_objective_ns=5 * SECOND),
@@ -132,16 +134,16 @@
     assert [send.request_id for send in sends(drive.all)][:2] == [1, 3]
 
 
-def test_late_held_job_is_refused_before_it_costs_more() -> None:
-    """A job that cannot be in time and is worth nothing late is refused while that is harmless."""
+def test_queued_request_that_can_only_be_late_is_rejected() -> None:
+    """It has no value when late, and a repeat by the client does no harm."""
     drive = Drive(workers=1)
     drive.report(1, 0.0)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     assert finals(drive.run(4 * SECOND)) == [api.Reject(1)]
 
 
-def test_a_failed_list_call_is_made_again() -> None:
-    """Asking goes on after failures, so that the told-after rule is never run into."""
+def test_failed_poll_is_repeated() -> None:
+    """Discovery is polled again within two seconds of a failure."""
     drive = Drive(settings(polls_endpoint_list=True))
     assert api.WatchEndpoints() in drive.all
     drive.all.clear()
@@ -149,14 +151,14 @@
     assert drive.run(2 * SECOND).count(api.WatchEndpoints()) == 1
 
 
-def test_same_events_same_actions() -> None:
-    """The seed decides the draws."""
+def test_same_seed_and_events_give_same_actions() -> None:
+    """All random choices follow from the seed."""
     one, two = started(Idempotency.IDEMPOTENT)[0], started(Idempotency.IDEMPOTENT)[0]
     assert one.all == two.all
 
 
-def test_a_job_refused_again_waits_before_it_is_drawn_again() -> None:
-    """Incident i7b06d9: every queue full, 4 to 10 attempts a request went round the fleet within moments."""
+def test_second_overload_delays_the_next_attempt() -> None:
+    """Incident i7b06d9: with every worker full, a request used up 4 to 10 attempts within moments."""
     drive = Drive(settings(may_probe=False), workers=8)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     (again,) = sends(drive.end(send, Outcome.OVERLOADED))
@@ -164,10 +166,10 @@
     assert len(sends(drive.run(SECOND))) == 1
 
 
-def test_a_retry_is_known_and_as_old_as_its_first_try() -> None:
-    """Refused clients come back; a retry that can only be late must not take room from a job in time.
+def test_repeat_of_a_rejected_request_keeps_its_age() -> None:
+    """A repeat that can only be late must not take room from a request that is on time.
 
-    Less time left alone shows no retry: clients of little patience are served like others.
+    A shorter timeout alone does not mark a repeat.
     """
     drive = Drive(settings(may_probe=False, max_retry_after_ns=2 * SECOND), workers=1)
     drive.report(1, 1.0)
@@ -183,15 +185,15 @@
     assert [send.request_id for send in sends(actions)] == [4]
 
 
-def test_a_held_job_that_may_have_run_is_given_up_when_late() -> None:
-    """It was held until its deadline, and its client with it, though nobody gained from its run."""
+def test_late_request_that_may_have_run_is_not_queued_again() -> None:
+    """It is answered at once instead of at its deadline."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.now += 3 * SECOND
     assert finals(drive.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
 
-def test_a_later_process_recalls_load_and_cold_starts() -> None:
-    """What was remembered holds as if its own: free slots taken since, work sent to a cold worker."""
+def test_snapshots_restore_load_and_slow_start() -> None:
+    """A new process has the loads and the slow start budgets of the process that it replaces."""
     drive = Drive(workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
@@ -200,29 +202,29 @@
         drive.step(api.RequestReceived(number, 0, 5 * SECOND, runtime_hint_ns=100 * MS))
     later = Drive(workers=2)
     later.now = drive.now
-    told = {
+    snapshots = {
         worker: decode_worker_state(json.loads(json.dumps(encode_worker_state(snapshot))))
         for worker, snapshot in drive.dispatcher.snapshots().items()
     }
     later.step(
-        *(api.WorkerStateRestored(worker, state) for worker, state in told.items()),
-        api.WorkerStateRestored(9, told[1]),
+        *(api.WorkerStateRestored(worker, state) for worker, state in snapshots.items()),
+        api.WorkerStateRestored(9, snapshots[1]),
     )
     assert later.dispatcher.snapshots() == drive.dispatcher.snapshots()
-    mine, theirs = (each.dispatcher.workers[1] for each in (later, drive))
-    assert later.dispatcher.parts.load_estimates.load(mine) == drive.dispatcher.parts.load_estimates.load(
-        theirs
+    before, after = (
+        driver.dispatcher.parts.load_estimates.load(driver.dispatcher.workers[1]) for driver in (drive, later)
     )
+    assert before == after
 
 
-def test_jobs_keep_the_rules_they_came_with() -> None:
-    """Other settings bind the jobs that come after them."""
+def test_requests_keep_the_settings_they_were_accepted_with() -> None:
+    """Changed settings apply to later requests only."""
     drive = Drive(settings(max_attempts=2), workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
     (old,) = sends(drive.step(api.RequestReceived(1, 0, 5 * SECOND)))
-    unsafe = job_class(idempotency=Idempotency.NON_IDEMPOTENT)
-    drive.step(api.SettingsChanged(settings(classes=(unsafe, job_class()), max_attempts=1)))
+    non_idempotent = job_class(idempotency=Idempotency.NON_IDEMPOTENT)
+    drive.step(api.SettingsChanged(settings(classes=(non_idempotent, job_class()), max_attempts=1)))
     (new,) = sends(drive.step(api.RequestReceived(2, 1, 5 * SECOND)))
     assert finals(drive.end(new, Outcome.RESET))
     assert [send.request_id for send in sends(drive.end(old, Outcome.RESET))] == [1]
@@ -236,12 +238,12 @@
         ((1400, 900, 100), 800 * MS, [1, 2, 3]),
     ],
 )
-def test_held_jobs_that_can_hardly_be_in_time_come_last(
+def test_priority_falls_while_a_request_without_a_hint_waits(
     waits_ms: tuple[int, ...], hint_ns: int, order: list[int]
 ) -> None:
-    """In an overload all would wait their turn and be late; within half of the aim, or with a hint, so."""
+    """It does not fall within half of the objective, nor with a runtime hint."""
     drive = Drive(settings(classes=(job_class(),), may_probe=False), workers=1)
-    drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # they fill the worker
+    drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # these fill the worker
     begun_ns = drive.now
     for number, wait_ms in enumerate(waits_ms, start=1):
         drive.now = begun_ns + (waits_ms[0] - wait_ms) * MS
@@ -249,9 +251,9 @@
     drive.now = begun_ns + waits_ms[0] * MS
     dispatcher = drive.dispatcher
     dispatcher.context.now_ns = drive.now
-    held = sorted(
+    ranked = sorted(
         dispatcher.parts.requests.queued.values(),
         key=dispatcher.parts.priorities.queue_priority,
         reverse=True,
     )
-    assert [job.request.request_id for job in held] == order
+    assert [job.request.request_id for job in ranked] == order
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,25 +6,25 @@
 from tests.helpers import MS, SECOND, Drive, finals, sends
 
 
-def turned_away(drive: Drive, request: api.RequestReceived) -> None:
-    """A request that finds the only worker full, waits past its aim and is refused."""
+def send_and_reject(drive: Drive, request: api.RequestReceived) -> None:
+    """Let a request find the only worker full, until it can only be late and is rejected."""
     drive.report(1, 0.0)
     drive.step(request)
     assert finals(drive.run(4 * SECOND)) == [api.Reject(request.request_id)]
 
 
-def test_jobs_that_share_all_figures_are_each_as_old_as_their_own_arrival() -> None:
-    """No key, no hint: a new job is no retry of an old refused one, and goes where there is room."""
+def test_equal_requests_without_key_and_hint_are_not_repeats() -> None:
+    """A new request that equals a rejected one is placed where there is room."""
     drive = Drive(workers=1)
-    turned_away(drive, api.RequestReceived(1, 0, 10 * SECOND))
+    send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND))
     drive.report(1, 1.0)
     assert [send.request_id for send in sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))] == [2]
 
 
-def test_a_retry_singled_out_by_its_hint_keeps_the_age_of_its_first_try() -> None:
-    """The same hint: the retry is as late as its first try and is refused; another hint is a new job."""
+def test_repeat_with_the_same_hint_keeps_its_age() -> None:
+    """It is as late as the rejected request and is rejected; one with another hint is a new request."""
     drive = Drive(workers=1)
-    turned_away(drive, api.RequestReceived(1, 0, 10 * SECOND, runtime_hint_ns=200 * MS))
+    send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND, runtime_hint_ns=200 * MS))
     drive.report(1, 1.0)
     assert finals(drive.step(api.RequestReceived(2, 0, 10 * SECOND, runtime_hint_ns=200 * MS))) == [
         api.Reject(2)
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -1,4 +1,4 @@
-"""One process, two deployments' documents one after another: nothing of the first is applied later."""
+"""Two configuration documents in one process: nothing of the first is applied after the second."""
 
 from __future__ import annotations
 
@@ -40,31 +40,31 @@
 }
 
 
-def written(path: Path, settings: dict[str, Any], **more: Any) -> Path:
-    """A document in a file."""
-    told = document(**settings) | more
-    told["settings"]["family_info"].pop("class_stretch")
-    path.write_text(json.dumps(told))
+def write_document(path: Path, settings: dict[str, Any], **more: Any) -> Path:
+    """Write a document to a file."""
+    contents = document(**settings) | more
+    contents["settings"]["family_info"].pop("class_stretch")
+    path.write_text(json.dumps(contents))
     return path
 
 
-def test_a_document_read_after_another_is_read_as_if_it_were_the_first(tmp_path: Path) -> None:
-    """No default, cache or number is left from the one before."""
-    one, two = written(tmp_path / "a", FIRST), written(tmp_path / "b", SECOND)
+def test_document_is_read_independently_of_earlier_ones(tmp_path: Path) -> None:
+    """No default, cache or number of an earlier document remains."""
+    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
     alone = load({"GW_CONFIG": str(two)})
     for _ in range(2):
         load({"GW_CONFIG": str(one)})
         assert load({"GW_CONFIG": str(two)}) == alone
-    assert [each.idempotency for each in alone.settings.classes] == [
+    assert [rules.idempotency for rules in alone.settings.classes] == [
         Idempotency.IDEMPOTENT_BY_KEY,
         Idempotency.NON_IDEMPOTENT,
         Idempotency.IDEMPOTENT,
     ]
 
 
-def test_a_reload_applies_only_the_new_rules(tmp_path: Path) -> None:
-    """By name: a class that stays has its new effect and limits, one that went is offered no more."""
-    one, two = written(tmp_path / "a", FIRST), written(tmp_path / "b", SECOND)
+def test_reload_applies_only_the_new_settings(tmp_path: Path) -> None:
+    """Classes are matched by name: one that stays has its new settings, one that went is not offered."""
+    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
     running = load({"GW_CONFIG": str(one)})
     moved, others = reload({"GW_CONFIG": str(two)}, running)
     fresh = load({"GW_CONFIG": str(two)})
@@ -85,10 +85,8 @@
         assert getattr(moved.settings, key) == getattr(fresh.settings, key)
 
 
-def test_what_was_learnt_of_a_dropped_class_counts_no_more(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its running time made the mean by which cold workers are given work; so did the old fleet's size."""
+def test_estimates_of_a_removed_class_are_not_used(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its running time is not in the mean, and the old number of dispatchers is not used."""
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
 
@@ -96,21 +94,19 @@
         async with site(**FIRST) as here:
             program, policy = here.program, here.program.coordinator.dispatcher
             assert policy.parts.runtimes.mean_runtime_ns() > 400e9
-            told = {**program.config.document, "settings": document(**SECOND)["settings"]}
-            path.write_text(json.dumps(told))
+            changed = {**program.config.document, "settings": document(**SECOND)["settings"]}
+            path.write_text(json.dumps(changed))
             program.reload_wanted.set()
             await until(lambda: program.counters.counts["reloads"])
             await until(lambda: policy.settings.dispatcher_count == 20)
             offered = [
-                aim
-                for aim, rules in zip(policy.parts.runtimes.mean_ns, policy.settings.classes, strict=True)
+                mean_ns
+                for mean_ns, rules in zip(policy.parts.runtimes.mean_ns, policy.settings.classes, strict=True)
                 if rules.is_offered
             ]
             assert len(offered) == 3 and policy.parts.runtimes.mean_runtime_ns() == sum(offered) / 3
-            assert (
-                policy.parts.backoff.dispatcher_count == 20
-                and policy.parts.slow_start.policy.overload_multiple == 4.5
-            )
+            parts = policy.parts
+            assert parts.backoff.dispatcher_count == 20 and parts.slow_start.policy.overload_multiple == 4.5
             assert program.discovery.config is program.config
             assert (await here.post("c1", "/lookup")).status == 404
             assert (await here.post("c2", "/print")).body == b"TEXT"
@@ -118,9 +114,9 @@
     asyncio.run(scenario())
 
 
-def test_a_class_that_keeps_its_name_keeps_what_was_learnt_of_it(tmp_path: Path) -> None:
-    """And one that comes back has its old number: its figures are its own."""
-    one, two = written(tmp_path / "a", FIRST), written(tmp_path / "b", SECOND)
+def test_class_that_keeps_its_name_keeps_its_number(tmp_path: Path) -> None:
+    """A class that comes back has its old number, so its estimates are its own."""
+    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
     running = read({}, json.loads(one.read_text()))
     moved, _ = reload({"GW_CONFIG": str(two)}, running)
     back, _ = reload({"GW_CONFIG": str(one)}, moved)
--- a/tests/test_water_fill.py
+++ b/tests/test_water_fill.py
@@ -1,4 +1,4 @@
-"""Theorem 4 against the paper's worked example and as properties."""
+"""The water-fill: the worked example of the paper, properties and rates."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 ARRIVALS = st.floats(2, 200)
 
 
-def test_paper_example() -> None:
+def test_example_of_the_paper() -> None:
     """Section 4: m = 20, n = 9 gives k = 6 and these shares."""
     shares = water_fill(PAPER_LOADS, 20)
     assert shares[:6] == pytest.approx([0.307, 0.254, 0.228, 0.149, 0.0438, 0.0175], abs=6e-4)
     assert shares[6:] == [0.0, 0.0, 0.0]
 
 
-def test_smallest_k_and_edges() -> None:
-    """One worker takes all; ties share alike; m is floored at 2."""
+def test_ties_and_edge_cases() -> None:
+    """One worker takes all; equal loads get equal shares; arrivals count as at least 2."""
     assert water_fill([5.0], 1) == [1.0]
     assert water_fill([], 5) == []
     assert water_fill([-2.0, -2.0, -2.0], 9) == pytest.approx([1 / 3] * 3)
@@ -33,7 +33,7 @@
 @settings(derandomize=True)
 @given(LOADS, ARRIVALS, st.floats(-20, 20))
 def test_shares(loads: list[float], m: float, shift: float) -> None:
-    """Sum 1, no negative share, order kept, one level over the used, no change by a shift."""
+    """Sum 1, no negative share, order kept, one level over the used workers, no change by a shift."""
     shares = water_fill(loads, m)
     assert sum(shares) == pytest.approx(1.0)
     assert min(shares) >= 0.0
@@ -45,14 +45,14 @@
 
 
 def test_equal_rates_change_nothing() -> None:
-    """Theorem 4 itself is the case of equal rates, whatever zero the loads have."""
+    """Theorem 4 is the case of equal rates, whatever the zero of the loads."""
     loads = [0.0, 1.0, 2.5, 4.0]
     plain = water_fill(loads, 6.0)
     assert water_fill([load + 3 for load in loads], 6.0, [1.0] * 4) == pytest.approx(plain)
 
 
-def test_shares_follow_rates_once_many_jobs_are_expected() -> None:
-    """A worker twice as fast gets twice the jobs; one whose queue lasts longer than the level gets none."""
+def test_shares_follow_rates_with_many_arrivals() -> None:
+    """A worker twice as fast gets twice the requests; one with too long a queue gets none."""
     assert water_fill([0.0, 0.0], 100.0, [1.5, 0.75]) == pytest.approx([2 / 3, 1 / 3])
     shares = water_fill([0.0, 3.0], 2.0, [1.2, 0.8])
     assert shares == pytest.approx([1.0, 0.0]) and sum(shares) == pytest.approx(1.0)
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -1,4 +1,4 @@
-"""Which workers the dispatcher leaves out: failing, slow, silent and banned ones, event by event."""
+"""Health of workers: failing, slow, silent, overloaded and banned ones get no requests."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.helpers import MS, SECOND, Drive, job_class, sends, settings, started
 
 
-def test_a_worker_that_fails_job_after_job_rests() -> None:
-    """It reports free slots all the while, so it would draw ever more; it is tried with safe jobs first."""
+def test_worker_that_fails_repeatedly_backs_off() -> None:
+    """It reports free slots all the while; it is tried again with idempotent requests first."""
     classes = (job_class(), job_class(idempotency=Idempotency.NON_IDEMPOTENT))
     drive = Drive(settings(classes=classes, max_attempts=2), workers=1)
     for number in range(2):
@@ -30,8 +30,8 @@
     drive.end(send, Outcome.OK, over=True)
 
 
-def test_one_job_that_ends_well_does_not_clear_a_worker_that_fails_half_of_them() -> None:
-    """Each dispatcher meets it seldom, and its jobs that must not run twice are lost at each failure."""
+def test_one_success_does_not_clear_the_failure_score() -> None:
+    """A worker that fails half of its requests gets non-idempotent ones only after two successes."""
     classes = (job_class(), job_class(idempotency=Idempotency.NON_IDEMPOTENT))
     drive = Drive(settings(classes=classes, may_probe=False), workers=1)
     drive.report(1, 4.0)
@@ -47,8 +47,8 @@
     assert sends(drive.report(1, 4.0) + drive.step(api.RequestReceived(20, 1, SECOND)))
 
 
-def test_silent_worker_is_left_and_its_safe_job_moves() -> None:
-    """A worker that takes jobs and tells nothing: no new jobs, and what may be repeated goes elsewhere."""
+def test_silent_worker_is_ejected_and_its_idempotent_request_is_retried() -> None:
+    """A worker that sends no sign of life gets no requests, and its retryable attempts are cancelled."""
     drive, send = started(Idempotency.IDEMPOTENT, latency_objective_ns=6 * SECOND)
     actions = drive.run(3 * SECOND)
     assert api.Cancel(7, 0) in actions
@@ -56,14 +56,14 @@
     assert again.worker != send.worker
 
 
-def test_silence_leaves_unsafe_work_alone() -> None:
-    """An unsafe job on a silent worker is not called off: it may yet be answered."""
+def test_non_idempotent_attempt_at_a_silent_worker_is_not_cancelled() -> None:
+    """It may still be answered."""
     drive, _ = started(Idempotency.NON_IDEMPOTENT)
     assert not any(isinstance(action, api.Cancel) for action in drive.run(5 * SECOND))
 
 
-def test_a_refusing_worker_rests_longer_each_time() -> None:
-    """Incident i35f28b: reports promised room that was not there, and refused jobs came back."""
+def test_backoff_grows_with_rejections_in_a_row() -> None:
+    """Incident i35f28b: reports showed room that was not there."""
     drive = Drive(workers=1)
     gaps = []
     drive.report(1, 3.0)
@@ -78,8 +78,8 @@
     assert gaps[0] >= 200 * MS and gaps[1] >= 1.5 * gaps[0]
 
 
-def test_a_refused_probe_is_no_strike() -> None:
-    """Probes are capped at a worker: being turned away shows that it lives."""
+def test_rejected_probe_is_not_a_failure() -> None:
+    """Workers limit probes: a rejection shows that the worker is alive."""
     drive = Drive(workers=2)
     drive.report(2, 1.0)
     for _ in range(5):
@@ -87,8 +87,8 @@
     assert not drive.dispatcher.workers[1].is_ejected
 
 
-def test_a_worker_whose_jobs_run_far_too_long_is_left_out() -> None:
-    """It reports free slots as before; the job that runs shows it before its end, and for a while after."""
+def test_slow_worker_gets_no_requests() -> None:
+    """It reports free slots as before. A running request shows it, and for a while after its end."""
     drive = Drive(settings(reports_start=True), workers=3)
     slow: api.Send | None = None
     for number in range(60):
@@ -98,7 +98,7 @@
         assert slow is None or number < 10 or send.worker != slow.worker
         drive.step(api.AttemptProgress(number, 0, send.worker), after=MS)
         if slow is None:
-            slow = send  # it goes on and on
+            slow = send  # this one does not end
         elif send.worker != slow.worker:
             drive.step(after=100 * MS)
             drive.end(send, Outcome.OK, over=True)
@@ -114,28 +114,28 @@
         )
 
 
-def idle_pair(**changes: Any) -> tuple[Drive, api.Send]:
-    """A worker that has served one job, pushed to again after two idle seconds."""
+def attempt_on_idle_connection(**changes: Any) -> tuple[Drive, api.Send]:
+    """Return a worker that served one request, and the send of another after two idle seconds."""
     drive = Drive(settings(may_probe=False, **changes), workers=1)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     drive.end(send, Outcome.OK, over=True)
     return drive, sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND), after=2 * SECOND))[0]
 
 
-def test_a_reset_on_an_idle_connection_closes_such_ones_before_the_next_push() -> None:
-    """Idle connections dropped unseen: every job sent on one was lost, though the workers were well."""
-    drive, send = idle_pair()
+def test_reset_of_an_idle_connection_closes_idle_connections_before_the_next_send() -> None:
+    """Connections are dropped without notice while idle; later they are reused again."""
+    drive, send = attempt_on_idle_connection()
     (again,) = sends(drive.end(send, Outcome.RESET)) or sends(drive.run(100 * MS))
     drive.end(again, Outcome.OK, attempt=1, over=True)
     actions = drive.step(api.RequestReceived(3, 0, 10 * SECOND), after=2 * SECOND)
     assert actions.index(api.CloseIdleConnections(1)) < actions.index(api.Send(3, 1))
     drive.step(api.AttemptEnded(3, 0, 1, Outcome.OK, MS, True), after=60 * SECOND)
-    actions = drive.step(api.RequestReceived(4, 0, 10 * SECOND), after=2 * SECOND)  # trusted again by now
+    actions = drive.step(api.RequestReceived(4, 0, 10 * SECOND), after=2 * SECOND)  # reused again by now
     assert api.CloseIdleConnections(1) not in actions and sends(actions)
 
 
-def test_a_banned_worker_gets_nothing_until_it_is_put_back() -> None:
-    """Neither jobs nor probes, whatever the list says; then it is probed at once, and counts as cold."""
+def test_banned_worker_gets_nothing_until_its_ban_is_lifted() -> None:
+    """Neither requests nor probes, whatever the list says; then it is probed at once and warms up."""
     drive = Drive(settings(initial_capacity_fraction=0.2, overload_window_ns=2 * SECOND), workers=1)
     drive.report(1, 4.0)
     drive.step(api.WorkerBanChanged(1))
@@ -143,20 +143,20 @@
         drive.list_of(api.EndpointListKind.FULL),
         api.RequestReceived(1, 0, 5 * SECOND, runtime_hint_ns=100 * MS),
     )
-    assert not sends(drive.run(SECOND)) and not any(isinstance(each, api.Probe) for each in drive.all)
+    assert not sends(drive.run(SECOND)) and not any(isinstance(action, api.Probe) for action in drive.all)
     assert api.Probe(1) in drive.step(api.WorkerBanChanged(1, False))
     (send,) = sends(drive.report(1, 4.0))
     assert send.worker == 1
     drive.step(api.RequestReceived(2, 0, 5 * SECOND, runtime_hint_ns=60 * SECOND))
     drive.report(1, 4.0)
-    assert not sends(drive.run(SECOND))  # more work than a cold worker may get
+    assert not sends(drive.run(SECOND))  # more work than the budget of a warming worker
     assert sends(
         drive.step(api.RequestReceived(3, 0, 5 * SECOND, runtime_hint_ns=100 * MS)) + drive.report(1, 4.0)
     )
 
 
-def test_a_ban_may_come_before_the_list_names_its_worker() -> None:
-    """As at the start of a process that an upgrade put in another's place."""
+def test_ban_of_an_unlisted_worker_applies_once_it_is_listed() -> None:
+    """This is the order at the start of a process after an upgrade."""
     drive = Drive(workers=0)
     drive.step(api.WorkerBanChanged(1))
     drive.worker_ids = [1]
@@ -165,8 +165,8 @@
     assert not sends(drive.all)
 
 
-def test_a_worker_that_was_put_back_has_the_next_job_that_suits() -> None:
-    """It stayed unused for 5 s, since a water-fill over many workers need not draw it."""
+def test_reinstated_worker_gets_the_next_eligible_request() -> None:
+    """Otherwise a water-fill over many workers may leave it unused for long."""
     for seed in range(8):
         drive = Drive(workers=6, seed=seed)
         drive.step(api.WorkerBanChanged(6))
@@ -178,36 +178,38 @@
         assert send.worker == 6 and not drive.dispatcher.table.reinstated
 
 
-def test_a_worker_that_reports_slow_service_is_left_out_before_any_own_job() -> None:
-    """At 200 dispatchers each paid for its own slow jobs at a sick worker: its report tells all at once."""
+def test_reported_service_time_excludes_a_slow_worker_before_own_attempts() -> None:
+    """All dispatchers detect it by its reports, without attempts of their own."""
     drive = Drive(workers=4)
-    for number in range(6):  # a report that says the same again is no news
+    for number in range(6):  # a report with the same figures again would not count
         for worker in drive.worker_ids:
             drive.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(1, 9)]
     chosen = [send.worker for send in sends(drive.step(*jobs))]
     assert len(chosen) == 8 and 1 not in chosen
-    for worker in drive.worker_ids:  # once it is as quick as the others it is drawn again
+    for worker in drive.worker_ids:  # once it is as fast as the others it gets requests again
         for number in range(6):
             drive.report(worker, 3.0, service_ms=500.0 + number)
     later = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(9, 40)]
     assert 1 in {send.worker for send in sends(drive.step(*later))}
 
 
-def test_a_kinds_usual_service_time_is_learnt_before_it_counts() -> None:
-    """A worker's told time counts against the mean of its kind, once that rests on ten reports."""
-    running = RuntimeEstimator([SECOND])
-    assert running.apply_service_time(0, 4000.0, 0.1) == 0.1
+def test_service_time_counts_once_its_kind_has_ten_samples() -> None:
+    """A worker's service time is compared with the mean of its machine kind."""
+    estimator = RuntimeEstimator([SECOND])
+    assert estimator.apply_service_time(0, 4000.0, 0.1) == 0.1
     for _ in range(10):
-        running.apply_service_time(0, 500.0, 0.0)
-    assert running.apply_service_time(0, 4000.0, 0.0) == pytest.approx(
+        estimator.apply_service_time(0, 500.0, 0.0)
+    assert estimator.apply_service_time(0, 4000.0, 0.0) == pytest.approx(
         math.log(8) * 10 / 11 / 2
-    )  # the first counts
-    assert running.apply_service_time(0, 0.0, 0.0) < 0 and running.apply_service_time(1, 4000.0, 0.0) == 0.0
+    )  # the first report counts too
+    assert (
+        estimator.apply_service_time(0, 0.0, 0.0) < 0 and estimator.apply_service_time(1, 4000.0, 0.0) == 0.0
+    )
 
 
-def test_a_cold_workers_slow_service_is_not_held_against_it() -> None:
-    """A worker that has just started is slow by the platform's rules: its told times count for nothing."""
+def test_service_time_of_a_warming_worker_is_ignored() -> None:
+    """A worker that has just started is slow by design."""
     drive = Drive(workers=4)
     entries = [
         api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=drive.now if w == 1 else 0)
