--- a/tests/site.py
+++ b/tests/site.py
@@ -16,6 +16,7 @@
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
 PATIENCE_S = 20.0  # a test that waits this long has failed
 ACCEPTED = write_message("HTTP/1.1 202 Accepted")
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
@@ -67,6 +68,40 @@
             await self.come.wait_for(lambda: self.methods() == list(methods))
 
 
+class SilentDiscovery(Server):
+    """A discovery whose watches send a list and then nothing more, not even empty lines."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.polls: list[tuple[str, float]] = []  # target, time in s of the event loop
+        self.lists: list[bytes] = []  # one for each poll; a poll without one has no response
+        self.pause_s = 0.0
+
+    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+        """Record the poll, and respond if there is a list for it."""
+        self.polls.append((message.target, asyncio.get_running_loop().time()))
+        if self.lists:
+            writer.write(WATCH_HEAD)
+            await asyncio.sleep(self.pause_s)
+            writer.write(b"%x\r\n%s\n\r\n" % (len(self.lists[0]) + 1, self.lists.pop(0)))
+
+
+def list_of_one_worker(revision: int, phase: str, address: str) -> bytes:
+    """A complete list of one worker, w0."""
+    member = {
+        "id": "w0",
+        "host_port": address,
+        "locality": "here",
+        "flavor": "toy",
+        "cell": 0,
+        "phase": phase,
+        "size": 1.0,
+        "up_since_ms": 0,
+    }
+    document = {"revision": revision, "complete": True, "members": [member]}
+    return json.dumps(document, indent=1).encode()
+
+
 class Site:
     """A dispatcher with the example's configuration, two workers and discovery."""
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from example.toy import Message, Server
 from weldquay import interface as api
 from weldquay.discovery import backoff as backoff_module
 from weldquay.discovery.backoff import Backoff
@@ -20,7 +19,7 @@
 from weldquay.net.json_stream import MAX_VALUE, JsonStreamParser
 from weldquay.net.messages import MessageError
 from tests.helpers import MS, SECOND, settings
-from tests.site import site, until
+from tests.site import SilentDiscovery, list_of_one_worker, site, until
 from tests.test_crowd import WORKERS, Discovery
 
 FLEET = 200
@@ -29,7 +28,6 @@
     api.DiscoveryFailure.HEARTBEAT_TIMEOUT,
     api.DiscoveryFailure.CONNECT_TIMEOUT,
 )
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @pytest.mark.parametrize(
@@ -145,43 +143,10 @@
         JsonStreamParser().feed(data * 2)
 
 
-class Muted(Server):
-    """Discovery whose watches tell the list and then nothing more, not even empty lines."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.asked: list[tuple[str, float]] = []
-        self.lists: list[bytes] = []  # one for each call; none is left: no answer
-        self.pause_s = 0.0
-
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Count the call, and answer it where there is a list for it."""
-        self.asked.append((message.target, asyncio.get_running_loop().time()))
-        if self.lists:
-            writer.write(HEAD)
-            await asyncio.sleep(self.pause_s)
-            writer.write(b"%x\r\n%s\n\r\n" % (len(self.lists[0]) + 1, self.lists.pop(0)))
-
-
-def listed(revision: int, phase: str, address: str) -> bytes:
-    """A list of one worker, w0."""
-    row = {
-        "id": "w0",
-        "host_port": address,
-        "locality": "here",
-        "flavor": "toy",
-        "cell": 0,
-        "phase": phase,
-        "size": 1.0,
-        "up_since_ms": 0,
-    }
-    return json.dumps({"revision": revision, "complete": True, "members": [row]}, indent=1).encode()
-
-
 def hurry(monkeypatch: pytest.MonkeyPatch, clock_ns: int) -> None:
     """A watch is silent after 0.3 s, and what it missed counts as told after clock_ns."""
-    monkeypatch.setattr(discovery_client, "BEAT_S", 0.2)
-    monkeypatch.setattr(discovery_client, "LATE_S", 0.1)
+    monkeypatch.setattr(discovery_client, "HEARTBEAT_S", 0.2)
+    monkeypatch.setattr(discovery_client, "HEARTBEAT_GRACE_S", 0.1)
     monkeypatch.setattr(backoff_module, "CLOCK_NS", clock_ns)
 
 
@@ -190,15 +155,15 @@
     hurry(monkeypatch, 2700 * MS)
 
     async def scenario() -> None:
-        muted = Muted()
-        async with site(discovery=muted, group_size=FLEET) as here:
-            muted.lists += [
-                listed(7, "SERVING", here.workers[0].address),
-                listed(8, "DRAINING", here.workers[0].address),
+        discovery = SilentDiscovery()
+        async with site(discovery=discovery, group_size=FLEET) as here:
+            discovery.lists += [
+                list_of_one_worker(7, "SERVING", here.workers[0].address),
+                list_of_one_worker(8, "DRAINING", here.workers[0].address),
             ]
             here.program.discovery.watch()
             await until(lambda: here.program.discovery.revision == 8)
-            (first, first_s), (second, second_s) = muted.asked[-2:]
+            (first, first_s), (second, second_s) = discovery.polls[-2:]
             assert (first[-1], second[-1]) == ("1", "7") and second_s - first_s < 2  # 0.5 s unless it stalls
             assert here.program.counters.counts["lists_silent"] == 1
             assert (await here.post(left_ms=300)).status == 503
@@ -211,13 +176,19 @@
     hurry(monkeypatch, 600 * MS)
 
     async def scenario() -> None:
-        muted = Muted()
-        async with site(discovery=muted, group_size=FLEET) as here:
+        discovery = SilentDiscovery()
+        async with site(discovery=discovery, group_size=FLEET) as here:
             address = here.workers[0].address
-            muted.lists += [listed(7, "SERVING", address), b"", b"", b"", listed(8, "DRAINING", address)]
+            discovery.lists += [
+                list_of_one_worker(7, "SERVING", address),
+                b"",
+                b"",
+                b"",
+                list_of_one_worker(8, "DRAINING", address),
+            ]
             here.program.discovery.watch()
             await until(lambda: here.program.discovery.revision == 8)
-            times = [at_s for _, at_s in muted.asked[-5:]]
+            times = [at_s for _, at_s in discovery.polls[-5:]]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.5 s unless it stalls
             assert here.program.counters.counts["lists_silent"] == 4
 
@@ -228,9 +199,9 @@
     """What an agent has counts as told from a process's first moment, though its known list is old."""
 
     async def scenario() -> None:
-        muted = Muted()
-        muted.lists, muted.pause_s = [listed(9, "DRAINING", "127.0.0.1:1")], 0.1
-        async with site(discovery=muted, discovery_mode="push") as here:
+        discovery = SilentDiscovery()
+        discovery.lists, discovery.pause_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
+        async with site(discovery=discovery, discovery_mode="push") as here:
             assert here.program.discovery.revision == 9
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
@@ -243,15 +214,15 @@
     monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.5)
 
     async def scenario() -> None:
-        muted = Muted()
-        async with site(discovery=muted, discovery_mode="push", group_size=FLEET) as here:
+        discovery = SilentDiscovery()
+        async with site(discovery=discovery, discovery_mode="push", group_size=FLEET) as here:
             # The list that it was started with may be of any age: nothing is sent by it.
             assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
-            asked = len(muted.asked)
-            muted.lists.append(listed(9, "DRAINING", here.workers[0].address))
+            asked = len(discovery.polls)
+            discovery.lists.append(list_of_one_worker(9, "DRAINING", here.workers[0].address))
             await until(lambda: here.program.discovery.revision == 9)
-            assert len(muted.asked) - asked <= 2
-            times = [at_s for _, at_s in muted.asked]
+            assert len(discovery.polls) - asked <= 2
+            times = [at_s for _, at_s in discovery.polls]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.3 s, unless this stalls
 
     asyncio.run(scenario())
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -10,8 +10,7 @@
 import pytest
 
 from example.toy import Message, read_message
-from tests.site import job, site
-from tests.test_discovery_client import Muted
+from tests.site import SilentDiscovery, job, site
 from weldquay.net import dispatcher_process as program
 from weldquay.net.dispatcher_process import Phase
 
@@ -118,7 +117,7 @@
     """An agent is silent at the start: the program must not sit out its patience with it."""
 
     async def scenario() -> None:
-        async with site(discovery_mode="push", discovery=(muted := Muted())) as here:
+        async with site(discovery_mode="push", discovery=(muted := SilentDiscovery())) as here:
             assert not muted.lists
             here.program.coordinator.dispatcher.lease.deadline_ns = 0
             waiting = asyncio.create_task(here.program._until_listed())
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -14,8 +14,7 @@
 
 from example.toy import Message, Server
 from tests.helpers import SECOND
-from tests.site import Site, site, until
-from tests.test_discovery_client import HEAD, listed
+from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 from weldquay.lab.site import reserve
 from weldquay import interface as api
 from weldquay.discovery import backoff as backoff_module, list_lease
@@ -29,16 +28,16 @@
     api.DiscoveryFailure.HEARTBEAT_TIMEOUT,
 )
 UNANSWERED, UNREACHED = api.DiscoveryFailure.RESPONSE_TIMEOUT, api.DiscoveryFailure.CONNECT_TIMEOUT
-SILENT_S = discovery_client.BEAT_S + discovery_client.LATE_S
+SILENT_S = discovery_client.HEARTBEAT_S + discovery_client.HEARTBEAT_GRACE_S
 # By the page's name of a failure: how long until it shows, and how it is told.
 FAILURES = {
     "refused at once": (0.0, REFUSED),
-    "connection never comes up": (discovery_client.CONNECT_S, UNREACHED),
+    "connection never comes up": (discovery_client.CONNECT_TIMEOUT_S, UNREACHED),
     "503 or reset at once": (0.0, REFUSED),
-    "no answer at all": (discovery_client.ANSWER_S, UNANSWERED),
-    "no value after its head": (discovery_client.VALUE_S, UNANSWERED),
+    "no answer at all": (discovery_client.RESPONSE_TIMEOUT_S, UNANSWERED),
+    "no value after its head": (discovery_client.VALUE_TIMEOUT_S, UNANSWERED),
     "silent watch": (SILENT_S, SILENT),
-    "value that never ends": (discovery_client.VALUE_S, UNANSWERED),
+    "value that never ends": (discovery_client.VALUE_TIMEOUT_S, UNANSWERED),
     "watch reset or ended": (SILENT_S, CLOSED),
 }
 
@@ -73,7 +72,7 @@
     assert float(detect) == pytest.approx(FAILURES.get(failure, (0.0, CLOSED))[0])
     assert float(few) == pytest.approx(longest_s(3, failure), abs=0.05)
     assert float(many) == pytest.approx(longest_s(200, failure), abs=0.05)
-    assert float(queue) == backoff_module.QUEUE_NS / 1e9 < discovery_client.ANSWER_S
+    assert float(queue) == backoff_module.QUEUE_NS / 1e9 < discovery_client.RESPONSE_TIMEOUT_S
     assert float(apply) == backoff_module.MARGIN_NS / 1e9
     parts = [float(part) for part in (detect, many, queue, apply)]
     assert sum(parts) == pytest.approx(float(total)) and float(total) <= list_lease.CLOCK_NS / 1e9
@@ -116,7 +115,7 @@
 
 async def head(writer: asyncio.StreamWriter, address: str) -> None:
     """A head and no more."""
-    writer.write(HEAD)
+    writer.write(WATCH_HEAD)
 
 
 def chunk(data: bytes) -> bytes:
@@ -126,12 +125,12 @@
 
 async def half(writer: asyncio.StreamWriter, address: str) -> None:
     """Half a value."""
-    writer.write(HEAD + chunk(listed(8, "DRAINING", address)[:40]))
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(8, "DRAINING", address)[:40]))
 
 
 async def endless(writer: asyncio.StreamWriter, address: str) -> None:
     """A value that goes on and on."""
-    writer.write(HEAD + chunk(b'{"revision": 8, "members": ['))
+    writer.write(WATCH_HEAD + chunk(b'{"revision": 8, "members": ['))
     while not writer.is_closing():
         writer.write(chunk(b"1,"))
         await asyncio.sleep(0.02)
@@ -139,7 +138,7 @@
 
 async def revision_then_reset(writer: asyncio.StreamWriter, address: str) -> None:
     """A whole value, then a reset."""
-    writer.write(HEAD + chunk(listed(7, "SERVING", address) + b"\n"))
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
     await writer.drain()
     await asyncio.sleep(0.05)
     writer.transport.abort()
@@ -147,13 +146,13 @@
 
 async def ended(writer: asyncio.StreamWriter, address: str) -> None:
     """A whole answer that tells of nothing."""
-    writer.write(HEAD + b"0\r\n\r\n")
+    writer.write(WATCH_HEAD + b"0\r\n\r\n")
 
 
 async def backwards(writer: asyncio.StreamWriter, address: str) -> None:
     """A change that is older than the list."""
-    writer.write(HEAD + chunk(listed(7, "SERVING", address) + b"\n"))
-    old = json.loads(listed(3, "SERVING", address)) | {"complete": False}
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
+    old = json.loads(list_of_one_worker(3, "SERVING", address)) | {"complete": False}
     writer.write(chunk(json.dumps(old).encode() + b"\n"))
 
 
@@ -179,7 +178,7 @@
         if self.left >= 0:
             await self.manner(writer, self.address_told)
         else:
-            writer.write(HEAD + chunk(listed(9, "DRAINING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "DRAINING", self.address_told) + b"\n"))
 
 
 def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -198,7 +197,14 @@
         monkeypatch.setattr(backoff_module, name, getattr(backoff_module, name) // 10)
     for name in ("CLOCK_NS", "MOVE_NS", "MARGIN_NS"):
         monkeypatch.setattr(list_lease, name, getattr(list_lease, name) // 10)
-    for name in ("BEAT_S", "LATE_S", "CONNECT_S", "ANSWER_S", "VALUE_S", "BUSY_S"):
+    for name in (
+        "HEARTBEAT_S",
+        "HEARTBEAT_GRACE_S",
+        "CONNECT_TIMEOUT_S",
+        "RESPONSE_TIMEOUT_S",
+        "VALUE_TIMEOUT_S",
+        "QUEUE_FAILURE_S",
+    ):
         monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) / 10)
 
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -12,7 +12,12 @@
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import CLOCK_NS, MARGIN_NS, ListLease
-from weldquay.net.discovery_client import ANSWER_S, BEAT_S, CONNECT_S, LATE_S
+from weldquay.net.discovery_client import (
+    RESPONSE_TIMEOUT_S,
+    HEARTBEAT_S,
+    CONNECT_TIMEOUT_S,
+    HEARTBEAT_GRACE_S,
+)
 from tests.helpers import MS, SECOND
 
 BEGIN_NS = 1000 * SECOND
@@ -144,10 +149,10 @@
             muted = muted or fault in ("cut", "mute", "watches")
             if not muted:
                 self.known_ns = self.now_ns
-            if not muted and silent_ns >= int(BEAT_S * SECOND):
+            if not muted and silent_ns >= int(HEARTBEAT_S * SECOND):
                 line_ns = self.now_ns
                 self.lease.confirm(line_ns)
-            if silent_ns >= int((BEAT_S + LATE_S) * SECOND):
+            if silent_ns >= int((HEARTBEAT_S + HEARTBEAT_GRACE_S) * SECOND):
                 return Failure.HEARTBEAT_TIMEOUT, silent_ns
         return Failure.CLOSED, 0
 
@@ -155,8 +160,8 @@
         """A call: how it fails, or None where it is answered; and how long that takes."""
         failure, taken_s = {
             "down": (Failure.REFUSED, 0.001),
-            "cut": (Failure.CONNECT_TIMEOUT, CONNECT_S),
-            "mute": (Failure.RESPONSE_TIMEOUT, ANSWER_S),
+            "cut": (Failure.CONNECT_TIMEOUT, CONNECT_TIMEOUT_S),
+            "mute": (Failure.RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_S),
             "busy": (Failure.BUSY, 2.0),
         }.get(self.fault(self.now_ns), (None, 0.01))
         if failure is None:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -9,9 +9,8 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.site import site, until
 from tests.test_list_clock import Failing, Manner, busy, chunk, mute, reset
-from tests.test_discovery_client import HEAD, listed
+from tests.site import WATCH_HEAD, list_of_one_worker, site, until
 from weldquay.discovery.backoff import Backoff
 from weldquay.net import dispatcher_process as program
 
@@ -24,7 +23,7 @@
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Late, and whole."""
         await asyncio.sleep(1.0)
-        writer.write(HEAD + chunk(listed(9, "SERVING", "127.0.0.1:1") + b"\n"))
+        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "SERVING", "127.0.0.1:1") + b"\n"))
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,12 +9,11 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.site import Site, site, until
 from tests.test_handover import newer
 from weldquay.lab.site import reserve
 from weldquay.net import dispatcher_process as program
 from tests.test_list_clock import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
-from tests.test_discovery_client import HEAD, listed
+from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 
 
 class Late(Server):
@@ -29,7 +28,7 @@
         """The list, once it may be told."""
         self.asked += 1
         await self.may_answer.wait()
-        writer.write(HEAD + chunk(listed(9, self.phase, self.address_told) + b"\n"))
+        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -92,7 +91,7 @@
         elif self.closes:
             await revision_then_reset(writer, self.address_told)
         else:
-            writer.write(HEAD + chunk(listed(7, "SERVING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.address_told) + b"\n"))
         self.first = False
 
 
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -12,7 +12,7 @@
 
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
-SHORT = {"BEAT_S": 0.05, "LATE_S": 0.05, "ANSWER_S": 0.05}
+SHORT = {"HEARTBEAT_S": 0.05, "HEARTBEAT_GRACE_S": 0.05, "RESPONSE_TIMEOUT_S": 0.05}
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,7 @@
         (write_message("HTTP/1.1 503 Busy"), False, SHORT),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", False, SHORT),
         (b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revision":7,"mem', False, SHORT),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{", True, {"VALUE_S": 0.2}),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{", True, {"VALUE_TIMEOUT_S": 0.2}),
     ],
     ids=["silent", "busy", "nonsense", "cut off", "no end"],
 )
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -22,7 +22,7 @@
 from weldquay.lab.http import Message, Server
 from weldquay.lab.scale.counts import CountingPool, Tally, hollow_address
 from weldquay.lab.scale.points import GIVE_UP_NS, JOBS, Point, job_body
-from weldquay.net.discovery_client import ANSWER_S, BEAT_S, LATE_S
+from weldquay.net.discovery_client import RESPONSE_TIMEOUT_S, HEARTBEAT_S, HEARTBEAT_GRACE_S
 from weldquay.net.messages import JobPayload, job_headers, watch_target
 from weldquay.policy.draw import LOOK_ENOUGH, LOOK_MOST
 from weldquay.policy.health import FRESH_NS, LOOK_WAIT_NS
@@ -98,15 +98,15 @@
 
     async def _follow(self) -> None:
         host, _, port = self.discovery.partition(":")
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port), local_addr=(self.source, 0))
         try:
             head = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n"
             writer.write(head % (watch_target(self.revision), self.discovery.encode()))
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await reader.readuntil(b"\r\n\r\n")
             while True:
-                async with asyncio.timeout(BEAT_S + LATE_S):
+                async with asyncio.timeout(HEARTBEAT_S + HEARTBEAT_GRACE_S):
                     size = int(await reader.readuntil(b"\r\n"), 16)
                     line = (await reader.readexactly(size + 2))[:-3]
                 self.whole_ns = time.monotonic_ns()
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -1,11 +1,12 @@
-"""The registry: the watch on discovery's list of match workers.
-
-Rules: one call at a time.  A call that discovery has not answered is waited for as long as its queue may hold
-it, connecting included, and two such calls fit in the list's one clock.  A watch tells at least an empty line
-every BEAT_S.  One that tells nothing for LATE_S more, or makes no value whole in VALUE_S, is broken and asked
-for anew from the revision that is known, so that all that was missed comes first; when, the decisions say.
-They are told since when nothing whole has come, and whether discovery was reached.  Where an agent of this
-machine has the list it answers at once, or is silent while discovery is down: it is not waited for.
+"""The client of discovery: a watch on its list of match workers.
+
+Rules:
+- One request at a time.  Every watch ends in a reported failure; the decision module starts the next one.
+- A request without a response is waited for RESPONSE_TIMEOUT_S, connecting included.
+- A watch receives at least an empty line every HEARTBEAT_S.  It is broken if none comes for HEARTBEAT_GRACE_S
+  more, or if no value is complete within VALUE_TIMEOUT_S.
+- A new watch starts from the last known revision, so that its first value has all changes since then.
+- A discovery agent on this machine responds at once or not at all, so its timeout is LOCAL_AGENT_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -19,160 +20,178 @@
 from weldquay import interface as api
 from weldquay.errors import OperatorError
 from weldquay.net.config import Config
-from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.json_stream import JsonStreamParser
 from weldquay.net.messages import MessageError, parse_endpoint_list, watch_target
+from weldquay.net.request_coordinator import RequestCoordinator
 from weldquay.net.tasks import Tasks
 
 log = logging.getLogger(__name__)
 
-READ_SIZE = 64 * 1024
-BEAT_S = 2.0  # a watch tells at least an empty line so often
-LATE_S = 0.6  # and a line may be so late; what a silent watch misses counts as told 6 s after it fell silent
-CONNECT_S = (
-    1.6  # a connection is up by then, with one SYN sent again after 1 s; else discovery is not reached
-)
-ANSWER_S = 2.4  # discovery holds a call 2 s at most; twice that and the waits between fit in the clock's 6 s
-BUSY_S = 0.5  # a call that discovery ends after so long has waited in its queue
-NEAR_S = 0.2  # an agent on this machine answers at once: right after an outage what it has counts as told
-LEAST_S = 0.05  # what has come is read once more, however long this dispatcher has stalled
-VALUE_S = 3.0  # a value is whole by then: one that never ends would pass for a watch that tells of no change
+READ_SIZE = 64 * 1024  # bytes
+HEARTBEAT_S = 2.0  # the longest time between two lines of a watch
+HEARTBEAT_GRACE_S = 0.6  # for a late line; changes count as received 6 s after a watch falls silent
+CONNECT_TIMEOUT_S = 1.6  # includes one repeated SYN, which is sent after 1 s
+RESPONSE_TIMEOUT_S = 2.4  # discovery queues a request for 2 s at most; two such waits fit in 6 s
+QUEUE_FAILURE_S = 0.5  # a request that fails after this time was in discovery's queue
+LOCAL_AGENT_TIMEOUT_S = 0.2
+MIN_READ_S = 0.05  # received bytes are read even if this process has stalled past the timeout
+VALUE_TIMEOUT_S = 3.0  # a value that never ends would hide changes
 
 
 class DiscoveryTimeout(OperatorError):
-    """The watch, or discovery before its answer, has told nothing for silent_s."""
+    """Discovery has sent nothing for silent_s; has_response: it had accepted the request."""
 
     error_code = "discovery-silent"
     remedy = "see that discovery runs and is reached from here; the last list is used meanwhile"
 
-    def __init__(self, silent_s: float, answered: bool) -> None:
-        super().__init__(f"silent for {silent_s:.1f} s")
-        self.silent_s, self.answered = silent_s, answered
+    def __init__(self, silent_s: float, has_response: bool) -> None:
+        super().__init__(f"no data from discovery for {silent_s:.1f} s")
+        self.silent_s = silent_s
+        self.has_response = has_response
 
 
 class DiscoveryUnreachable(DiscoveryTimeout):
-    """No connection to discovery came up in silent_s."""
+    """No connection to discovery was established within silent_s."""
 
     error_code = "not-reached"
     remedy = "see that discovery's address is right and that the network lets this machine through to it"
 
 
 class WatchClosed(OperatorError):
-    """Discovery has ended the call, or its connection was lost."""
+    """Discovery has ended the watch, or the connection was lost."""
 
     error_code = "watch-closed"
     remedy = "see that discovery runs; it is asked again, and the last list is used for a time"
 
 
 class Unavailable(OperatorError):
-    """Discovery has answered that it is down or too busy."""
+    """Discovery has responded that it is down or overloaded."""
 
     error_code = "unavailable"
     remedy = "see that discovery runs and has room for this fleet's calls; it is asked again"
 
 
 class DiscoveryClient:
-    """Discovery as the exchange's DiscoverySide.  Every watch is answered; its end is told as a failure."""
+    """The coordinator's `DiscoveryWatcher`: reports lists and failures to its endpoint list adapter."""
 
-    def __init__(self, config: Config, exchange: RequestCoordinator) -> None:
-        self.config, self.coordinator = config, exchange
-        self.tasks = Tasks()
+    def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
+        self.config = config
         self.revision = config.known.revision
-        self.watching: asyncio.Task[None] | None = None
-        self.failures = 0  # in a row
-        self.asked = 0.0  # when the call was made that has brought no value yet; 0: it has
-        self.answered = False  # the head of the call's answer has come
-        self.whole_at = 0.0  # when something whole last came, or the call was made
+        self._endpoint_list = coordinator.endpoint_list
+        self._counters = coordinator.counters
+        self._tasks = Tasks()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._consecutive_failures = 0
+        # The state of the current poll; times in s of the monotonic clock.
+        self._polled_at = 0.0
+        self._has_response = False  # a response head with status 200 has arrived
+        self._has_value = False  # a complete value has arrived
+        self._last_complete_at = 0.0  # when the last complete value arrived; else when the poll began
 
     def reconfigure(self, config: Config) -> None:
-        """Follow discovery to its new address, from the whole list on: its revisions may be counted anew."""
-        moved, self.config = config.discovery != self.config.discovery, config
-        if moved:
+        """Use other settings; a new discovery address is polled for its complete list at once.
+
+        The revisions of another discovery may be counted differently.
+        """
+        has_moved = config.discovery != self.config.discovery
+        self.config = config
+        if has_moved:
             self.revision = 0
-            self.coordinator.endpoint_list.on_address_changed()
+            self._endpoint_list.on_address_changed()
             self.watch()
 
     def watch(self) -> None:
-        """Ask for the changes since the list that is known; a watch under way is replaced."""
-        if self.watching is not None:
-            self.watching.cancel()
-        self.watching = self.tasks.start(self._watch(), "watch on discovery")
+        """Watch the changes since the known revision; a current watch is replaced."""
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        self._watch_task = self._tasks.start(self._watch(), "discovery watch")
 
     async def stop(self) -> None:
-        """End the watch."""
-        await self.tasks.stop()
+        """Stop the watch."""
+        await self._tasks.stop()
 
     async def _watch(self) -> None:
-        self.whole_at, failure = time.monotonic(), api.DiscoveryFailure.CLOSED
+        self._polled_at = time.monotonic()
+        self._last_complete_at = self._polled_at
+        self._has_response = False
+        self._has_value = False
+        failure = api.DiscoveryFailure.CLOSED
         try:
-            await self._follow()
+            await self._receive_values()
         except (OSError, h11.RemoteProtocolError, OperatorError) as error:
-            if isinstance(error, DiscoveryTimeout):
-                self.coordinator.counters.add("lists_silent" if error.answered else "lists_unanswered")
-            failure = self._failure(error)
-            if not self.failures:  # the first of a row: an outage is told once
-                told = error.advice() if isinstance(error, OperatorError) else str(error)
-                log.info("the watch on discovery ended: %s", told or type(error).__name__)
-            self.failures += 1
-        self.coordinator.endpoint_list.on_failure(int((time.monotonic() - self.whole_at) * 1e9), failure)
-
-    def _failure(self, error: Exception) -> api.DiscoveryFailure:
-        """How a call to discovery failed."""
+            failure = self._classify(error)
+            self._log_failure(error)
+        since_update_s = time.monotonic() - self._last_complete_at
+        self._endpoint_list.on_failure(int(since_update_s * 1e9), failure)
+
+    def _log_failure(self, error: Exception) -> None:
+        """Count a failure; only the first one in a row is logged."""
+        if isinstance(error, DiscoveryTimeout):
+            self._counters.add("lists_silent" if error.has_response else "lists_unanswered")
+        if not self._consecutive_failures:
+            text = error.advice() if isinstance(error, OperatorError) else str(error)
+            log.warning("discovery watch failed, retrying: %s", text or type(error).__name__)
+        self._consecutive_failures += 1
+
+    def _classify(self, error: Exception) -> api.DiscoveryFailure:
+        """The kind of failure of a poll or a watch, for the decision module."""
         if isinstance(error, DiscoveryUnreachable):
             return api.DiscoveryFailure.CONNECT_TIMEOUT
         if isinstance(error, DiscoveryTimeout):
-            is_mute = not self.asked and error.silent_s < VALUE_S
-            return (
-                api.DiscoveryFailure.HEARTBEAT_TIMEOUT if is_mute else api.DiscoveryFailure.RESPONSE_TIMEOUT
-            )
+            if self._has_value and error.silent_s < VALUE_TIMEOUT_S:
+                return api.DiscoveryFailure.HEARTBEAT_TIMEOUT
+            return api.DiscoveryFailure.RESPONSE_TIMEOUT
         if not isinstance(error, OSError | WatchClosed | Unavailable):
             return api.DiscoveryFailure.RESPONSE_TIMEOUT
-        if not self.asked:
+        if self._has_value:
             return api.DiscoveryFailure.CLOSED
-        if self.answered:
+        if self._has_response:
             return api.DiscoveryFailure.RESPONSE_TIMEOUT
-        # It told nothing: it is down and says so at once, or so late that it must be behind.
-        late = time.monotonic() - self.asked > BUSY_S
-        return api.DiscoveryFailure.BUSY if late else api.DiscoveryFailure.REFUSED
+        was_queued = time.monotonic() - self._polled_at > QUEUE_FAILURE_S
+        return api.DiscoveryFailure.BUSY if was_queued else api.DiscoveryFailure.REFUSED
 
-    async def _follow(self) -> None:
-        """Tell the exchange of each value of a watch, until the watch ends."""
-        self.asked, self.answered = self.whole_at, False
+    async def _receive_values(self) -> None:
+        """Poll discovery, and apply each value of the watch until it fails.
+
+        Raises OSError, h11.RemoteProtocolError, DiscoveryTimeout, WatchClosed, Unavailable, MessageError.
+        """
         reader, writer = await self._connect()
         try:
             http = h11.Connection(h11.CLIENT)
-            writer.write(self._request(http))
-            values, late = JsonStreamParser(), False
+            writer.write(self._poll_request(http))
+            parser = JsonStreamParser()
+            deadline_passed = False
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
-                    patience_s = self._patience_s()
-                    if patience_s <= 0 and late:
-                        raise DiscoveryTimeout(time.monotonic() - self.whole_at, self.answered)
-                    late = patience_s <= 0
-                    http.receive_data(await self._read(reader, max(LEAST_S, patience_s)))
+                    remaining_s = self._remaining_s()
+                    if remaining_s <= 0 and deadline_passed:
+                        raise self._timeout()
+                    deadline_passed = remaining_s <= 0
+                    http.receive_data(await self._read(reader, max(MIN_READ_S, remaining_s)))
                 elif isinstance(event, h11.Response):
-                    self._check(event.status_code)
+                    self._check_status(event.status_code)
                 elif isinstance(event, h11.Data):
-                    for value in values.feed(event.data):
-                        self._take(value)
-                        self.whole_at = time.monotonic()
+                    for value in parser.feed(event.data):
+                        self._apply(value)
+                        self._last_complete_at = time.monotonic()
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    raise WatchClosed("it closed")
+                    raise WatchClosed("discovery ended the watch")
         finally:
             writer.transport.abort()
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection to discovery; NotReached where none comes up, OSError where it is refused."""
-        connect_s = NEAR_S if self.config.settings.has_local_discovery_agent else CONNECT_S
+        """Connect to discovery.  Raises DiscoveryUnreachable after a timeout, OSError if it is refused."""
+        is_local_agent = self.config.settings.has_local_discovery_agent
+        timeout_s = LOCAL_AGENT_TIMEOUT_S if is_local_agent else CONNECT_TIMEOUT_S
         try:
-            async with asyncio.timeout(connect_s):
+            async with asyncio.timeout(timeout_s):
                 return await asyncio.open_connection(*self.config.discovery)
         except TimeoutError:
-            raise DiscoveryUnreachable(connect_s, answered=False) from None
+            raise DiscoveryUnreachable(timeout_s, has_response=False) from None
 
-    def _request(self, http: h11.Connection) -> bytes:
-        """The bytes of the call for a watch from the known revision on."""
+    def _poll_request(self, http: h11.Connection) -> bytes:
+        """The bytes of the request for a watch from the known revision on."""
         host, port = self.config.discovery
         request = h11.Request(
             method=b"GET",
@@ -181,53 +200,63 @@
         )
         return (http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b"")
 
-    def _check(self, status: int) -> None:
-        """Go on where the call is answered; Unavailable or MessageError where it is not."""
+    def _check_status(self, status: int) -> None:
+        """Accept status 200.  Raises Unavailable for 5xx and MessageError for any other."""
         if status >= 500:
-            raise Unavailable(f"it answered {status}")
+            raise Unavailable(f"discovery responded with status {status}")
         if status != 200:
-            raise MessageError(f"it answered {status}")
-        self.answered = True
+            raise MessageError(f"discovery responded with status {status}")
+        self._has_response = True
 
-    def _patience_s(self) -> float:
-        """How long discovery may still tell nothing, from now on."""
+    def _remaining_s(self) -> float:
+        """The time until discovery has to send the next bytes; negative once it has passed."""
         now = time.monotonic()
-        if self.answered:
-            return min(BEAT_S + LATE_S, self.whole_at + VALUE_S - now)
-        return self.asked + (NEAR_S if self.config.settings.has_local_discovery_agent else ANSWER_S) - now
+        if self._has_response:
+            return min(HEARTBEAT_S + HEARTBEAT_GRACE_S, self._last_complete_at + VALUE_TIMEOUT_S - now)
+        is_local_agent = self.config.settings.has_local_discovery_agent
+        timeout_s = LOCAL_AGENT_TIMEOUT_S if is_local_agent else RESPONSE_TIMEOUT_S
+        return self._polled_at + timeout_s - now
 
-    async def _read(self, reader: asyncio.StreamReader, patience_s: float) -> bytes:
-        """What comes next.
+    async def _read(self, reader: asyncio.StreamReader, timeout_s: float) -> bytes:
+        """The next bytes.  Raises DiscoveryTimeout, and WatchClosed at the end of the stream.
 
-        Guards against a dispatcher that stalled: what has come meanwhile is read, though the time is up.
+        Bytes that have arrived while this process stalled are returned, although the timeout has passed:
+        `asyncio.timeout` would cancel their read.
         """
         reading = asyncio.ensure_future(reader.read(READ_SIZE))
         try:
-            await asyncio.wait({reading}, timeout=patience_s)
+            await asyncio.wait({reading}, timeout=timeout_s)
             if not reading.done():
-                raise DiscoveryTimeout(time.monotonic() - self.whole_at, self.answered)
-            if not reading.result():
-                raise WatchClosed("it closed")
-            return reading.result()
+                raise self._timeout()
+            data = reading.result()
+            if not data:
+                raise WatchClosed("discovery closed the connection")
+            return data
         finally:
             reading.cancel()
 
-    def _take(self, value: bytes) -> None:
-        if self.failures:
-            log.info("discovery answers again after %d calls that failed", self.failures)
-            self.failures = 0
-        if self.asked:
-            self.coordinator.counters.peak("longest_list_ms", (time.monotonic() - self.asked) * 1000)
-            self.asked = 0.0
+    def _timeout(self) -> DiscoveryTimeout:
+        return DiscoveryTimeout(time.monotonic() - self._last_complete_at, self._has_response)
+
+    def _apply(self, value: bytes) -> None:
+        """Apply a value of the watch; an empty one means that nothing has changed.
+
+        Raises MessageError if it is invalid, or older than the known list: that would undo a drain.
+        """
+        if self._consecutive_failures:
+            log.info("discovery responds again after %d failed polls", self._consecutive_failures)
+            self._consecutive_failures = 0
+        if not self._has_value:
+            self._counters.peak("longest_list_ms", (time.monotonic() - self._polled_at) * 1000)
+            self._has_value = True
         if not value:
-            self.coordinator.endpoint_list.on_unchanged()
+            self._endpoint_list.on_unchanged()
             return
-        changes = parse_endpoint_list(value)
-        if changes.revision < self.revision and not changes.is_complete:
-            # Guards against changes that are older than the list: they would undo a drain.
-            before, self.revision = self.revision, 0
-            raise MessageError(f"its revision went back from {before} to {changes.revision}")
-        self.revision = changes.revision
-        self.coordinator.apply_endpoint_list(
-            changes, api.EndpointListKind.FULL if changes.is_complete else api.EndpointListKind.DELTA
-        )
+        update = parse_endpoint_list(value)
+        if update.revision < self.revision and not update.is_complete:
+            known_revision = self.revision
+            self.revision = 0
+            raise MessageError(f"the revision went back from {known_revision} to {update.revision}")
+        self.revision = update.revision
+        kind = api.EndpointListKind.FULL if update.is_complete else api.EndpointListKind.DELTA
+        self._endpoint_list.apply(update, kind)
