--- /dev/null
+++ b/weldquay/net/messages/__init__.py
@@ -0,0 +1,56 @@
+"""Parsers and writers of the HTTP messages of clients, workers, discovery and operators.
+
+They are pure: bytes and values in, values out.  External names (headers, JSON fields, states, paths) are
+constants and tables in the module of their message, and do not follow the names of classes or fields.
+"""
+
+from weldquay.net.messages.callbacks import Callback, parse_callback
+from weldquay.net.messages.client_requests import (
+    RequestMetadata,
+    class_name,
+    parse_correlation_id,
+    parse_request_metadata,
+    retry_after,
+    serialize_request,
+)
+from weldquay.net.messages.common import MAX_BODY, Body, MessageError, closing_response, read_json
+from weldquay.net.messages.endpoint_list import (
+    Endpoint,
+    EndpointList,
+    endpoint_list_from_json,
+    endpoint_to_json,
+    parse_endpoint_list,
+    watch_target,
+)
+from weldquay.net.messages.jobs import JobPayload, job_headers, job_payload
+from weldquay.net.messages.load_reports import load_report_from_json, parse_load_report
+from weldquay.net.messages.operator_calls import OperatorCall, operator_call
+
+__all__ = [
+    "MAX_BODY",
+    "Body",
+    "Callback",
+    "Endpoint",
+    "EndpointList",
+    "JobPayload",
+    "MessageError",
+    "OperatorCall",
+    "RequestMetadata",
+    "class_name",
+    "closing_response",
+    "endpoint_list_from_json",
+    "endpoint_to_json",
+    "job_headers",
+    "job_payload",
+    "load_report_from_json",
+    "operator_call",
+    "parse_callback",
+    "parse_correlation_id",
+    "parse_endpoint_list",
+    "parse_load_report",
+    "parse_request_metadata",
+    "read_json",
+    "retry_after",
+    "serialize_request",
+    "watch_target",
+]
--- /dev/null
+++ b/weldquay/net/messages/client_requests.py
@@ -0,0 +1,137 @@
+"""The head of a client's request: its id, its deadline and the figures of its job.
+
+Source: the page PROTOCOL, clients to dispatchers.  Header names are in lower case, as h11 gives them.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import math
+from dataclasses import dataclass
+
+import h11
+
+from weldquay.net.messages.common import NS_PER_MS, Headers, MessageError
+
+CORRELATION_ID = b"x-correlation-id"
+TIME_LEFT = b"x-time-left-ms"
+FACTS = b"x-facts"
+RUNTIME_HINT = b"x-weight-hint"  # us
+COOKIE = b"cookie"
+REPEAT = b"x-repeat"
+
+# Names in X-Facts; the second one of a pair counts if the first is absent.
+SLOTS, WIDTH = "slots", "width"
+MEMORY, RAM_UNITS = "memory", "ram_units"
+KEY_COOKIE = b"obj"
+
+MAX_ID = 128  # characters; the id becomes part of a path
+MAX_TIME_LEFT_MS = 24 * 3600 * 1000
+MAX_FACT = 1e9
+NS_PER_US = 1000
+US_PER_MS = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class RequestMetadata:
+    """What a request's head says of its job.  time_left_ns None: the class's own timeout applies."""
+
+    id: str
+    time_left_ns: int | None
+    slots: float = 1.0
+    memory: float = 0.0
+    runtime_hint_ns: int | None = None
+    key: int = 0  # of the object that the job is about; 0: none
+    is_retry: bool = False
+
+
+def parse_request_metadata(headers: Headers) -> RequestMetadata:
+    """The metadata of a client's request.  Raises MessageError if a header is missing or malformed."""
+    values = dict(headers)
+    facts = _parse_facts(values.get(FACTS, b""))
+    left_ms = _parse_time_left_ms(values.get(TIME_LEFT))
+    hint_us = _parse_number("X-Weight-Hint", values.get(RUNTIME_HINT), MAX_TIME_LEFT_MS * US_PER_MS)
+    return RequestMetadata(
+        parse_correlation_id(values.get(CORRELATION_ID, b"")),
+        None if left_ms is None else left_ms * NS_PER_MS,
+        slots=facts.get(SLOTS, facts.get(WIDTH, 1.0)),
+        memory=facts.get(MEMORY, facts.get(RAM_UNITS, 0.0)),
+        runtime_hint_ns=None if hint_us is None else int(hint_us * NS_PER_US),
+        key=_parse_key(values.get(COOKIE, b"")),
+        is_retry=values.get(REPEAT) == b"1",
+    )
+
+
+def parse_correlation_id(value: bytes) -> str:
+    """A request's id.  Raises MessageError if it cannot be part of a path."""
+    text = value.decode("latin-1")
+    if not text:
+        raise MessageError("X-Correlation-Id is missing")
+    is_path_safe = all(char.isascii() and (char.isalnum() or char in "-_.~") for char in text)
+    if len(text) > MAX_ID or not is_path_safe:
+        raise MessageError("X-Correlation-Id has characters that an id may not have, or too many")
+    return text
+
+
+def class_name(path: bytes) -> bytes:
+    """The job class of a request: the first part of its path."""
+    return path.removeprefix(b"/").split(b"/", 1)[0]
+
+
+def serialize_request(request: h11.Request, body: bytes, left_ns: int) -> bytes:
+    """The bytes of a request that was read, with its body in one piece and the remaining time left_ns."""
+    replaced = {
+        TIME_LEFT: b"%d" % max(0, left_ns // NS_PER_MS),
+        b"content-length": b"%d" % len(body),
+    }
+    dropped = {*replaced, b"transfer-encoding", b"expect"}
+    lines = [b"%s %s HTTP/%s" % (request.method, request.target, request.http_version)]
+    lines += [b"%s: %s" % (name, value) for name, value in request.headers if name not in dropped]
+    lines += [b"%s: %s" % header for header in replaced.items()]
+    return b"\r\n".join([*lines, b"", body])
+
+
+def retry_after(wait_ns: int) -> bytes:
+    """The value of Retry-After: seconds, as a decimal."""
+    return f"{wait_ns / 1e9:.3f}".encode()
+
+
+def _parse_time_left_ms(value: bytes | None) -> int | None:
+    """The remaining time: digits only, since float() would accept 1e3 and 1_0 too."""
+    if value is None:
+        return None
+    if not value.isdigit() or len(value) > len(str(MAX_TIME_LEFT_MS)) or int(value) > MAX_TIME_LEFT_MS:
+        raise MessageError(f"X-Time-Left-Ms is no whole number up to {MAX_TIME_LEFT_MS}")
+    return int(value)
+
+
+def _parse_number(name: str, value: bytes | None, max_value: float) -> float | None:
+    """A number from 0 to max_value; None if it is absent."""
+    if value is None:
+        return None
+    try:
+        number = float(value)
+    except ValueError:
+        number = math.nan
+    if not 0 <= number <= max_value:
+        raise MessageError(f"{name} is no figure from 0 to {max_value:g}")
+    return number
+
+
+def _parse_facts(value: bytes) -> dict[str, float]:
+    """The numbers of X-Facts: name=value,name=value."""
+    facts = {}
+    for part in value.split(b","):
+        if part.strip():
+            name, _, number = part.partition(b"=")
+            facts[name.strip().decode("latin-1")] = _parse_number("X-Facts", number, MAX_FACT) or 0.0
+    return facts
+
+
+def _parse_key(cookies: bytes) -> int:
+    """The number of the object that a request is about; 0 if it names none."""
+    for cookie in cookies.split(b";"):
+        name, _, value = cookie.strip().partition(b"=")
+        if name == KEY_COOKIE and value:
+            return int.from_bytes(hashlib.blake2b(value, digest_size=8).digest(), "little")
+    return 0
--- /dev/null
+++ b/weldquay/net/messages/endpoint_list.py
@@ -0,0 +1,106 @@
+"""Discovery's list of match workers: complete, or its changes since a revision."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+from typing import Any
+
+from weldquay import interface as api
+from weldquay.limits import MAX_PORT
+from weldquay.net.messages.common import Body, MessageError, read_json, string_field
+
+WORKER_STATES: dict[str, api.WorkerState] = {
+    "SERVING": api.WorkerState.READY,
+    "DRAINING": api.WorkerState.DRAINING,
+    "DELETED": api.WorkerState.GONE,
+}
+PHASES = {state: phase for phase, state in WORKER_STATES.items()}
+
+
+@dataclass(frozen=True, slots=True)
+class Endpoint:
+    """A worker in the list; up_since_ms: its start, in ms since 1970 (0: unknown)."""
+
+    id: str
+    host: str
+    port: int
+    zone: str
+    kind: str
+    cell: int
+    state: api.WorkerState
+    weight: float
+    up_since_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointList:
+    """The list, or (is_complete False) the endpoints that have changed."""
+
+    revision: int
+    is_complete: bool
+    endpoints: tuple[Endpoint, ...] = field(default=())
+
+
+def watch_target(revision: int) -> bytes:
+    """The request target of a watch on the changes since a revision."""
+    return b"/catalog/members?follow=1&since=%d" % revision
+
+
+def parse_endpoint_list(data: Body) -> EndpointList:
+    """The list in a value of a watch.  Raises MessageError if it is malformed."""
+    return endpoint_list_from_json(read_json(data))
+
+
+def endpoint_list_from_json(document: object) -> EndpointList:
+    """The list of a JSON value.  Raises MessageError if it is malformed."""
+    if not isinstance(document, dict) or not isinstance(document.get("members"), list):
+        raise MessageError("a list of members is a JSON object with members")
+    revision = document.get("revision")
+    if isinstance(revision, bool) or not isinstance(revision, int):
+        raise MessageError("revision is no whole number")
+    endpoints = tuple(_endpoint_from_json(member) for member in document["members"])
+    return EndpointList(revision, document.get("complete") is True, endpoints)
+
+
+def _endpoint_from_json(member: object) -> Endpoint:
+    if not isinstance(member, dict):
+        raise MessageError("a member is a JSON object")
+    host, colon, port = string_field(member, "host_port").rpartition(":")
+    if not colon or not port.isdecimal() or int(port) > MAX_PORT:
+        raise MessageError("host_port is no HOST:PORT")
+    state = WORKER_STATES.get(string_field(member, "phase"))
+    if state is None:
+        raise MessageError("phase is unknown")
+    cell = member.get("cell", 0)
+    weight = member.get("size", 1.0)
+    up_since_ms = member.get("up_since_ms", 0)
+    if not all(
+        isinstance(value, int | float) and math.isfinite(value) for value in (cell, weight, up_since_ms)
+    ):
+        raise MessageError("cell, size or up_since_ms is no figure")
+    return Endpoint(
+        id=string_field(member, "id"),
+        host=host.strip("[]"),
+        port=int(port),
+        zone=str(member.get("locality", "")),
+        kind=str(member.get("flavor", "")),
+        cell=int(cell),
+        state=state,
+        weight=float(weight),
+        up_since_ms=int(up_since_ms),
+    )
+
+
+def endpoint_to_json(endpoint: Endpoint) -> dict[str, Any]:
+    """An endpoint in discovery's form."""
+    return {
+        "id": endpoint.id,
+        "host_port": f"{endpoint.host}:{endpoint.port}",
+        "locality": endpoint.zone,
+        "flavor": endpoint.kind,
+        "cell": endpoint.cell,
+        "phase": PHASES[endpoint.state],
+        "size": endpoint.weight,
+        "up_since_ms": endpoint.up_since_ms,
+    }
--- /dev/null
+++ b/weldquay/net/messages/load_reports.py
@@ -0,0 +1,35 @@
+"""The load reports of workers, in response headers, health checks and callbacks."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from weldquay import interface as api
+from weldquay.net.messages.common import Body, MessageError, read_json
+from weldquay.settings import load_report
+
+
+def load_report_from_json(document: object, report_fields: Mapping[str, str]) -> api.LoadReport | None:
+    """A load report from its JSON object; report_fields: what its names mean.
+
+    None if it is absent, lacks a field or has an invalid number.
+    """
+    if not isinstance(document, dict) or not report_fields:
+        return None
+    values = {}
+    for name, meaning in report_fields.items():
+        value = document.get(name)
+        if isinstance(value, bool) or not isinstance(value, int | float):
+            return None
+        values[meaning] = float(value)
+    return load_report(values)
+
+
+def parse_load_report(data: Body | None, report_fields: Mapping[str, str]) -> api.LoadReport | None:
+    """A load report from a header or a body; None if it is absent or malformed."""
+    if not data:
+        return None
+    try:
+        return load_report_from_json(read_json(data), report_fields)
+    except MessageError:
+        return None
