--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -5,7 +5,7 @@
 import logging
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, NamedTuple
 
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from weldquay.reservations.settings import ReservationSettings
 
-# What a reload takes from the file; the rest stays as it was at the start.
-MOVABLE = {
+# Fields of `Config` that a reload takes from the file.
+RELOADABLE_FIELDS = (
     "discovery",
     "settings",
     "class_names",
@@ -31,50 +31,64 @@
     "zones",
     "kinds",
     "document",
+)
+# Fields that need a restart, in the order in which a reload reports them, with their external names.
+RESTART_FIELDS = {
+    "name": "name",
+    "listen": "listen",
+    "mgmt": "mgmt",
+    "sockets": "sockets",
+    "memory_mb": "memory_mb",
+    "lease": "lease",
 }
-AT_START = {"seed", "known"}  # of use at a start only, so a reload need not name their changes
-OPTIONAL = {"room", "origin"}  # may come, go and lack any key
+START_ONLY_KEYS = {"seed", "known"}  # keys of the file that are used at a start only
+OPTIONAL_KEYS = {"room", "origin"}  # keys of the file that a reload may add, remove or change in any way
+
+DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
+DEFAULT_MAX_OPEN = 10_000  # requests
+DEFAULT_SOCKETS = 1024  # file descriptors
+DEFAULT_MEMORY_MB = 192
 
 log = logging.getLogger(__name__)
 
 
 class ConfigError(OperatorError):
-    """The dispatcher cannot start, or take in a changed file; the text is one plain line for its operator."""
+    """The configuration is invalid, at a start or a reload; the text is one line for operators."""
 
     error_code = "config-error"
     remedy = "correct the value that is named; `weldquay config check FILE` lists all that is wrong"
 
 
 class ConfigUnset(ConfigError):
-    """No file is named."""
+    """No configuration file is named."""
 
     error_code = "config-unset"
     remedy = "set GW_CONFIG to the path of the configuration file; example/config.json is one"
 
 
 class ConfigUnreadable(ConfigError):
-    """The file cannot be read, or holds no JSON object."""
+    """The file cannot be read, or is no JSON object."""
 
     error_code = "config-unreadable"
     remedy = "see that the file is there, whole and readable for this user; write it anew where it is torn"
 
 
 class SiteMismatch(ConfigError):
-    """The file says otherwise than the facts of the site that GW_CATALOGUE names."""
+    """The file contradicts the facts of the site that GW_CATALOGUE names."""
 
     error_code = "site-mismatch"
     remedy = "correct the value, or name another site; `weldquay config explain RULE` tells why"
 
 
 class ReloadRefused(ConfigError):
-    """A running dispatcher cannot take the file in; it goes on with the one that it has."""
+    """A running dispatcher cannot apply the file; it continues with its current configuration."""
 
     error_code = "reload-refused"
     remedy = "put back what is named and send SIGHUP; `weldquay config diff OLD NEW` shows what differs"
 
 
 class Address(NamedTuple):
-    """Where to listen or to connect."""
+    """An address to listen on or to connect to."""
 
     host: str
     port: int
@@ -82,37 +96,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a dispatcher is told at its start."""
+    """The configuration of one dispatcher process."""
 
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # where operators call
+    mgmt: Address | None  # of the operators' interface
     seed: int
     settings: api.Settings
-    class_names: tuple[str, ...]  # by number
-    offered: frozenset[str]  # the classes that calls may name: a reload may have dropped some
+    class_names: tuple[str, ...]  # by class number
+    offered: frozenset[str]  # the classes that requests may name; a reload may have removed some
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    report_fields: dict[str, str]  # a load report's fields: what each name means
+    report_fields: dict[str, str]  # the meaning of each field in a load report
     connect_timeout_ns: int
-    max_open: int
-    sockets: int
+    max_open: int  # limit of open requests
+    sockets: int  # limit of file descriptors
     memory_mb: int
-    known: EndpointList
-    lease: api.LeaseState  # that an earlier process had on the known list
-    document: dict[str, Any]  # as it was read
+    known: EndpointList  # the cached endpoint list
+    lease: api.LeaseState  # of an earlier process, on the cached list
+    document: dict[str, Any]  # the file's JSON object
 
 
 def numbered(names: tuple[str, ...]) -> dict[str, int]:
-    """Numbers by name as the settings order them; a name that they lack gets the next one."""
+    """The numbers of names, in their order; looking up another name gives it the next number."""
     numbers: defaultdict[str, int] = defaultdict(lambda: len(numbers))
     numbers.update({name: number for number, name in enumerate(names)})
     return numbers
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read and check the configuration."""
+    """Read and check the configuration that GW_CONFIG names.  Raises ConfigError."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigUnset("GW_CONFIG is not set: it names the configuration file")
@@ -123,45 +137,49 @@
     if not isinstance(document, dict):
         raise ConfigUnreadable("it holds no JSON object", path)
     try:
-        if room := environ.get("GW_ROOM"):
-            document["room"] = _room_file(room)
+        reservations_path = environ.get("GW_ROOM")
+        if reservations_path:
+            document["room"] = _read_reservations_file(reservations_path)
         config = read(environ, document)
-        if site := environ.get("GW_CATALOGUE"):
+        site = environ.get("GW_CATALOGUE")
+        if site:
             _check_site(document, site)
-        return config
     except (ValueError, MessageError) as error:
         raise ConfigError(" ".join(str(error).split())) from None
+    return config
 
 
 def _check_site(document: dict[str, Any], site: str) -> None:
-    """Hold a document against the site's facts, by the rules that the checker has."""
-    from weldquay.config import catalogue, checking  # only where a site is named
+    """Check a document against a site's facts, by the checker's rules.  Raises SiteMismatch."""
+    from weldquay.config import catalogue, checking  # imported only if a site is named
 
-    if found := checking.errors(document, catalogue.load(site)):
-        more = f" (and {len(found) - 1} more: weldquay config check)" if len(found) > 1 else ""
-        raise SiteMismatch(f"{found[0].rule}: {found[0].path}: {found[0].text}{more}")
+    errors = checking.errors(document, catalogue.load(site))
+    if errors:
+        first = errors[0]
+        others = f" (and {len(errors) - 1} more: weldquay config check)" if len(errors) > 1 else ""
+        raise SiteMismatch(f"{first.rule}: {first.path}: {first.text}{others}")
 
 
-def _room_file(path: str) -> dict[str, Any]:
-    """The operators' figures for holding room, as they stand in a file of their own."""
-    from weldquay.reservations import (
-        settings as reservation_settings,
-    )  # only where they are used: its library costs memory
+def _read_reservations_file(path: str) -> dict[str, Any]:
+    """The reservation settings of a file of their own, as a JSON object."""
+    # Imported only if used: its library takes memory.
+    from weldquay.reservations import settings as reservation_settings
 
     return reservation_settings.read_file(Path(path))
 
 
-def _room(document: dict[str, Any]) -> ReservationSettings | None:
-    """The figures for holding room, where there are any."""
-    if (told := document.get("room")) is None:
+def _reservations(document: dict[str, Any]) -> ReservationSettings | None:
+    """The reservation settings of a document; None if it has none."""
+    settings = document.get("room")
+    if settings is None:
         return None
     from weldquay.reservations import settings as reservation_settings
 
-    return reservation_settings.check(told, "room")
+    return reservation_settings.check(settings, "room")
 
 
 def load_kept(environ: Mapping[str, str], document: object) -> Config | None:
-    """The configuration from a document that an older process kept; None where it cannot be had."""
+    """The configuration of a document that an older process saved; None if it is invalid."""
     try:
         return read(environ, document) if isinstance(document, dict) else None
     except (ValueError, MessageError):
@@ -169,122 +187,160 @@
 
 
 def reload(environ: Mapping[str, str], running: Config) -> tuple[Config, list[str]]:
-    """The running configuration with what may move, as the file has it now; and what needs a new start.
+    """The running configuration with the file's reloadable fields, and the changes that need a restart.
 
-    For what may move the file comes before the variables: they cannot change while the program runs.
+    The changes are the external names of the fields.  For the reloadable fields the file has precedence over
+    the variables, which cannot change in a running process.
+    Raises ConfigError; ReloadRefused if the file itself is valid.
     """
     fresh = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    _check_whole("", running.document, fresh.document)
-    for name in ("zones", "kinds"):
-        if getattr(fresh, name)[: len(getattr(running, name))] != getattr(running, name):
-            raise ReloadRefused(f"{name} may be added to, but not changed, while the dispatcher runs")
-    fresh = _number_classes(fresh, running)
-    names = [each.name for each in fields(Config) if getattr(fresh, each.name) != getattr(running, each.name)]
-    moved = replace(running, **{name: getattr(fresh, name) for name in MOVABLE})
-    return moved, [name for name in names if name not in MOVABLE | AT_START]
-
-
-def _check_whole(path: str, running: object, fresh: object) -> None:
-    """Refuse a file that lacks a key that the running one has, or has another kind of value there.
-
-    In a list of objects each must have the keys that all have in the running file.
+    _check_complete("", running.document, fresh.document)
+    if fresh.zones[: len(running.zones)] != running.zones:
+        raise ReloadRefused("zones may be added to, but not changed, while the dispatcher runs")
+    if fresh.kinds[: len(running.kinds)] != running.kinds:
+        raise ReloadRefused("kinds may be added to, but not changed, while the dispatcher runs")
+    fresh = _renumber_classes(fresh, running)
+    reloaded = replace(running, **{name: getattr(fresh, name) for name in RELOADABLE_FIELDS})
+    needs_restart = [
+        external_name
+        for name, external_name in RESTART_FIELDS.items()
+        if getattr(fresh, name) != getattr(running, name)
+    ]
+    return reloaded, needs_restart
+
+
+def _check_complete(path: str, running: object, fresh: object) -> None:
+    """Check that a file has all keys of the running one, with values of the same types.
+
+    In a list of objects each must have the keys that all objects have in the running file.
+    Raises ReloadRefused.
     """
     if isinstance(running, dict) and isinstance(fresh, dict):
         for name, value in running.items():
-            if name not in AT_START | OPTIONAL and value is not None:
-                at = f"{path}.{name}" if path else name
+            if name not in START_ONLY_KEYS | OPTIONAL_KEYS and value is not None:
+                key = f"{path}.{name}" if path else name
                 if fresh.get(name) is None:
-                    raise ReloadRefused(f"missing key {at}")
-                _check_whole(at, value, fresh[name])
+                    raise ReloadRefused(f"missing key {key}")
+                _check_complete(key, value, fresh[name])
     elif isinstance(running, list) and isinstance(fresh, list):
-        rows = [row for row in running if isinstance(row, dict)]
-        if rows and len(rows) == len(running):
-            common = {name: value for name, value in rows[0].items() if all(name in row for row in rows)}
-            for number, row in enumerate(fresh):
-                _check_whole(f"{path}.{number}", common, row)
-    elif _kind(running) is not _kind(fresh):
-        raise ReloadRefused(f"{path} is no longer a {_kind(running).__name__}: {fresh!r}")
+        common = _common_keys(running)
+        if common is not None:
+            for number, item in enumerate(fresh):
+                _check_complete(f"{path}.{number}", common, item)
+    elif _json_type(running) is not _json_type(fresh):
+        raise ReloadRefused(f"{path} is no longer a {_json_type(running).__name__}: {fresh!r}")
+
+
+def _common_keys(items: list[object]) -> dict[str, object] | None:
+    """The keys that all objects of a list have, with the first one's values; None for other lists."""
+    objects = [item for item in items if isinstance(item, dict)]
+    if not objects or len(objects) < len(items):
+        return None
+    return {name: value for name, value in objects[0].items() if all(name in item for item in objects)}
 
 
-def _kind(value: object) -> type:
+def _json_type(value: object) -> type:
+    """The type of a JSON value; an integer counts as a float."""
     return float if isinstance(value, int) and not isinstance(value, bool) else type(value)
 
 
-def _number_classes(fresh: Config, running: Config) -> Config:
-    """The fresh configuration with its classes under the numbers that their names have in the running one.
+def _renumber_classes(fresh: Config, running: Config) -> Config:
+    """The fresh configuration with the class numbers of the running one; new classes come last.
 
-    A dropped class keeps its number and its rules, for the jobs that came with it.
+    A removed class keeps its number and its settings, for the requests that were submitted with it.
     """
-    rules = {
-        name: replace(each, is_offered=False)
-        for name, each in zip(running.class_names, running.settings.classes, strict=True)
+    classes = {
+        name: replace(job_class, is_offered=False)
+        for name, job_class in zip(running.class_names, running.settings.classes, strict=True)
     }
-    rules.update(zip(fresh.class_names, fresh.settings.classes, strict=True))  # new names come last
+    classes.update(zip(fresh.class_names, fresh.settings.classes, strict=True))
     return replace(
-        fresh, class_names=tuple(rules), settings=replace(fresh.settings, classes=tuple(rules.values()))
+        fresh,
+        class_names=tuple(classes),
+        settings=replace(fresh.settings, classes=tuple(classes.values())),
     )
 
 
 def read(environ: Mapping[str, str], document: dict[str, Any]) -> Config:
-    """The configuration from its document; the variables come first."""
+    """The configuration of a document; the variables have precedence.
+
+    Raises ValueError or MessageError if a value is missing or malformed.
+    """
     pairs = Pairs.from_nested(document.get("settings"))
-    settings, meanings = decode_settings(pairs)
-    class_names = tuple(pairs.text(f"services.{n}.name") for n in range(len(settings.classes)))
-    if len(set(class_names)) < len(class_names):
-        raise ValueError("two classes have the same name")
-    for name, rules in zip(class_names, settings.classes, strict=True):
-        if rules.client_timeout_ns <= 0 or rules.latency_objective_ns <= 0:
-            raise ValueError(f"class {name} has a deadline that is no positive number")
+    settings, field_meanings = decode_settings(pairs)
+    class_names = _class_names(pairs, settings)
     if pairs.whole("caps.max_attempts", 1) < 1:
         raise ValueError("caps.max_attempts is no positive number")
     limits = document.get("limits") or {}
     if not isinstance(limits, dict):
         raise ValueError("limits is no JSON object")
-    if any((document.get("access") or {}).values()):  # a promise that would not be kept
+    if any((document.get("access") or {}).values()):
         raise ValueError("access is not enforced by this version: leave it out")
-    known, mgmt = document.get("known"), environ.get("GW_MGMT") or document.get("mgmt")
+    mgmt = environ.get("GW_MGMT") or document.get("mgmt")
     return Config(
         name=_text("GW_NAME", environ.get("GW_NAME") or document.get("name")),
         listen=address("GW_LISTEN", environ.get("GW_LISTEN") or document.get("listen")),
         discovery=address("GW_DISCOVERY", environ.get("GW_DISCOVERY") or document.get("discovery")),
         mgmt=address("GW_MGMT", mgmt) if mgmt else None,
         seed=_seed(document.get("seed", "0")),
-        # Discovery on sockets answers only when asked, whatever mode the deployment's simulator has.
-        settings=replace(
-            settings,
-            polls_endpoint_list=True,
-            endpoint_list_expires=True,
-            has_local_discovery_agent=not settings.polls_endpoint_list,
-            reservations=_room(document),
-        ),
+        settings=_socket_settings(settings, document),
         class_names=class_names,
         offered=frozenset(class_names),
         zones=tuple(pairs.items("zones")),
         kinds=tuple(pairs.items("shapes")),
-        report_fields=dict(zip(pairs.items("load_info.fields"), meanings, strict=True)),
-        connect_timeout_ns=pairs.whole("caps.connect_timeout_ns", 250_000_000),
-        max_open=pairs.whole("caps.max_open", 10_000),
-        sockets=_limit(limits, "sockets", 1024, LEAST_SOCKETS),
-        memory_mb=_limit(limits, "memory_mb", 192, LEAST_MEMORY_MB),
-        known=_known(known),
+        report_fields=dict(zip(pairs.items("load_info.fields"), field_meanings, strict=True)),
+        connect_timeout_ns=pairs.whole("caps.connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS),
+        max_open=pairs.whole("caps.max_open", DEFAULT_MAX_OPEN),
+        sockets=_limit(limits, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS),
+        memory_mb=_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB),
+        known=_known_list(document.get("known")),
         lease=api.LeaseState(),
         document=document,
     )
 
 
-def _known(told: object) -> EndpointList:
-    """The list as it was last had; it only helps at the start: a torn one is left out and asked anew."""
+def _class_names(pairs: Pairs, settings: api.Settings) -> tuple[str, ...]:
+    """The names of the job classes by number.  Raises ValueError for a repeated name or a bad deadline."""
+    names = tuple(pairs.text(f"services.{number}.name") for number in range(len(settings.classes)))
+    if len(set(names)) < len(names):
+        raise ValueError("two classes have the same name")
+    for name, job_class in zip(names, settings.classes, strict=True):
+        if job_class.client_timeout_ns <= 0 or job_class.latency_objective_ns <= 0:
+            raise ValueError(f"class {name} has a deadline that is no positive number")
+    return names
+
+
+def _socket_settings(settings: api.Settings, document: dict[str, Any]) -> api.Settings:
+    """The decoded settings, adapted to discovery over HTTP.
+
+    It only responds to polls, whatever mode the settings name for the simulator; in the mode `push` an agent
+    on this machine has the list.
+    """
+    return replace(
+        settings,
+        polls_endpoint_list=True,
+        endpoint_list_expires=True,
+        has_local_discovery_agent=not settings.polls_endpoint_list,
+        reservations=_reservations(document),
+    )
+
+
+def _known_list(document: object) -> EndpointList:
+    """The cached endpoint list; an invalid one is ignored, since it only shortens the start."""
+    empty = EndpointList(0, True, ())
+    if document is None:
+        return empty
     try:
-        return EndpointList(0, True, ()) if told is None else endpoint_list_from_json(told)
+        return endpoint_list_from_json(document)
     except MessageError as error:
         log.warning("known is left out: %s", error)
-        return EndpointList(0, True, ())
+        return empty
 
 
-def _limit(limits: dict[str, Any], name: str, default: int, least: int) -> int:
+def _limit(limits: dict[str, Any], name: str, default: int, min_value: int) -> int:
     value = limits.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int) or value < least:
-        raise ValueError(f"limits.{name} is no whole number from {least} up: {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int) or value < min_value:
+        raise ValueError(f"limits.{name} is no whole number from {min_value} up: {value!r}")
     return value
 
 
@@ -302,7 +358,7 @@
 
 
 def address(name: str, value: object) -> Address:
-    """HOST:PORT as an address."""
+    """The address of HOST:PORT; name: of the setting, for errors.  Raises ValueError."""
     host, colon, port = _text(name, value).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(f"{name} is no HOST:PORT: {value!r}")
