--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -15,7 +15,7 @@
 from weldquay.lab.direct import Result, Run, Trouble
 from weldquay.lab.room import FLEET
 from weldquay.reservations.settings import ReservationSettings
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
 
 LARGE = (replace(loads.KINDS[2], widths=(0.0, 0.0, 1.0), part=1.0),)
@@ -39,7 +39,7 @@
     capacity = sum(each.speed * each.cores for each in specs)
     arrivals = loads.draw(seed, MILD, capacity, load, dispatchers, kinds, hints)
     told = [
-        decode_settings(Pairs.from_nested(loads.settings(dispatchers, kinds, me)))[0]
+        decode_settings(FlatSettings.from_nested(loads.settings(dispatchers, kinds, me)))[0]
         for me in range(dispatchers)
     ]
     run = Run(arrivals, specs, [replace(each, reservations=room) for each in told], seed, kinds, 1, troubles)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -19,7 +19,7 @@
 from weldquay.lab import model
 from weldquay.lab.direct import Run, Trouble
 from weldquay.estimators.runtime import RuntimeEstimator
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 from tests.helpers import MS, SECOND
 
 RULE = SlowStartPolicy(
@@ -366,7 +366,7 @@
     kinds = loads.KINDS
     told = [
         replace(
-            decode_settings(Pairs.from_nested(loads.settings(40, kinds, me)))[0],
+            decode_settings(FlatSettings.from_nested(loads.settings(40, kinds, me)))[0],
             initial_capacity_fraction=RULE.initial_capacity_fraction,
             slow_start_ns=RULE.slow_start_ns,
             overload_multiple=RULE.overload_multiple,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 from weldquay import adapter, wire
 from weldquay import interface as api
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 
 SETTINGS = "\n".join(
     [
@@ -35,7 +35,7 @@
 
 def decode(text: str) -> tuple[api.Settings, tuple[str, ...]]:
     """Settings from the wire's text."""
-    return decode_settings(Pairs.from_text(text))
+    return decode_settings(FlatSettings.from_text(text))
 
 
 def one(text: str) -> wire.WireEvent:
@@ -117,8 +117,8 @@
         "zones": [],
     }
     assert (
-        Pairs.from_nested(nested).values
-        == Pairs.from_text(
+        FlatSettings.from_nested(nested).values
+        == FlatSettings.from_text(
             "\n".join(
                 [
                     "services.count=2",
--- a/weldquay/adapter.py
+++ b/weldquay/adapter.py
@@ -1,7 +1,7 @@
-"""The loop on standard input and output that hosts many independent instances of the dispatcher.
+"""The simulator's adapter: many independent dispatchers on standard input and output.
 
-Run it as `python -m weldquay.adapter [--room FILE]`.  It ends with status 0 when input ends between frames,
-and with status 2 and one line on standard error when input breaks the protocol or the file is bad.
+Run it as `python -m weldquay.adapter [--room FILE]`.  It exits with status 0 when the input ends between two
+frames, and with status 2 and one line on standard error if the input breaks the protocol or the file is bad.
 """
 
 from __future__ import annotations
@@ -16,54 +16,69 @@
 from weldquay import interface as api
 from weldquay import wire
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 
 if TYPE_CHECKING:
     from weldquay.reservations.settings import ReservationSettings
 
 
 class Host:
-    """The instances of one process.  They share nothing but this table."""
+    """The instances of one process, which share nothing but these tables."""
 
-    def __init__(self, room: ReservationSettings | None = None) -> None:
-        self.room = room
+    def __init__(self, reservations: ReservationSettings | None = None) -> None:
+        self.reservations = reservations
         self.dispatchers: dict[int, Dispatcher] = {}
-        self.fields: dict[int, tuple[str, ...]] = {}
+        self.report_fields: dict[int, tuple[str, ...]] = {}
 
     def answer(self, now_ns: int, body: bytes, count: int) -> bytes:
-        """The body of the reply to one batch."""
-        pending: dict[int, list[api.Event]] = {}
-        broken: dict[int, str] = {}
-        for instance, event in wire.decode_batch(body, count, self.fields):
+        """The body of the reply to a batch of count records.
+
+        An exception in an instance becomes its FAULT record.  Raises WireError.
+        """
+        events_by_instance: dict[int, list[api.Event]] = {}
+        faults: dict[int, str] = {}
+        for instance, event in wire.decode_batch(body, count, self.report_fields):
             if isinstance(event, wire.Killed):
-                self.dispatchers.pop(instance, None)
-                self.fields.pop(instance, None)
-                pending.pop(instance, None)
+                self._remove(instance)
+                events_by_instance.pop(instance, None)
             elif isinstance(event, wire.PowerOn):
-                pending[instance] = []
+                events_by_instance[instance] = []
                 try:
-                    settings, self.fields[instance] = decode_settings(Pairs.from_text(event.settings_text))
-                    self.dispatchers[instance] = Dispatcher(
-                        replace(settings, reservations=self.room), event.seed
-                    )
-                except Exception as error:  # told to the other side as FAULT, below
-                    broken[instance] = f"{type(error).__name__}: {error}"
+                    self._start(instance, event)
+                except Exception as error:  # becomes a FAULT record
+                    faults[instance] = _describe(error)
             else:
-                pending.setdefault(instance, []).append(event)
-        parts = []
-        for instance, events in pending.items():
-            if instance not in broken and instance in self.dispatchers:
+                events_by_instance.setdefault(instance, []).append(event)
+        records = []
+        for instance, events in events_by_instance.items():
+            if instance not in faults and instance in self.dispatchers:
                 try:
                     actions = self.dispatchers[instance].step(now_ns, events)
-                    parts.append(wire.encode_actions(instance, actions))
-                except Exception as error:  # never swallowed: FAULT ends the day with this text
-                    broken[instance] = f"{type(error).__name__}: {error}"
-            if instance in broken:
-                parts.append(wire.encode_fault(instance, broken[instance]))
-        return b"".join(parts)
+                    records.append(wire.encode_actions(instance, actions))
+                except Exception as error:  # becomes a FAULT record
+                    faults[instance] = _describe(error)
+            if instance in faults:
+                records.append(wire.encode_fault(instance, faults[instance]))
+        return b"".join(records)
+
+    def _start(self, instance: int, power_on: wire.PowerOn) -> None:
+        settings, report_fields = decode_settings(FlatSettings.from_text(power_on.settings_text))
+        self.report_fields[instance] = report_fields
+        settings = replace(settings, reservations=self.reservations)
+        self.dispatchers[instance] = Dispatcher(settings, power_on.seed)
+
+    def _remove(self, instance: int) -> None:
+        self.dispatchers.pop(instance, None)
+        self.report_fields.pop(instance, None)
+
+
+def _describe(error: Exception) -> str:
+    """The text of a FAULT record."""
+    return f"{type(error).__name__}: {error}"
 
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
+    """Read size bytes, or fewer at the end of the input."""
     data = source.read(size)
     while len(data) < size:
         more = source.read(size - len(data))
@@ -73,9 +88,9 @@
     return data
 
 
-def serve(source: BinaryIO, sink: BinaryIO, room: ReservationSettings | None = None) -> None:
-    """Answer batches until input ends; raise WireError where it breaks the protocol."""
-    host = Host(room)
+def serve(source: BinaryIO, sink: BinaryIO, reservations: ReservationSettings | None = None) -> None:
+    """Reply to batches until the input ends.  Raises WireError if it breaks the protocol."""
+    host = Host(reservations)
     frame = 0
     while True:
         header = _read_exactly(source, wire.HEADER.size)
@@ -97,7 +112,7 @@
 
 
 def main() -> int:
-    """Serve standard input; the exit status."""
+    """Serve standard input, and return the exit status."""
     parser = argparse.ArgumentParser("weldquay.adapter", description="Decisions on the simulator's wire.")
     parser.add_argument(
         "--room",
@@ -105,15 +120,15 @@
         default=os.environ.get("GW_ROOM"),
         help="figures for holding room for large jobs (or $GW_ROOM)",
     )
-    path, room = parser.parse_args().room, None
+    path = parser.parse_args().room
+    reservations = None
     try:
         if path:
-            from weldquay.reservations import (
-                settings as reservation_settings,
-            )  # only where they are used: its library costs memory
+            # Imported only if used: its library takes memory.
+            from weldquay.reservations import settings as reservation_settings
 
-            room = reservation_settings.read(Path(path))
-        serve(sys.stdin.buffer, sys.stdout.buffer, room)
+            reservations = reservation_settings.read(Path(path))
+        serve(sys.stdin.buffer, sys.stdout.buffer, reservations)
     except (wire.WireError, ValueError) as error:
         print(f"weldquay: {error}", file=sys.stderr)
         return 2
--- a/weldquay/lab/room.py
+++ b/weldquay/lab/room.py
@@ -26,7 +26,7 @@
 from weldquay.lab.direct import Run
 from weldquay.lab.site import site
 from weldquay.reservations import settings as figures
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 
 FLEET = (("fast", 1.6), ("standard", 1.0), ("standard", 0.95), ("old", 0.6), ("old", 0.55), ("old", 0.65))
 RETRIES = 2
@@ -99,7 +99,7 @@
 def _virtual(plan: Plan) -> Outcome:
     room = figures.read(Path(plan.room)) if plan.arm == "on" else None
     told = [
-        decode_settings(Pairs.from_nested(loads.settings(plan.dispatchers, me=me)))[0]
+        decode_settings(FlatSettings.from_nested(loads.settings(plan.dispatchers, me=me)))[0]
         for me in range(plan.dispatchers)
     ]
     run = Run(
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -22,7 +22,7 @@
 from weldquay.lab.direct import Run
 from weldquay.lab.scale.points import JOBS, WORK_NS, settings
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 
 RATE = 20.0  # requests a second
 WORKERS = (10, 100, 400, 1400)
@@ -72,7 +72,7 @@
 def measure(workers: int, dispatchers: int, requests: int = REQUESTS, repeats: int = REPEATS) -> Cost:
     """Play one size so many times."""
     cost = Cost(workers, dispatchers, requests, [], [], [], [], [])
-    told = decode_settings(Pairs.from_nested(settings(dispatchers, 0)))[0]
+    told = decode_settings(FlatSettings.from_nested(settings(dispatchers, 0)))[0]
     specs = [model.Spec(f"w-{number}", slots=32, cores=32, queue=64) for number in range(workers)]
     for seed in range(1, repeats + 1):
         run = Run(arrivals(requests, seed), specs, [told], seed, JOBS)
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -14,7 +14,7 @@
 from weldquay.errors import OperatorError
 from weldquay.limits import LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT
 from weldquay.net.messages import EndpointList, MessageError, endpoint_list_from_json
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 
 if TYPE_CHECKING:
     from weldquay.reservations.settings import ReservationSettings
@@ -266,10 +266,10 @@
 
     Raises ValueError or MessageError if a value is missing or malformed.
     """
-    pairs = Pairs.from_nested(document.get("settings"))
-    settings, field_meanings = decode_settings(pairs)
-    class_names = _class_names(pairs, settings)
-    if pairs.whole("caps.max_attempts", 1) < 1:
+    flat = FlatSettings.from_nested(document.get("settings"))
+    settings, field_meanings = decode_settings(flat)
+    class_names = _class_names(flat, settings)
+    if flat.integer("caps.max_attempts", 1) < 1:
         raise ValueError("caps.max_attempts is no positive number")
     limits = document.get("limits") or {}
     if not isinstance(limits, dict):
@@ -286,11 +286,11 @@
         settings=_socket_settings(settings, document),
         class_names=class_names,
         offered=frozenset(class_names),
-        zones=tuple(pairs.items("zones")),
-        kinds=tuple(pairs.items("shapes")),
-        report_fields=dict(zip(pairs.items("load_info.fields"), field_meanings, strict=True)),
-        connect_timeout_ns=pairs.whole("caps.connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS),
-        max_open=pairs.whole("caps.max_open", DEFAULT_MAX_OPEN),
+        zones=tuple(flat.items("zones")),
+        kinds=tuple(flat.items("shapes")),
+        report_fields=dict(zip(flat.items("load_info.fields"), field_meanings, strict=True)),
+        connect_timeout_ns=flat.integer("caps.connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS),
+        max_open=flat.integer("caps.max_open", DEFAULT_MAX_OPEN),
         sockets=_limit(limits, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS),
         memory_mb=_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB),
         known=_known_list(document.get("known")),
@@ -299,9 +299,9 @@
     )
 
 
-def _class_names(pairs: Pairs, settings: api.Settings) -> tuple[str, ...]:
+def _class_names(flat: FlatSettings, settings: api.Settings) -> tuple[str, ...]:
     """The names of the job classes by number.  Raises ValueError for a repeated name or a bad deadline."""
-    names = tuple(pairs.text(f"services.{number}.name") for number in range(len(settings.classes)))
+    names = tuple(flat.text(f"services.{number}.name") for number in range(len(settings.classes)))
     if len(set(names)) < len(names):
         raise ValueError("two classes have the same name")
     for name, job_class in zip(names, settings.classes, strict=True):
--- a/weldquay/wire.py
+++ b/weldquay/wire.py
@@ -1,17 +1,59 @@
-"""Codec of the simulator's wire: frames to interface types and back."""
+"""Codec of the simulator's wire: frames to events, and actions to records.
+
+Source: the page WIRE.  All numbers are little-endian; a record is a 16-bit code and its
+fields.  Each code has a decoder or an encoder in a table.
+"""
 
 from __future__ import annotations
 
 import struct
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import Any
 
 from weldquay import interface as api
 from weldquay.errors import OperatorError
 from weldquay.settings import load_report
 
-HEADER = struct.Struct("<IIQ")
-REPLY_HEADER = struct.Struct("<I")
+HEADER = struct.Struct("<IIQ")  # of a batch: bytes of its body, records, time in ns
+REPLY_HEADER = struct.Struct("<I")  # bytes of the reply's body
+MAX_TEXT = 60_000  # bytes of a text in a record
+
+
+class EventCode(IntEnum):
+    """The codes of the records in a batch, with the names of the page WIRE."""
+
+    REPORT_BACK = 256
+    REQUEST = 257
+    MAIL = 258
+    DEADLINE_HIT = 259
+    HEARTBEAT = 260
+    GONE = 261
+    KILLED = 262
+    FOR = 263  # the instance of the records after it
+    ACK_FIRST = 264
+    MEMBERSHIP = 265
+    CHECKED = 266
+    POWER_ON = 267
+
+
+class ActionCode(IntEnum):
+    """The codes of the records in a reply, with the names of the page WIRE."""
+
+    ISSUE = 320
+    DECLINE = 321
+    ABORT = 322
+    CALL_OFF = 323
+    REMIND = 324
+    SOUND_OUT = 325
+    DROP_CONNS = 326
+    SHARE = 327
+    RECORD = 328
+    FAULT = 329
+    OBSERVE = 330
+    INSTANCE = 332  # the instance of the records after it
+
 
 _OUTCOMES = {
     10: api.Outcome.OK,
@@ -23,30 +65,37 @@
     70: api.Outcome.CANCELLED,
     80: api.Outcome.ABORTED_BEFORE_SEND,
 }
-_STATES = {0: api.WorkerState.GONE, 1: api.WorkerState.READY, 2: api.WorkerState.DRAINING}
-_LISTS = {
+_WORKER_STATES = {0: api.WorkerState.GONE, 1: api.WorkerState.READY, 2: api.WorkerState.DRAINING}
+_LIST_KINDS = {
     0: api.EndpointListKind.DELTA,
     1: api.EndpointListKind.FULL,
     2: api.EndpointListKind.CACHED,
     3: api.EndpointListKind.FAILED,
 }
 
-_ENTRY = struct.Struct("<HHBIHQf")
-_REQUEST = struct.Struct("<IBIQQQffH")
-_OUTCOME = struct.Struct("<IHIBQBBB")
-_PROBED = struct.Struct("<QBIB")
-_NOTE = struct.Struct("<IHIBf")
-_BEGUN = struct.Struct("<IHIQ")
-_MEMBERS = struct.Struct("<IBI")
-_U16 = struct.Struct("<H")
+# The fields of the records that follow the code; those of the events first.
+_CODE = struct.Struct("<H")
 _U32 = struct.Struct("<I")
+_REPORT_BACK = struct.Struct("<IHIBQBBB")
+_REQUEST = struct.Struct("<IBIQQQffH")
+_PEER_MESSAGE = struct.Struct("<HH")
+_PROGRESS = struct.Struct("<IHIBf")
+_RESPONSE_STARTED = struct.Struct("<IHIQ")
+_MEMBERSHIP = struct.Struct("<IBI")
+_MEMBER = struct.Struct("<HHBIHQf")
+_PROBE_RESULT = struct.Struct("<QBIB")
 _POWER_ON = struct.Struct("<QI")
-_HINT_VALID, _REPEAT = 1, 2
+
+_PROGRESS_STARTED = 1  # the kind of progress that has no amount
+_REQUEST_HAS_HINT = 1  # flags of a request
+_REQUEST_IS_RETRY = 2
 _EVERY_PEER = 0xFFFFFFFF
+_WATCH_ON = 1
+_NO_INSTANCE = -1
 
 
 class WireError(OperatorError):
-    """A frame that does not follow the protocol; the text names what and where."""
+    """A frame does not follow the protocol; the text says what is wrong, and where."""
 
     error_code = "wire-error"
     remedy = "start the adapter with the simulator of the same protocol note; nothing else speaks this wire"
@@ -54,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PowerOn:
-    """An instance begins empty, with its seed and its settings as text."""
+    """An instance starts without any state, with its seed and the text of its settings."""
 
     seed: int
     settings_text: str
@@ -62,167 +111,245 @@
 
 @dataclass(frozen=True, slots=True)
 class Killed:
-    """An instance is gone with all that it held."""
+    """An instance has ended, with all its state."""
 
 
 WireEvent = api.Event | PowerOn | Killed
 
 
 class _Reader:
-    """Reads fields off a frame's body and refuses to run past its end."""
+    """Reads fields from a frame's body.  Raises WireError past its end."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.at = 0
-        self.record = 0
-
-    def take(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Unpack the next fields (the floats among them are read as such at run time)."""
-        if self.at + layout.size > len(self.body):
-            raise WireError(f"record {self.record}: fields run past the frame at byte {self.at}")
-        fields = layout.unpack_from(self.body, self.at)
-        self.at += layout.size
+        self.offset = 0  # bytes
+        self.record = 0  # its number in the frame, for errors
+
+    def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
+        """The next fields; those of a float format are floats at run time."""
+        if self.offset + layout.size > len(self.body):
+            raise WireError(f"record {self.record}: fields run past the frame at byte {self.offset}")
+        fields = layout.unpack_from(self.body, self.offset)
+        self.offset += layout.size
         return fields
 
-    def take_bytes(self, count: int) -> bytes:
-        """Take count bytes."""
-        if self.at + count > len(self.body):
-            raise WireError(f"record {self.record}: {count} bytes run past the frame at byte {self.at}")
-        self.at += count
-        return self.body[self.at - count : self.at]
+    def read(self, count: int) -> bytes:
+        """The next count bytes."""
+        start = self.offset
+        if start + count > len(self.body):
+            raise WireError(f"record {self.record}: {count} bytes run past the frame at byte {start}")
+        self.offset += count
+        return self.body[start : self.offset]
 
 
-def _report(reader: _Reader, count: int, fields: tuple[str, ...]) -> api.LoadReport | None:
-    """A load report, or None where it is absent or short of a field."""
-    values = struct.unpack(f"<{count}f", reader.take_bytes(4 * count))
-    if not fields or count < len(fields):
-        return None
-    return load_report(dict(zip(fields, values, strict=False)))
+ReportFields = tuple[str, ...]  # what the numbers of a load report mean, in their order
 
 
 def decode_batch(
-    body: bytes, count: int, fields_of: dict[int, tuple[str, ...]]
+    body: bytes, count: int, report_fields: dict[int, ReportFields]
 ) -> Iterator[tuple[int, WireEvent]]:
-    """Yield (instance, event) for each record; fields_of gives each instance's report fields.
+    """Yield (instance, event) for each of the count records; report_fields: by instance.
 
-    It is a generator so that a PowerOn seen by the caller can set fields_of before the next record is read.
+    Each record is read when the next event is asked for, so that the caller can add the report fields of a
+    PowerOn to report_fields before them.  Raises WireError.
     """
     reader = _Reader(body)
     instance: int | None = None
     for number in range(count):
         reader.record = number
-        (code,) = reader.take(_U16)
-        if code == 263:
-            (instance,) = reader.take(_U32)
+        (code,) = reader.unpack(_CODE)
+        if code == EventCode.FOR:
+            (instance,) = reader.unpack(_U32)
             continue
-        event = _decode_event(reader, code, fields_of.get(-1 if instance is None else instance, ()))
+        decode = _DECODERS.get(code)
+        if decode is None:
+            raise WireError(f"record {number}: unknown code {code} at byte {reader.offset - _CODE.size}")
+        fields = report_fields.get(_NO_INSTANCE if instance is None else instance, ())
+        event = decode(reader, fields)
         if instance is None:
             raise WireError(f"record {number}: an event before any FOR")
         yield instance, event
-    if reader.at != len(body):
-        raise WireError(f"{len(body) - reader.at} bytes left after the last of {count} records")
-
-
-def _decode_event(reader: _Reader, code: int, fields: tuple[str, ...]) -> WireEvent:
-    if code == 256:
-        call, hop, worker, status, latency, over, _note, n = reader.take(_OUTCOME)
-        report = _report(reader, n, fields)
-        outcome = _OUTCOMES.get(status, api.Outcome.UNKNOWN)
-        return api.AttemptEnded(call, hop, worker, outcome, latency, bool(over), report)
-    if code == 257:
-        call, kind, _tenant, key, left, hint, slots, memory, flags = reader.take(_REQUEST)
-        return api.RequestReceived(
-            call,
-            kind,
-            left,
-            float(slots),
-            float(memory),
-            hint if flags & _HINT_VALID else None,
-            key,
-            bool(flags & _REPEAT),
-        )
-    if code == 260:
-        call, hop, worker, what, amount = reader.take(_NOTE)
-        return api.AttemptProgress(call, hop, worker, None if what == 1 else float(amount))
-    if code == 266:
-        latency, status, worker, n = reader.take(_PROBED)
-        report = _report(reader, n, fields)
-        return api.ProbeEnded(worker, _OUTCOMES.get(status, api.Outcome.UNKNOWN), latency, report)
-    if code == 259:
-        return api.TimerDue(reader.take(_U32)[0])
-    if code == 261:
-        return api.ClientDisconnected(reader.take(_U32)[0])
-    if code == 262:
-        return Killed()
-    if code == 264:
-        call, hop, worker, _latency = reader.take(_BEGUN)
-        return api.ResponseStarted(call, hop, worker)
-    if code == 258:
-        sender, size = reader.take(struct.Struct("<HH"))
-        return api.PeerMessage(sender, reader.take_bytes(size))
-    if code == 265:
-        _seq, kind, n = reader.take(_MEMBERS)
-        if kind not in _LISTS:
-            raise WireError(f"record {reader.record}: unknown list kind {kind}")
-        rows = _Reader(reader.take_bytes(n * _ENTRY.size))
-        return api.EndpointListUpdate(_LISTS[kind], tuple(_entry(rows, reader.record) for _ in range(n)))
-    if code == 267:
-        seed, size = reader.take(_POWER_ON)
-        return PowerOn(seed, reader.take_bytes(size).decode("utf-8", "replace"))
-    raise WireError(f"record {reader.record}: unknown code {code} at byte {reader.at - 2}")
-
-
-def _entry(rows: _Reader, record: int) -> api.WorkerEntry:
-    cell, kind, state, worker, zone, started, weight = rows.take(_ENTRY)
-    if state not in _STATES:
+    if reader.offset != len(body):
+        raise WireError(f"{len(body) - reader.offset} bytes left after the last of {count} records")
+
+
+def _read_load_report(reader: _Reader, count: int, fields: ReportFields) -> api.LoadReport | None:
+    """A load report of count numbers; None if it is absent or lacks a field."""
+    values = struct.unpack(f"<{count}f", reader.read(4 * count))
+    if not fields or count < len(fields):
+        return None
+    return load_report(dict(zip(fields, values, strict=False)))
+
+
+def _decode_report_back(reader: _Reader, fields: ReportFields) -> api.AttemptEnded:
+    request, attempt, worker, status, latency_ns, is_finished, _note, count = reader.unpack(_REPORT_BACK)
+    report = _read_load_report(reader, count, fields)
+    outcome = _OUTCOMES.get(status, api.Outcome.UNKNOWN)
+    return api.AttemptEnded(request, attempt, worker, outcome, latency_ns, bool(is_finished), report)
+
+
+def _decode_request(reader: _Reader, _fields: ReportFields) -> api.RequestReceived:
+    request, job_class, _tenant, key, time_left_ns, hint_ns, slots, memory, flags = reader.unpack(_REQUEST)
+    return api.RequestReceived(
+        request,
+        job_class,
+        time_left_ns,
+        float(slots),
+        float(memory),
+        hint_ns if flags & _REQUEST_HAS_HINT else None,
+        key,
+        bool(flags & _REQUEST_IS_RETRY),
+    )
+
+
+def _decode_peer_message(reader: _Reader, _fields: ReportFields) -> api.PeerMessage:
+    sender, size = reader.unpack(_PEER_MESSAGE)
+    return api.PeerMessage(sender, reader.read(size))
+
+
+def _decode_deadline_hit(reader: _Reader, _fields: ReportFields) -> api.TimerDue:
+    return api.TimerDue(reader.unpack(_U32)[0])
+
+
+def _decode_progress(reader: _Reader, _fields: ReportFields) -> api.AttemptProgress:
+    request, attempt, worker, kind, amount = reader.unpack(_PROGRESS)
+    return api.AttemptProgress(request, attempt, worker, None if kind == _PROGRESS_STARTED else float(amount))
+
+
+def _decode_gone(reader: _Reader, _fields: ReportFields) -> api.ClientDisconnected:
+    return api.ClientDisconnected(reader.unpack(_U32)[0])
+
+
+def _decode_killed(_reader: _Reader, _fields: ReportFields) -> Killed:
+    return Killed()
+
+
+def _decode_response_started(reader: _Reader, _fields: ReportFields) -> api.ResponseStarted:
+    request, attempt, worker, _latency_ns = reader.unpack(_RESPONSE_STARTED)
+    return api.ResponseStarted(request, attempt, worker)
+
+
+def _decode_membership(reader: _Reader, _fields: ReportFields) -> api.EndpointListUpdate:
+    _sequence, kind, count = reader.unpack(_MEMBERSHIP)
+    if kind not in _LIST_KINDS:
+        raise WireError(f"record {reader.record}: unknown list kind {kind}")
+    members = _Reader(reader.read(count * _MEMBER.size))
+    entries = tuple(_decode_member(members, reader.record) for _ in range(count))
+    return api.EndpointListUpdate(_LIST_KINDS[kind], entries)
+
+
+def _decode_member(reader: _Reader, record: int) -> api.WorkerEntry:
+    cell, kind, state, worker, zone, started_ns, weight = reader.unpack(_MEMBER)
+    if state not in _WORKER_STATES:
         raise WireError(f"record {record}: unknown worker state {state}")
-    return api.WorkerEntry(worker, _STATES[state], cell, kind, zone, started, float(weight), worker)
+    return api.WorkerEntry(
+        worker, _WORKER_STATES[state], cell, kind, zone, started_ns, float(weight), start_id=worker
+    )
+
+
+def _decode_probe_result(reader: _Reader, fields: ReportFields) -> api.ProbeEnded:
+    latency_ns, status, worker, count = reader.unpack(_PROBE_RESULT)
+    report = _read_load_report(reader, count, fields)
+    return api.ProbeEnded(worker, _OUTCOMES.get(status, api.Outcome.UNKNOWN), latency_ns, report)
+
+
+def _decode_power_on(reader: _Reader, _fields: ReportFields) -> PowerOn:
+    seed, size = reader.unpack(_POWER_ON)
+    return PowerOn(seed, reader.read(size).decode("utf-8", "replace"))
+
+
+_DECODERS: dict[int, Callable[[_Reader, ReportFields], WireEvent]] = {
+    EventCode.REPORT_BACK: _decode_report_back,
+    EventCode.REQUEST: _decode_request,
+    EventCode.MAIL: _decode_peer_message,
+    EventCode.DEADLINE_HIT: _decode_deadline_hit,
+    EventCode.HEARTBEAT: _decode_progress,
+    EventCode.GONE: _decode_gone,
+    EventCode.KILLED: _decode_killed,
+    EventCode.ACK_FIRST: _decode_response_started,
+    EventCode.MEMBERSHIP: _decode_membership,
+    EventCode.CHECKED: _decode_probe_result,
+    EventCode.POWER_ON: _decode_power_on,
+}
 
 
 def encode_actions(instance: int, actions: list[api.Action]) -> bytes:
-    """The records of one instance's actions; empty where there are none."""
+    """The records of one instance's actions; empty if there are none."""
     if not actions:
         return b""
-    parts = [struct.pack("<HI", 332, instance)]
-    for action in actions:
-        parts.append(_encode_action(action))
-    return b"".join(parts)
-
-
-def _encode_action(action: api.Action) -> bytes:
-    match action:
-        case api.Send():
-            return struct.pack("<HIQI", 320, action.request_id, action.timeout_ns, action.worker)
-        case api.Reject():
-            return struct.pack("<HIQ", 321, action.request_id, action.retry_after_ns)
-        case api.Fail():
-            return struct.pack("<HI", 322, action.request_id)
-        case api.Cancel():
-            return struct.pack("<HIH", 323, action.request_id, action.attempt)
-        case api.SetTimer():
-            return struct.pack("<HQI", 324, action.delay_ns, action.token)
-        case api.Probe():
-            return struct.pack("<HI", 325, action.worker)
-        case api.CloseIdleConnections():
-            return struct.pack("<HI", 326, action.worker)
-        case api.SendToPeer():
-            peer = _EVERY_PEER if action.peer is None else action.peer
-            return struct.pack("<HIH", 327, peer, len(action.data)) + action.data
-        case api.Log():
-            text = action.text.encode()[:60_000]
-            return struct.pack("<HH", 328, len(text)) + text
-        case api.WatchEndpoints():
-            return struct.pack("<HB", 330, 1)
-        case api.ReservationEnded():
-            return b""  # news for operators; the simulator has no record for it
+    records = [struct.pack("<HI", ActionCode.INSTANCE, instance)]
+    records += [_ENCODERS[type(action)](action) for action in actions]
+    return b"".join(records)
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """The records that declare an instance's decision code broken."""
-    data = text.encode()[:60_000]
-    return struct.pack("<HIHH", 332, instance, 329, len(data)) + data
+    """The records of a failure in an instance's decision module."""
+    data = text.encode()[:MAX_TEXT]
+    return struct.pack("<HIHH", ActionCode.INSTANCE, instance, ActionCode.FAULT, len(data)) + data
 
 
 def frame_reply(body: bytes) -> bytes:
-    """A whole reply frame."""
+    """The frame of a reply."""
     return REPLY_HEADER.pack(len(body)) + body
+
+
+def _encode_send(action: api.Send) -> bytes:
+    return struct.pack("<HIQI", ActionCode.ISSUE, action.request_id, action.timeout_ns, action.worker)
+
+
+def _encode_reject(action: api.Reject) -> bytes:
+    return struct.pack("<HIQ", ActionCode.DECLINE, action.request_id, action.retry_after_ns)
+
+
+def _encode_fail(action: api.Fail) -> bytes:
+    return struct.pack("<HI", ActionCode.ABORT, action.request_id)
+
+
+def _encode_cancel(action: api.Cancel) -> bytes:
+    return struct.pack("<HIH", ActionCode.CALL_OFF, action.request_id, action.attempt)
+
+
+def _encode_set_timer(action: api.SetTimer) -> bytes:
+    return struct.pack("<HQI", ActionCode.REMIND, action.delay_ns, action.token)
+
+
+def _encode_probe(action: api.Probe) -> bytes:
+    return struct.pack("<HI", ActionCode.SOUND_OUT, action.worker)
+
+
+def _encode_close_idle(action: api.CloseIdleConnections) -> bytes:
+    return struct.pack("<HI", ActionCode.DROP_CONNS, action.worker)
+
+
+def _encode_peer_message(action: api.SendToPeer) -> bytes:
+    peer = _EVERY_PEER if action.peer is None else action.peer
+    return struct.pack("<HIH", ActionCode.SHARE, peer, len(action.data)) + action.data
+
+
+def _encode_log(action: api.Log) -> bytes:
+    data = action.text.encode()[:MAX_TEXT]
+    return struct.pack("<HH", ActionCode.RECORD, len(data)) + data
+
+
+def _encode_watch(_action: api.WatchEndpoints) -> bytes:
+    return struct.pack("<HB", ActionCode.OBSERVE, _WATCH_ON)
+
+
+def _encode_nothing(_action: api.ReservationEnded) -> bytes:
+    """The simulator has no record for the end of a reservation."""
+    return b""
+
+
+_ENCODERS: dict[type[api.Action], Callable[[Any], bytes]] = {
+    api.Send: _encode_send,
+    api.Reject: _encode_reject,
+    api.Fail: _encode_fail,
+    api.Cancel: _encode_cancel,
+    api.SetTimer: _encode_set_timer,
+    api.Probe: _encode_probe,
+    api.CloseIdleConnections: _encode_close_idle,
+    api.SendToPeer: _encode_peer_message,
+    api.Log: _encode_log,
+    api.WatchEndpoints: _encode_watch,
+    api.ReservationEnded: _encode_nothing,
+}
