--- a/weldquay/net/counter_names.py
+++ b/weldquay/net/counter_names.py
@@ -1,6 +1,6 @@
-"""The names of counters that have one for each outcome, list event or end of a reservation.
+"""The names of the counters that exist for each outcome, list update or end of a reservation.
 
-Operators' dashboards use these names.  They are written out, so that classes and enum members can be renamed.
+Operators' dashboards use these names, so they do not follow the names of classes or enum members.
 """
 
 from __future__ import annotations
--- a/weldquay/net/counters.py
+++ b/weldquay/net/counters.py
@@ -1,4 +1,4 @@
-"""Counters and peaks of one process, for its log and its operators."""
+"""The metrics of one process, for its log: counters and peaks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Counters:
-    """Counts by name, and the largest value of each measured figure."""
+    """Counts by name, and the largest value of each measured quantity."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -19,11 +19,11 @@
         self.counts[name] += 1
 
     def peak(self, name: str, value: float) -> None:
-        """Record a value; the largest one is kept."""
+        """Record a value of a quantity; only the largest one is kept."""
         if value > self.peaks.get(name, 0.0):
             self.peaks[name] = value
 
     def line(self) -> str:
         """All counts and peaks as one line of JSON, sorted by name; peaks have three decimals."""
-        figures = {**self.counts, **{name: round(value, 3) for name, value in self.peaks.items()}}
-        return ujson.dumps(dict(sorted(figures.items())))
+        peaks = {name: round(value, 3) for name, value in self.peaks.items()}
+        return ujson.dumps(dict(sorted({**self.counts, **peaks}.items())))
--- a/weldquay/net/json_stream.py
+++ b/weldquay/net/json_stream.py
@@ -1,8 +1,8 @@
-"""A watch's bytes as JSON values and signs of life.  No I/O, no clock.
+"""The parser of a watch: bytes in, JSON values and heartbeats out.  No I/O, no clock.
 
-Rules: a value stands on one line, or indented over several; an empty line outside a value says that nothing
-has changed.  A line that begins no value is handed on as it is, for its reader to refuse.  Bytes that never
-make a whole value are bounded by MAX_VALUE.
+Rules: a value is written on one line, or indented on several lines.  An empty line outside a value is a
+heartbeat.  A line that does not begin a value is returned as it is, and rejected by the parser of the value.
+Bytes that never complete a value are limited by MAX_VALUE.
 """
 
 from __future__ import annotations
@@ -11,43 +11,55 @@
 
 from weldquay.net.messages import MessageError
 
-MAX_VALUE = 4 * 1024 * 1024
-_MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings whole, so that brackets in them do not count
+MAX_VALUE = 4 * 1024 * 1024  # bytes
+_OPENING = (b"{", b"[")
+_CLOSING = (b"}", b"]")
+_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings as a whole: brackets in them do not count
 
 
 class JsonStreamParser:
-    """Takes in bytes as they come; hands out whole values, and b"" for each empty line."""
+    """Collects bytes, and returns each complete value, and b"" for each heartbeat."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()  # of a line
-        self.open = bytearray()  # lines of a value that is not whole
-        self.depth = 0
+        self._partial_line = bytearray()
+        self._partial_value = bytearray()  # the complete lines of a value that has more
+        self._depth = 0  # open brackets of the partial value
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The values and empty lines that are whole now; MessageError where one is too long."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        done = [bytes(value) for line in lines if (value := self._line(line.strip())) is not None]
-        if len(self.open) + len(self.rest) > MAX_VALUE:
+        """The values and heartbeats that the data completes.  Raises MessageError if a value is too long."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        completed = []
+        for line in lines:
+            value = self._add_line(line.strip())
+            if value is not None:
+                completed.append(bytes(value))
+        if len(self._partial_value) + len(self._partial_line) > MAX_VALUE:
             raise MessageError("a line is too long")
-        return done
+        return completed
 
-    def _line(self, line: bytearray) -> bytearray | None:
-        """The value that the line ends; None while it is not whole."""
-        if not self.depth and (self._whole(line) or not line.startswith((b"{", b"["))):
+    def _add_line(self, line: bytearray) -> bytearray | None:
+        """The value that a line completes; None while it is incomplete."""
+        if not self._depth and (_is_complete(line) or not line.startswith(_OPENING)):
             return line
-        for mark in _MARKS.findall(line):
-            self.depth += (mark in (b"{", b"[")) - (mark in (b"}", b"]"))
-        self.open += line
-        if self.depth > 0:
+        for token in _TOKENS.findall(line):
+            self._depth += (token in _OPENING) - (token in _CLOSING)
+        self._partial_value += line
+        if self._depth > 0:
             return None
-        value, self.open, self.depth = self.open, bytearray(), 0
+        value = self._partial_value
+        self._partial_value = bytearray()
+        self._depth = 0
         return value
 
-    @staticmethod
-    def _whole(line: bytearray) -> bool:
-        """True for a value on one line: told by counts, as looking at each mark of a long list costs ms."""
-        return (
-            line.startswith(b"{")
-            and line.endswith(b"}")
-            and (line.count(b"{") == line.count(b"}") and line.count(b"[") == line.count(b"]"))
-        )
+
+def _is_complete(line: bytearray) -> bool:
+    """True for a value on one line, by the numbers of its brackets.
+
+    Matching the tokens of a long list takes milliseconds; counting does not.
+    """
+    return (
+        line.startswith(b"{")
+        and line.endswith(b"}")
+        and line.count(b"{") == line.count(b"}")
+        and line.count(b"[") == line.count(b"]")
+    )
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -49,7 +49,7 @@
 
 def _not_found(error: OperatorError) -> bytes:
     """A 404 answer with the error as JSON."""
-    return closing_response(404, ujson.dumps(error.told()).encode() + b"\n")
+    return closing_response(404, ujson.dumps(error.as_json()).encode() + b"\n")
 
 
 class Control(Protocol):
--- a/weldquay/net/streams.py
+++ b/weldquay/net/streams.py
@@ -1,7 +1,6 @@
-"""Streams that show which bytes have arrived and are not read yet, in the reader's and the system's buffer.
+"""Streams that show whether bytes have arrived and are unread, in the reader's and in the system's buffer.
 
-A connection is closed or reused only where it has no such bytes.  Guards against closing a connection at the
-moment when the other side writes to it.
+A connection is closed or reused only if it has no unread bytes: the peer may just have written to it.
 """
 
 from __future__ import annotations
@@ -12,6 +11,7 @@
 from collections.abc import Iterable
 from typing import SupportsIndex
 
+# Events of poll.
 READABLE = select.POLLIN
 HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
@@ -21,7 +21,7 @@
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit)
-        self.buffered = 0
+        self.buffered = 0  # bytes
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
         """Add received bytes to the buffer."""
@@ -30,32 +30,33 @@
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
-        """Return up to n bytes of the buffer; b"" at the end of the stream."""
+        """Up to n bytes of the buffer; b"" at the end of the stream."""
         data = await super().read(n)
         self.buffered -= len(data)
         return data
 
 
 def poll_now(sock: socket.socket, events: int) -> bool:
-    """True where one of the poll events is set on a socket, without waiting; ValueError for a closed one."""
+    """True if one of the poll events is set on a socket, without waiting.  Raises ValueError if closed."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
-    return any(found & events for _, found in poll.poll(0))
+    return any(found_events & events for _, found_events in poll.poll(0))
 
 
 def has_event(writer: asyncio.StreamWriter, events: int) -> bool:
-    """True where one of the poll events is set on a connection; False once it is closed on this side."""
+    """True if one of the poll events is set on a connection; False once it is closed on this side."""
     return not writer.is_closing() and poll_now(writer.get_extra_info("socket"), events)
 
 
 def unread(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
-    """True where bytes, or the end of the stream, have arrived and are not read yet."""
+    """True if bytes or the end of the stream have arrived and are unread."""
     return reader.buffered > 0 or has_event(writer, READABLE)
 
 
 async def connect(host: str, port: int, limit: int) -> tuple[CountingReader, asyncio.StreamWriter]:
-    """Connect to a server; limit: bytes of the reader's buffer.  Raises OSError where that fails."""
-    loop, reader = asyncio.get_running_loop(), CountingReader(limit)
+    """Connect to a server; limit: bytes of the reader's buffer.  Raises OSError if that fails."""
+    loop = asyncio.get_running_loop()
+    reader = CountingReader(limit)
     protocol = asyncio.StreamReaderProtocol(reader)
     transport, _ = await loop.create_connection(lambda: protocol, host, port)
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
