--- a/weldquay/net/action_executor.py
+++ b/weldquay/net/action_executor.py
@@ -23,7 +23,10 @@
 
 
 class ActionExecutor:
-    """Carries out each action of a step; `workers` and `discovery` are set before the first one."""
+    """Carries out the actions of a step, each by the handler of its type in `handlers`.
+
+    `workers` and `discovery` are set before the first action.
+    """
 
     workers: WorkerClient
     discovery: DiscoveryWatcher
@@ -42,7 +45,7 @@
         self._requests = requests
         self._attempts = attempts
         self._worker_ids = endpoint_list.worker_ids
-        self._handlers: dict[type[api.Action], Callable[[Any], None]] = {
+        self.handlers: dict[type[api.Action], Callable[[Any], None]] = {
             api.Send: self._send,
             api.Reject: self._reject,
             api.Fail: self._fail,
@@ -56,10 +59,6 @@
             api.SendToPeer: self._send_to_peer,
         }
 
-    def execute(self, action: api.Action) -> None:
-        """Carry out one action."""
-        self._handlers[type(action)](action)
-
     def _send(self, action: api.Send) -> None:
         now_ns = time.monotonic_ns()
         request = self._requests.by_number.get(action.request_id)
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -223,9 +223,9 @@
             log.exception("decision step failed on %r", events)
             self.counters.add("steps_failed")
             return
-        execute = self.executor.execute
+        handlers = self.executor.handlers
         for action in actions:
-            execute(action)
+            handlers[type(action)](action)
         self.endpoint_list.log_lease_changes(started_ns, has_requests=bool(self.requests.by_number))
         self.counters.add("steps")
         self.counters.peak("longest_step_ms", (time.monotonic_ns() - started_ns) / 1e6)
