--- a/tests/site.py
+++ b/tests/site.py
@@ -45,7 +45,7 @@
         """Done at once."""
         await self.tell(call, state="done", result=body.decode().upper())
 
-    async def accept(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def accept(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """A script: take the job and say no more."""
         writer.write(ACCEPTED)
 
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -16,21 +16,21 @@
 FULL = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
 
-async def cut_head(message: Message, writer: asyncio.StreamWriter) -> None:
+async def cut_head(_message: Message, writer: asyncio.StreamWriter) -> None:
     """Half of the 202's head, then the end."""
     writer.write(ACCEPTED[:15])
     await writer.drain()
     writer.close()
 
 
-async def cut_body(message: Message, writer: asyncio.StreamWriter) -> None:
+async def cut_body(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A head that promises more than comes."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
     writer.close()
 
 
-async def reset_body(message: Message, writer: asyncio.StreamWriter) -> None:
+async def reset_body(_message: Message, writer: asyncio.StreamWriter) -> None:
     """The same, ended by a reset."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
@@ -38,12 +38,12 @@
     writer.transport.abort()
 
 
-async def garbage(message: Message, writer: asyncio.StreamWriter) -> None:
+async def garbage(_message: Message, writer: asyncio.StreamWriter) -> None:
     """No HTTP at all."""
     writer.write(b"\x16\x03\x01 nothing of the kind\r\n\r\n")
 
 
-async def endless(message: Message, writer: asyncio.StreamWriter) -> None:
+async def endless(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A chunked answer without an end."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n")
     while not writer.is_closing():
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -172,7 +172,7 @@
         async with site() as here:
             worker, passed = here.workers[0], list[MigratedConnection]()
 
-            async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def silent(_message: Message, _writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
 
             worker.script = silent
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -125,7 +125,7 @@
         async with site(workers=2, caps={"probes": False, "may_duplicate": several}) as here:
             gate = asyncio.Event()
 
-            async def wait(worker: Scripted, writer: asyncio.StreamWriter) -> bool:
+            async def wait(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
                 return await gate.wait()
 
             posts = cut_first_attempt(here, wait)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,27 +20,27 @@
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 
 
-async def hang_up(message: Message, writer: asyncio.StreamWriter) -> None:
+async def hang_up(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: the connection breaks before the 202."""
     writer.transport.abort()
 
 
-async def turn_away(message: Message, writer: asyncio.StreamWriter) -> None:
+async def turn_away(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: no room, and the job was not begun."""
     writer.write(write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
 
 
-async def reject(message: Message, writer: asyncio.StreamWriter) -> None:
+async def reject(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: the worker cannot use the job, and no other could."""
     writer.write(write_message("HTTP/1.1 400 Bad Request"))
 
 
-async def accept(message: Message, writer: asyncio.StreamWriter) -> None:
+async def accept(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: take the job and say no more."""
     writer.write(ACCEPTED)
 
 
-async def keep_silent(message: Message, writer: asyncio.StreamWriter) -> None:
+async def keep_silent(_message: Message, _writer: asyncio.StreamWriter) -> None:
     """A script: no answer at all."""
     await asyncio.sleep(3600)
 
@@ -212,7 +212,7 @@
         async with site(workers=2) as here:
             first: list[Scripted] = []
 
-            async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def silent(message: Message, _writer: asyncio.StreamWriter) -> None:
                 worker = next(each for each in here.workers if message in each.seen)
                 first.append(worker)
                 for each in here.workers:
@@ -376,7 +376,7 @@
         async with site() as here:
             worker = here.workers[0]
 
-            async def broken(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def broken(_message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 writer.transport.abort()
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -24,7 +24,7 @@
         self.phase, self.address_told, self.asked = phase, "127.0.0.1:1", 0
         self.may_answer = asyncio.Event()
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """The list, once it may be told."""
         self.asked += 1
         await self.may_answer.wait()
@@ -68,7 +68,7 @@
     asyncio.run(scenario())
 
 
-async def told_then_broken(here: Site, failing: Failing) -> None:
+async def told_then_broken(here: Site, _failing: Failing) -> None:
     """The list has come, then the calls fail until the lease has run out."""
     exchange = here.program.coordinator
     await until(lambda: exchange.endpoint_list.expires_ns > time.monotonic_ns())
@@ -132,7 +132,7 @@
                     lease.deadline_ns = 1  # it has run out meanwhile
                 return connection
 
-            monkeypatch.setattr(connections, "take_idle", lambda worker: None)
+            monkeypatch.setattr(connections, "take_idle", lambda _worker: None)
             monkeypatch.setattr(connections, "connect", slow)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -38,7 +38,7 @@
         asked = 0
         well = False
 
-        async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+        async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
             self.asked += 1
             writer.write(NOTHING_NEW if self.well else answer)
             while drips and not self.well and not writer.is_closing():
