--- a/tests/failing_discovery.py
+++ b/tests/failing_discovery.py
@@ -10,28 +10,13 @@
 import pytest
 
 from example.toy import Message, Server
+from tests.site import WATCH_HEAD, list_of_one_worker
 from weldquay.discovery import backoff, list_lease
 from weldquay.net import discovery_client
 
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 Manner = Callable[[asyncio.StreamWriter, str], Awaitable[None]]
 
 
-def worker_list(revision: int, phase: str, address: str) -> bytes:
-    """A complete list of one worker, w0, as discovery sends it."""
-    member = {
-        "id": "w0",
-        "host_port": address,
-        "locality": "here",
-        "flavor": "toy",
-        "cell": 0,
-        "phase": phase,
-        "size": 1.0,
-        "up_since_ms": 0,
-    }
-    return json.dumps({"revision": revision, "complete": True, "members": [member]}, indent=1).encode()
-
-
 def chunk(data: bytes) -> bytes:
     """A chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
@@ -53,17 +38,17 @@
 
 async def head_only(writer: asyncio.StreamWriter, _address: str) -> None:
     """Send the head of a response and nothing else."""
-    writer.write(RESPONSE_HEAD)
+    writer.write(WATCH_HEAD)
 
 
 async def half_value(writer: asyncio.StreamWriter, address: str) -> None:
     """Send half a value."""
-    writer.write(RESPONSE_HEAD + chunk(worker_list(8, "DRAINING", address)[:40]))
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(8, "DRAINING", address)[:40]))
 
 
 async def endless_value(writer: asyncio.StreamWriter, _address: str) -> None:
     """Send a value that does not end."""
-    writer.write(RESPONSE_HEAD + chunk(b'{"revision": 8, "members": ['))
+    writer.write(WATCH_HEAD + chunk(b'{"revision": 8, "members": ['))
     while not writer.is_closing():
         writer.write(chunk(b"1,"))
         await asyncio.sleep(0.02)
@@ -71,7 +56,7 @@
 
 async def revision_then_reset(writer: asyncio.StreamWriter, address: str) -> None:
     """Send a complete value, then reset the connection."""
-    writer.write(RESPONSE_HEAD + chunk(worker_list(7, "SERVING", address) + b"\n"))
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
     await writer.drain()
     await asyncio.sleep(0.05)
     writer.transport.abort()
@@ -79,13 +64,13 @@
 
 async def empty_response(writer: asyncio.StreamWriter, _address: str) -> None:
     """Send a complete response without a list."""
-    writer.write(RESPONSE_HEAD + b"0\r\n\r\n")
+    writer.write(WATCH_HEAD + b"0\r\n\r\n")
 
 
 async def older_revision(writer: asyncio.StreamWriter, address: str) -> None:
     """Send a list, then a change of an older revision."""
-    writer.write(RESPONSE_HEAD + chunk(worker_list(7, "SERVING", address) + b"\n"))
-    old = json.loads(worker_list(3, "SERVING", address)) | {"complete": False}
+    writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
+    old = json.loads(list_of_one_worker(3, "SERVING", address)) | {"complete": False}
     writer.write(chunk(json.dumps(old).encode() + b"\n"))
 
 
@@ -113,7 +98,7 @@
         if self.left >= 0:
             await self.manner(writer, self.address_told)
         else:
-            writer.write(RESPONSE_HEAD + chunk(worker_list(9, "DRAINING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "DRAINING", self.address_told) + b"\n"))
 
 
 def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -132,5 +117,12 @@
         monkeypatch.setattr(backoff, name, getattr(backoff, name) // 10)
     for name in ("MAX_STALENESS_NS", "MAX_LOCAL_STALENESS_NS", "SEND_MARGIN_NS"):
         monkeypatch.setattr(list_lease, name, getattr(list_lease, name) // 10)
-    for name in ("BEAT_S", "LATE_S", "CONNECT_S", "ANSWER_S", "VALUE_S", "BUSY_S"):
+    for name in (
+        "HEARTBEAT_S",
+        "HEARTBEAT_GRACE_S",
+        "CONNECT_TIMEOUT_S",
+        "RESPONSE_TIMEOUT_S",
+        "VALUE_TIMEOUT_S",
+        "QUEUE_FAILURE_S",
+    ):
         monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) / 10)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -35,16 +35,16 @@
 
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "discovery.md"
 Failure = api.DiscoveryFailure
-SILENT_S = discovery_client.BEAT_S + discovery_client.LATE_S
+SILENT_S = discovery_client.HEARTBEAT_S + discovery_client.HEARTBEAT_GRACE_S
 # By the page's name of a failure: the seconds until it is detected, and its kind.
 FAILURES = {
     "refused at once": (0.0, Failure.REFUSED),
-    "connection never comes up": (discovery_client.CONNECT_S, Failure.CONNECT_TIMEOUT),
+    "connection never comes up": (discovery_client.CONNECT_TIMEOUT_S, Failure.CONNECT_TIMEOUT),
     "503 or reset at once": (0.0, Failure.REFUSED),
-    "no answer at all": (discovery_client.ANSWER_S, Failure.RESPONSE_TIMEOUT),
-    "no value after its head": (discovery_client.VALUE_S, Failure.RESPONSE_TIMEOUT),
+    "no answer at all": (discovery_client.RESPONSE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
+    "no value after its head": (discovery_client.VALUE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
     "silent watch": (SILENT_S, Failure.HEARTBEAT_TIMEOUT),
-    "value that never ends": (discovery_client.VALUE_S, Failure.RESPONSE_TIMEOUT),
+    "value that never ends": (discovery_client.VALUE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
     "watch reset or ended": (SILENT_S, Failure.CLOSED),
 }
 
@@ -79,7 +79,7 @@
     assert float(detect) == pytest.approx(FAILURES.get(failure, (0.0, Failure.CLOSED))[0])
     assert float(few) == pytest.approx(max_delay_s(3, failure), abs=0.05)
     assert float(many) == pytest.approx(max_delay_s(200, failure), abs=0.05)
-    assert float(queue) == MAX_QUEUE_NS / 1e9 < discovery_client.ANSWER_S
+    assert float(queue) == MAX_QUEUE_NS / 1e9 < discovery_client.RESPONSE_TIMEOUT_S
     assert float(apply) == RESPONSE_MARGIN_NS / 1e9
     parts = [float(part) for part in (detect, many, queue, apply)]
     assert sum(parts) == pytest.approx(float(total))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -12,7 +12,12 @@
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, SEND_MARGIN_NS, ListLease
-from weldquay.net.discovery_client import ANSWER_S, BEAT_S, CONNECT_S, LATE_S
+from weldquay.net.discovery_client import (
+    RESPONSE_TIMEOUT_S,
+    HEARTBEAT_S,
+    CONNECT_TIMEOUT_S,
+    HEARTBEAT_GRACE_S,
+)
 from tests.helpers import MS, SECOND
 
 BEGIN_NS = 1000 * SECOND
@@ -145,10 +150,10 @@
             muted = muted or fault in ("cut", "mute", "watches")
             if not muted:
                 self.known_ns = self.now_ns
-            if not muted and since_line_ns >= int(BEAT_S * SECOND):
+            if not muted and since_line_ns >= int(HEARTBEAT_S * SECOND):
                 line_ns = self.now_ns
                 self.lease.confirm(line_ns)
-            if since_line_ns >= int((BEAT_S + LATE_S) * SECOND):
+            if since_line_ns >= int((HEARTBEAT_S + HEARTBEAT_GRACE_S) * SECOND):
                 return Failure.HEARTBEAT_TIMEOUT, since_line_ns
         return Failure.CLOSED, 0
 
@@ -156,8 +161,8 @@
         """Poll discovery; return how the poll fails, None where it does not, and the time it takes."""
         failure, duration_s = {
             "down": (Failure.REFUSED, 0.001),
-            "cut": (Failure.CONNECT_TIMEOUT, CONNECT_S),
-            "mute": (Failure.RESPONSE_TIMEOUT, ANSWER_S),
+            "cut": (Failure.CONNECT_TIMEOUT, CONNECT_TIMEOUT_S),
+            "mute": (Failure.RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_S),
             "busy": (Failure.BUSY, 2.0),
         }.get(self.fault(self.now_ns), (None, 0.01))
         if failure is None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -19,7 +19,7 @@
 from weldquay.lab import model
 from weldquay.lab.direct import Run, Trouble
 from weldquay.estimators.runtime import RuntimeEstimator
-from weldquay.settings import Pairs, decode_settings
+from weldquay.settings import FlatSettings, decode_settings
 from tests.helpers import MS, SECOND
 
 POLICY = SlowStartPolicy(
@@ -462,7 +462,7 @@
     kinds = loads.KINDS
     dispatcher_settings = [
         replace(
-            decode_settings(Pairs.from_nested(loads.settings(40, kinds, dispatcher)))[0],
+            decode_settings(FlatSettings.from_nested(loads.settings(40, kinds, dispatcher)))[0],
             initial_capacity_fraction=POLICY.initial_capacity_fraction,
             slow_start_ns=POLICY.slow_start_ns,
             overload_multiple=POLICY.overload_multiple,
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,12 +9,11 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.site import Site, site, until
 from tests.test_handover import newer
 from weldquay.lab.site import reserve
 from weldquay.net import dispatcher_process as program
 from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
-from tests.test_discovery_client import HEAD, listed
+from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 
 
 class Late(Server):
@@ -25,11 +24,11 @@
         self.phase, self.address_told, self.asked = phase, "127.0.0.1:1", 0
         self.may_answer = asyncio.Event()
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """The list, once it may be told."""
         self.asked += 1
         await self.may_answer.wait()
-        writer.write(HEAD + chunk(listed(9, self.phase, self.address_told) + b"\n"))
+        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -69,7 +68,7 @@
     asyncio.run(scenario())
 
 
-async def told_then_broken(here: Site, failing: Failing) -> None:
+async def told_then_broken(here: Site, _failing: Failing) -> None:
     """The list has come, then the calls fail until the lease has run out."""
     exchange = here.program.coordinator
     await until(lambda: exchange.endpoint_list.expires_ns > time.monotonic_ns())
@@ -92,7 +91,7 @@
         elif self.closes:
             await revision_then_reset(writer, self.address_told)
         else:
-            writer.write(HEAD + chunk(listed(7, "SERVING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.address_told) + b"\n"))
         self.first = False
 
 
@@ -133,7 +132,7 @@
                     lease.expiry_ns = 1  # it has run out meanwhile
                 return connection
 
-            monkeypatch.setattr(connections, "take_idle", lambda worker: None)
+            monkeypatch.setattr(connections, "take_idle", lambda _worker: None)
             monkeypatch.setattr(connections, "connect", slow)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
