--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -31,10 +31,10 @@
             await until(lambda: size() > 60_000)
             await asyncio.sleep(0.1)
             assert size() < 200_000 and len(here.program.coordinator.calls) <= 1
-            await here.program.finish()
+            await here.program.shut_down()
             client.close()
 
-    monkeypatch.setattr(program, "STAY_S", 0.01)
+    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.1)
     play(scenario())
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -240,7 +240,7 @@
 
 def test_a_silent_agent_is_asked_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """Right after an outage what the agent has counts as told: no ask waits out the outage, or a backoff."""
-    monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.5)
+    monkeypatch.setattr("weldquay.net.readiness.ENDPOINT_LIST_TIMEOUT_S", 0.5)
 
     async def scenario() -> None:
         muted = Muted()
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -15,6 +15,7 @@
 from example.toy import Discovery, Message, Server, read_message, request, write_message
 from tests.site import document, job, play, site, until
 from weldquay.net import dispatcher_process as program
+from weldquay.net.lifecycle import Phase
 
 
 def test_a_drain_serves_what_still_comes_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -27,21 +28,21 @@
             owed = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
             assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
-            ending = asyncio.create_task(here.program.finish())
+            ending = asyncio.create_task(here.program.shut_down())
             await asyncio.sleep(0)
             health = await request(here.address, write_message("GET /_health HTTP/1.1"))
             assert health.start.split()[1] == "503"
             late = asyncio.create_task(here.post("c2"))
             await worker.until("POST", "POST")
-            await until(lambda: here.program.phase is program.Phase.CLOSING)
+            await until(lambda: here.program.phase is Phase.CLOSING)
             for call in ("c1", "c2"):
                 await worker.tell(call, state="done", result=call)
             for call, answer in (("c1", await owed), ("c2", await late)):
                 assert (answer.body.decode(), answer.headers["connection"]) == (call, "close")
             await ending
-            assert here.program.phase is program.Phase.STOPPED
+            assert here.program.phase is Phase.STOPPED
 
-    monkeypatch.setattr(program, "STAY_S", 0.1)
+    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     play(scenario())
 
 
@@ -51,13 +52,13 @@
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            ending = asyncio.create_task(here.program.finish())
-            await until(lambda: here.program.phase is program.Phase.DRAINING)
+            ending = asyncio.create_task(here.program.shut_down())
+            await until(lambda: here.program.phase is Phase.DRAINING)
             for number in range(2):
                 writer.write(job(f"c{number}"))
                 answer = await read_message(reader)
                 assert (answer.body, answer.headers.get("connection")) == (b"TEXT", None)
-            assert await reader.read() == b"" and here.program.phase is not program.Phase.DRAINING
+            assert await reader.read() == b"" and here.program.phase is not Phase.DRAINING
             writer.close()
             await ending
 
@@ -75,12 +76,12 @@
             here.workers[0].script = here.workers[0].accept
             owed = asyncio.create_task(here.post(path=path))
             await here.workers[0].until("POST")
-            await here.program.finish()
+            await here.program.shut_down()
             assert (await owed).start.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
-    monkeypatch.setattr(program, "STAY_S", 0.1)
-    monkeypatch.setattr(program, "LONGEST_S", 0.0)
+    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
+    monkeypatch.setattr(program, "MAX_CLIENT_TIMEOUT_S", 0.0)
     play(scenario())
 
 
@@ -103,17 +104,17 @@
             newer.revision = 7
             owed = asyncio.create_task(here.post())
             busy = await until(lambda: next((each for each in here.workers if each.methods()), None))
-            ending = asyncio.create_task(here.program.finish()) if draining else None
+            ending = asyncio.create_task(here.program.shut_down()) if draining else None
             for server in (hanging, newer):
                 await server.start()
                 path.write_text(json.dumps({**document(), "listen": "h:1", "discovery": server.address}))
-                here.program.reload_wanted.set()
+                here.program.reloader.requested.set()
                 while not server.writers:
                     await asyncio.sleep(0.01)
             await until(lambda: here.program.discovery.revision == 7)
             await newer.change(next(each for each in here.workers if each is not busy), "DRAINING")
             await until(lambda: here.program.discovery.revision == 8)
-            assert here.program.phase is (program.Phase.DRAINING if draining else program.Phase.SERVING)
+            assert here.program.phase is (Phase.DRAINING if draining else Phase.SERVING)
             await busy.tell("c1", state="done", result="kept")
             assert (await owed).body == b"kept"
             if ending is not None:
@@ -150,7 +151,7 @@
             services[0].update(effect="fragile")
             services[1] = {**services[1], "name": "newer", "effect": "retryable"}
             path.write_text(json.dumps(told))
-            here.program.reload_wanted.set()
+            here.program.reloader.requested.set()
             await until(lambda: here.program.counters.counts["reloads"])
             assert (await here.post("c9", "/import")).start.split()[1] == "404"
             for (call, _), attempt in list(here.program.coordinator.at_worker.items()):
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -13,13 +13,13 @@
 from tests.site import job, site
 from tests.test_discovery_client import Muted
 from weldquay.net import dispatcher_process as program
-from weldquay.net.dispatcher_process import Phase
+from weldquay.net.lifecycle import Phase
 
 SHORT: list[dict[str, Any]] = [
     {"name": name, "aim_ns": 300_000_000, "give_up_ns": 600_000_000, "effect": effect}
     for name, effect in (("lookup", "retryable"), ("import", "fragile"))
 ]
-KILL_S = 0.6 + program.KILL_S  # after SIGTERM, with these deadlines
+KILL_S = 0.6 + program.KILL_DELAY_S  # after SIGTERM, with these deadlines
 STEPS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time until all is answered
 
 
@@ -39,8 +39,8 @@
             port = here.program.server.port
             kept = await asyncio.open_connection("127.0.0.1", port)
             begun = time.monotonic()
-            ending = asyncio.create_task(here.program.finish())
-            left_s = 0.6 + program.KILL_S - program.LAST_S
+            ending = asyncio.create_task(here.program.shut_down())
+            left_s = 0.6 + program.KILL_DELAY_S - program.FINAL_ANSWERS_S
             await asyncio.sleep(part * left_s)
             clients = [kept]
             try:
@@ -71,7 +71,7 @@
     async def scenario() -> None:
         async with site(services=SHORT) as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            ending = asyncio.create_task(here.program.finish())
+            ending = asyncio.create_task(here.program.shut_down())
             begun = time.monotonic()
             assert await reader.read() == b""
             assert 0.4 < time.monotonic() - begun < KILL_S
@@ -91,7 +91,7 @@
         async with site(services=SHORT) as here:
             kept = socket.create_connection(("127.0.0.1", here.program.server.port))
             begun = time.monotonic()
-            await here.program.finish()
+            await here.program.shut_down()
             assert time.monotonic() - begun < KILL_S + 0.5
             kept.close()
 
@@ -121,10 +121,10 @@
         async with site(discovery_mode="push", discovery=(muted := Muted())) as here:
             assert not muted.lists
             here.program.coordinator.dispatcher.lease.deadline_ns = 0
-            waiting = asyncio.create_task(here.program._until_listed())
+            waiting = asyncio.create_task(here.program.parts.readiness.wait_for_endpoint_list())
             await asyncio.sleep(0)
             begun = time.monotonic()
-            here.program.drain()
+            here.program.request_shutdown()
             await waiting
             assert time.monotonic() - begun < 1
 
@@ -138,11 +138,11 @@
         async with site(services=SHORT) as here:
             owed = asyncio.create_task(here.post(left_ms=600))
             await here.workers[0].until("POST")
-            ending = asyncio.create_task(here.program.finish())
+            ending = asyncio.create_task(here.program.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
                 while here.program.phase not in (phase, Phase.STOPPED):
                     await asyncio.sleep(0.01)
-                here.program.drain()
+                here.program.request_shutdown()
             assert (await owed).body == b"TEXT"
             await ending
             assert here.program.phase is Phase.STOPPED
@@ -172,7 +172,7 @@
                 assert (await call).status == 503
                 await gone.wait()
             begun = time.monotonic()
-            await here.program.finish()
+            await here.program.shut_down()
             assert time.monotonic() - begun < KILL_S + 0.5
             await call
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,14 +17,15 @@
 
 from example.toy import Message, read_message
 from tests.site import Site, document, job, site, until
-from weldquay.net import dispatcher_process as program
+from weldquay.net import readiness
 from weldquay.net import hot_restart as handover
 from weldquay.net.config import Address
 from weldquay.net.hot_restart_messages import PROTOCOL_VERSION
 from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.process_link import ProcessLink
 from weldquay.net.persistence import StateFile, state_path
-from weldquay.net.dispatcher_process import Phase, DispatcherProcess
+from weldquay.net.dispatcher_process import DispatcherProcess
+from weldquay.net.lifecycle import Phase
 
 NAME = "toy-dispatcher"
 
@@ -61,7 +62,7 @@
             await until(lambda: len(older.coordinator.attempts) == 1)
             await worker.tell("c1", state="started")
             async with newer(here) as second:
-                assert second.ready() and older.phase is Phase.HANDED_OVER
+                assert second.service.is_ready() and older.phase is Phase.MIGRATING
                 assert second.coordinator.bans == {"w0"} and second.server.context.peer_request_ids == {"c1"}
                 assert (await here.post("c1")).start.split()[1] == "409"
                 await until(lambda: second.counters.counts["client_connections"] >= 2)
@@ -69,7 +70,7 @@
                 for number, (reader, writer) in enumerate(((resting, rested), (silent, mute))):
                     writer.write(job(f"d{number}"))
                     assert (await read_message(reader)).body == b"TEXT"
-                ending = asyncio.create_task(older.finish())
+                ending = asyncio.create_task(older.shut_down())
                 await until(lambda: second.counters.counts["calls_adopted"])
                 await worker.tell("c1", state="done", result="kept")
                 assert (await read_message(calling)).body == b"kept"
@@ -177,13 +178,13 @@
             for number, (_, writer) in enumerate(waiting):
                 writer.write(job(f"c{number}"))
             async with newer(here) as second:
-                await here.program.finish()
+                await here.program.shut_down()
                 for reader, writer in waiting:
                     assert (await read_message(reader)).body == b"TEXT"
                     writer.close()
                 assert second.counters.counts["calls"] == 9
 
-    monkeypatch.setattr(program, "LIST_S", 0.2)
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
 
 
@@ -223,7 +224,7 @@
         async with site() as here:
             looking = handover.is_peer_listening(NAME)
             async with newer(here) as second:
-                assert looking and here.program.phase is Phase.HANDED_OVER and second.ready()
+                assert looking and here.program.phase is Phase.MIGRATING and second.service.is_ready()
 
     asyncio.run(scenario())
 
@@ -235,9 +236,11 @@
         async with site() as here:
             await here.operate("out-of-service")
             async with newer(here) as second:
-                assert second.ready() and await here.health() == 503
-                assert second.out_since == here.program.out_since  # its time goes on
-                assert second.in_service() and await here.health() == 200
+                assert second.service.is_ready() and await here.health() == 503
+                assert (
+                    second.service.out_of_service_since == here.program.service.out_of_service_since
+                )  # its time goes on
+                assert second.service.return_to_service() and await here.health() == 200
 
     asyncio.run(scenario())
 
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -16,7 +16,7 @@
 from weldquay.net.hot_restart_messages import PROTOCOL_VERSION, HotRestartMessage, ListenerOffer
 from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.persistence import state_path
-from weldquay.net.dispatcher_process import Phase
+from weldquay.net.lifecycle import Phase
 
 
 @pytest.mark.parametrize("left", ["stale", "file", "silent", "nonsense"])
@@ -40,7 +40,7 @@
         async with site() as here:
             assert (await here.post()).body == b"TEXT"
             async with newer(here) as second:
-                assert second.phase is Phase.SERVING and here.program.phase is Phase.HANDED_OVER
+                assert second.phase is Phase.SERVING and here.program.phase is Phase.MIGRATING
         if left == "nonsense":
             loop.remove_reader(door)
         door.close()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,8 +8,9 @@
 
 from example.toy import read_message, request
 from tests.site import job, site, until
-from weldquay.net import operators
+from weldquay.net import operators, service_control
 from weldquay.net import dispatcher_process as program
+from weldquay.net.lifecycle import Phase
 from weldquay.net.persistence import BanList
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
@@ -21,7 +22,7 @@
     async def scenario() -> None:
         async with site() as here:
             idle = []
-            for _ in range(3 * operators.MAX_CALLERS):
+            for _ in range(3 * operators.MAX_CONNECTIONS):
                 idle.append(await asyncio.open_connection("127.0.0.1", here.program.operators.port))
                 idle[-1][1].write(b"POST /control/in-")
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
@@ -61,15 +62,15 @@
             worker.script = None
             assert (again := await here.post("c2")).body == b"TEXT" and "connection" not in again.headers
             rested.close()
-            ending = asyncio.create_task(here.program.finish())
-            await until(lambda: here.program.phase is program.Phase.DRAINING)
+            ending = asyncio.create_task(here.program.shut_down())
+            await until(lambda: here.program.phase is Phase.DRAINING)
             assert await here.operate("out-of-service") == await here.operate("in-service") == 503
             assert await here.operate("ready", "GET") == 503
             await ending
 
-    monkeypatch.setattr(program, "SEEN_S", 0.05)
-    monkeypatch.setattr(program, "EMPTY_S", 0.1)
-    monkeypatch.setattr(program, "STAY_S", 0.2)
+    monkeypatch.setattr(service_control, "CLOSE_AFTER_S", 0.05)
+    monkeypatch.setattr(service_control, "REJECT_AFTER_S", 0.1)
+    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.2)
     asyncio.run(scenario())
 
 
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -13,7 +13,8 @@
 from tests.test_handover import newer
 from weldquay.net import dispatcher_process as program
 from weldquay.net.config import read
-from weldquay.net.dispatcher_process import Phase, DispatcherProcess
+from weldquay.net.dispatcher_process import DispatcherProcess
+from weldquay.net.lifecycle import Phase
 
 PAGE = Path(__file__).parents[1] / "docs" / "architecture.md"
 
@@ -32,11 +33,11 @@
         return DispatcherProcess(read({}, document()))
     here = await stack.enter_async_context(site())
     if phase == "out of service":
-        here.program.out_of_service()
+        here.program.service.take_out_of_service()
     elif phase == "handed over":
         await stack.enter_async_context(newer(here))
     elif phase != "serving":
-        stack.callback(asyncio.create_task(here.program.finish()).cancel)
+        stack.callback(asyncio.create_task(here.program.shut_down()).cancel)
         if phase == "closing":  # and stay there
             here.workers[0].script = here.workers[0].accept
             owed = asyncio.create_task(here.post())
@@ -48,17 +49,21 @@
 async def meet(here: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
     """Have it happen; False where the answer is no."""
     if event in ("out-of-service", "in-service"):
-        return here.out_of_service() if event == "out-of-service" else here.in_service()
+        return (
+            here.service.take_out_of_service()
+            if event == "out-of-service"
+            else here.service.return_to_service()
+        )
     if event == "SIGHUP":
-        here.reload_wanted.set()
+        here.reloader.requested.set()
         if here.phase is not Phase.STARTING:
-            await until(lambda: not here.reload_wanted.is_set())
+            await until(lambda: not here.reloader.requested.is_set())
     elif event == "a newer process is ready":
-        here.start_migration()
+        here.migration.start_migration()
     else:
-        here.drain()
+        here.request_shutdown()
         if here.phase not in (Phase.STARTING, Phase.DRAINING, Phase.CLOSING):
-            ending = asyncio.create_task(here.finish())
+            ending = asyncio.create_task(here.shut_down())
             await asyncio.sleep(0)  # the phase that follows at once; after a handover it is soon over
             stack.callback(ending.cancel)
     return True
@@ -74,12 +79,12 @@
             assert here.phase.value == phase
             yes = await meet(here, event, stack)
             if phase == "starting" and event == "SIGTERM":
-                assert here.drain_begun.is_set()  # `run` drains once the start is over
+                assert here.lifecycle.shutdown_requested.is_set()  # `run` drains once the start is over
             else:
                 assert yes == (follows != "no")
                 assert here.phase.value == (phase if follows == "no" else follows)
 
-    monkeypatch.setattr(program, "STAY_S", 0.1 if phase == "closing" else 1.0)
+    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1 if phase == "closing" else 1.0)
     monkeypatch.setenv("GW_CONFIG", "/nowhere")  # a reload is refused, and goes through its phase
     asyncio.run(scenario())
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -13,7 +13,7 @@
 from tests.test_list_clock import Failing, Manner, busy, chunk, mute, reset
 from tests.test_discovery_client import HEAD, listed
 from weldquay.discovery.backoff import Backoff
-from weldquay.net import dispatcher_process as program
+from weldquay.net import readiness
 
 READY_S = 10.0  # nine in ten restarted processes
 
@@ -38,7 +38,7 @@
         async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
             while await here.health() != 200:
                 await asyncio.sleep(0.05)
-            assert time.monotonic() - begun < READY_S - 2  # LIST_S at the most: 3.5 s
+            assert time.monotonic() - begun < READY_S - 2  # ENDPOINT_LIST_TIMEOUT_S at the most: 3.5 s
             while await here.operate("ready", "GET") != 200:
                 await asyncio.sleep(0.05)
             assert time.monotonic() - begun < READY_S
@@ -48,7 +48,7 @@
 
 def test_waits_for_the_list_leave_room() -> None:
     """What a start may wait for at the most, and the first ask of the last of many dispatchers."""
-    assert program.LIST_S < READY_S / 2
+    assert readiness.ENDPOINT_LIST_TIMEOUT_S < READY_S / 2
     for seed in range(200):
         assert Backoff(random.Random(seed), 200).initial_delay_ns(0) <= 3.6e9
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -28,8 +28,8 @@
 from weldquay.lab.servers import MOST_TRIES, TRY_AGAIN_S
 from weldquay.net.config import read
 from weldquay.net import worker_client as workers
-from weldquay.net import dispatcher_process as program
-from weldquay.net.dispatcher_process import Phase
+from weldquay.net import readiness
+from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
 from weldquay.policy.members import MAX_DEPARTED
 
@@ -251,10 +251,10 @@
                 assert {each.id for each in second.workers.listed_endpoints()} == named
                 assert len(second.coordinator.dispatcher.ready_workers) == len(named) == 1101
                 assert second.counters.counts["handover_worker"] == 1101
-                assert second.phase is Phase.SERVING and here.program.phase is Phase.HANDED_OVER
+                assert second.phase is Phase.SERVING and here.program.phase is Phase.MIGRATING
             fleet.stop()
 
-    monkeypatch.setattr(program, "LIST_S", 0.2)  # so long it waits for discovery, too
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # so long it waits for discovery, too
     asyncio.run(scenario())
 
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -12,7 +12,7 @@
 from tests.site import Site, site, until
 from tests.test_handover import newer
 from weldquay.lab.site import reserve
-from weldquay.net import dispatcher_process as program
+from weldquay.net import readiness
 from tests.test_list_clock import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
 from tests.test_discovery_client import HEAD, listed
 
@@ -38,7 +38,7 @@
     mode: str, phase: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """That list may be of any age.  The first request has discovery asked at once, and waits for it."""
-    monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.2)
+    monkeypatch.setattr("weldquay.net.readiness.ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         discovery = Late(phase)
@@ -193,7 +193,7 @@
     has_expired: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery is down at an upgrade: the list is good for as long as it was at the older process."""
-    monkeypatch.setattr(program, "LIST_S", 0.2)
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -98,7 +98,7 @@
             assert policy.runtimes.mean_runtime_ns() > 400e9
             told = {**program.config.document, "settings": document(**SECOND)["settings"]}
             path.write_text(json.dumps(told))
-            program.reload_wanted.set()
+            program.reloader.requested.set()
             await until(lambda: program.counters.counts["reloads"])
             await until(lambda: policy.settings.dispatcher_count == 20)
             offered = [
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -1,4 +1,4 @@
-"""Start the real dispatcher: `python -m weldquay [--room FILE]`."""
+"""Start the dispatcher: `python -m weldquay [--room FILE]`."""
 
 from __future__ import annotations
 
@@ -9,35 +9,58 @@
 import signal
 import sys
 
-from weldquay.net.config import ConfigError, load, load_kept
+from weldquay.net.config import Config, ConfigError, load, load_kept
 from weldquay.net.hot_restart import is_peer_listening
 from weldquay.net.persistence import StateFile
 from weldquay.net.dispatcher_process import DispatcherProcess
 
 
+log = logging.getLogger("weldquay")
+
+
 def main() -> int:
-    """Serve until told to stop; the exit status (2 for a bad configuration)."""
+    """Serve until SIGTERM; the exit status (1: an address is not available, 2: a bad configuration)."""
     parser = argparse.ArgumentParser("weldquay", description="One dispatcher; see README.md.")
     parser.add_argument("--room", metavar="FILE", help="figures for holding room (or $GW_ROOM)")
     if room := parser.parse_args().room:
         os.environ["GW_ROOM"] = room
-    # Until there is a handler SIGHUP waits: it asks for a reload and must never end the program.
+    # Without a handler SIGHUP would end the process.  It waits until there is one.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
+    if (config := _load_config()) is None:
+        return 2
+    return asyncio.run(_run(config))
+
+
+def _load_config() -> Config | None:
+    """The configuration; None, with a line on standard error, where there is none without errors."""
     try:
-        config = load(os.environ)
+        return load(os.environ)
     except ConfigError as error:
-        # Guards against a file that is broken just when an upgrade starts.
-        name = os.environ.get("GW_NAME", "")
-        older = name and is_peer_listening(name) and load_kept(os.environ, StateFile(name, ".config").read())
-        if not older:
+        if (config := _load_config_of_older_process()) is None:
             print(f"weldquay: {error.advice()}", file=sys.stderr)
-            return 2
-        logging.error("the older process's configuration is taken over, since %s", error.advice())
-        config = older
-    return asyncio.run(DispatcherProcess(config).run())
+        else:
+            _report_older_config(error)
+        return config
+
+
+def _load_config_of_older_process() -> Config | None:
+    """The saved configuration of a running older process: a bad file must not prevent a hot restart."""
+    name = os.environ.get("GW_NAME", "")
+    if not name or not is_peer_listening(name):
+        return None
+    return load_kept(os.environ, StateFile(name, ".config").read())
+
+
+def _report_older_config(error: ConfigError) -> None:
+    log.error("the older process's configuration is taken over, since %s", error.advice())
+
+
+async def _run(config: Config) -> int:
+    """Run the dispatcher; the exit status."""
+    return await DispatcherProcess(config).run()
 
 
 if __name__ == "__main__":
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -5,6 +5,8 @@
 import asyncio
 import logging
 import socket
+from collections.abc import Callable
+from enum import Enum
 from typing import Protocol
 
 import h11
@@ -13,23 +15,33 @@
 from weldquay.errors import OperatorError
 from weldquay.net.config import Address
 from weldquay.net.counters import Counters
-from weldquay.net.messages import MessageError, OperatorCall, closing_response, operator_call
-from weldquay.net.tasks import Tasks
+from weldquay.net.messages import MessageError, closing_response, operator_call
 
 log = logging.getLogger(__name__)
 
-READ_SIZE = 4 * 1024
-MAX_HEAD = 4 * 1024
+READ_SIZE = 4 * 1024  # bytes
+MAX_HEAD_BYTES = 4 * 1024
 LISTEN_BACKLOG = 64  # connections in the system's queue; beyond it a client's SYN is repeated after a second
-MAX_CALLERS = 8  # connections; beyond it the oldest one is closed
+MAX_CONNECTIONS = 8  # beyond it the oldest one is closed
 REQUEST_TIMEOUT_S = 2.0  # from the connection's start to the last byte of the answer
 
-OPERATION_COUNTERS: dict[str, str] = {
-    "ready": "operators_ready",
-    "out-of-service": "operators_out-of-service",
-    "in-service": "operators_in-service",
-    "offline": "operators_offline",
-    "online": "operators_online",
+
+class Operation(Enum):
+    """The operations; the values are those of `messages.operator_call`, from paths that operators use."""
+
+    READY = "ready"
+    TAKE_OUT_OF_SERVICE = "out-of-service"
+    RETURN_TO_SERVICE = "in-service"
+    BAN_WORKER = "offline"
+    LIFT_WORKER_BAN = "online"
+
+
+OPERATION_COUNTERS: dict[Operation, str] = {
+    Operation.READY: "operators_ready",
+    Operation.TAKE_OUT_OF_SERVICE: "operators_out-of-service",
+    Operation.RETURN_TO_SERVICE: "operators_in-service",
+    Operation.BAN_WORKER: "operators_offline",
+    Operation.LIFT_WORKER_BAN: "operators_online",
 }
 
 
@@ -47,35 +59,43 @@
     remedy = "use the id as discovery's list gives it; one that was never listed cannot be taken out"
 
 
-def _not_found(error: OperatorError) -> bytes:
+def _serialize_error(error: OperatorError) -> bytes:
     """A 404 answer with the error as JSON."""
     return closing_response(404, ujson.dumps(error.told()).encode() + b"\n")
 
 
 class Control(Protocol):
-    """What operators can ask of the program; each method returns whether it was done."""
+    """What operators can do with the process; each method returns whether it was done."""
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """True once requests can be served."""
 
-    def out_of_service(self) -> bool:
-        """Have clients leave; new requests are refused after a while."""
+    def take_out_of_service(self) -> bool:
+        """Drain the dispatcher: clients leave, and new requests are rejected after a while."""
 
-    def in_service(self) -> bool:
+    def return_to_service(self) -> bool:
         """Accept clients again."""
 
-    def ban(self, worker_id: str, on: bool) -> bool:
-        """Ban a match worker, or (on False) lift its ban; False for an id that was never named."""
+    def set_worker_ban(self, worker_id: str, is_banned: bool) -> bool:
+        """Ban a worker, or lift its ban; False for an id that neither the list nor a ban has named."""
 
 
 class Operators:
     """The operators' listener and its connections."""
 
     def __init__(self, address: Address | None, counters: Counters, control: Control) -> None:
-        self.address, self.counters, self.control = address, counters, control
-        self.callers: dict[asyncio.StreamWriter, None] = {}  # the oldest first
-        self.tasks = Tasks()
+        """Create the server without a listener; address: None for none."""
+        self.address = address
+        self.counters = counters
+        self.connections: dict[asyncio.StreamWriter, None] = {}  # the oldest first
         self.server: asyncio.Server | None = None
+        self.handlers: dict[Operation, Callable[[str], bool]] = {
+            Operation.READY: lambda _: control.is_ready(),
+            Operation.TAKE_OUT_OF_SERVICE: lambda _: control.take_out_of_service(),
+            Operation.RETURN_TO_SERVICE: lambda _: control.return_to_service(),
+            Operation.BAN_WORKER: lambda worker_id: control.set_worker_ban(worker_id, True),
+            Operation.LIFT_WORKER_BAN: lambda worker_id: control.set_worker_ban(worker_id, False),
+        }
 
     async def listen(self) -> None:
         """Open the listener, if it has an address; OSError where that is not available."""
@@ -83,7 +103,7 @@
             family = socket.AF_INET6 if ":" in self.address.host else socket.AF_INET
             sock = socket.create_server(self.address, family=family)
             self.server = await asyncio.start_server(
-                self._accept, sock=sock, limit=READ_SIZE, backlog=MAX_CALLERS
+                self._accept, sock=sock, limit=READ_SIZE, backlog=MAX_CONNECTIONS
             )
             sock.listen(LISTEN_BACKLOG)  # asyncio accepts up to its own backlog in one turn
 
@@ -97,68 +117,77 @@
         """Close the listener and all connections."""
         if self.server is not None:
             self.server.close()
-        for writer in list(self.callers):
+        for writer in list(self.connections):
             writer.transport.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # Guards against clients that never complete a request: the oldest connection is closed.
-        if len(self.callers) >= MAX_CALLERS:
+        """Serve one connection; above the limit the oldest one is closed for it."""
+        if len(self.connections) >= MAX_CONNECTIONS:
             self.counters.add("operators_evicted")
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
             oldest.transport.abort()
-        self.callers[writer] = None
+        self.connections[writer] = None
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
-                writer.write(await self._handle(reader))
+                writer.write(await self._answer(reader))
                 await writer.drain()
                 writer.write_eof()
-                while await reader.read(READ_SIZE):  # a close with unread bytes resets: the answer is lost
+                # A close with unread bytes would reset the connection and lose the answer.
+                while await reader.read(READ_SIZE):
                     pass
-        except (OSError, EOFError):  # the client has gone, or was too slow (TimeoutError is an OSError)
+        except (
+            OSError,
+            EOFError,
+        ):  # the client has disconnected, or was too slow: TimeoutError is an OSError
             pass
         except Exception:
-            log.exception("an operator's call failed")
+            log.exception("operator request failed")
             self.counters.add("connections_broken")
         finally:
-            self.callers.pop(writer, None)
+            self.connections.pop(writer, None)
             writer.transport.abort()
 
-    async def _handle(self, reader: asyncio.StreamReader) -> bytes:
+    async def _answer(self, reader: asyncio.StreamReader) -> bytes:
         """Read one request and return its answer."""
-        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        request: h11.Request | None = None
         try:
-            while not isinstance(event := http.next_event(), h11.EndOfMessage):
-                if isinstance(event, h11.Request):
-                    request = event
-                elif event is h11.NEED_DATA:
-                    http.receive_data(await reader.read(READ_SIZE))
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise EOFError
-            assert request is not None
+            request = await _read_request(reader)
             call = operator_call(request.method, request.target)
         except h11.RemoteProtocolError as error:
             return closing_response(error.error_status_hint, str(error).encode())
         except MessageError as error:
-            return _not_found(UnknownOperation(str(error)))
-        done = self._do(call)
-        self.counters.add(OPERATION_COUNTERS[call.verb] if done else "operators_refused")
-        if call.verb != "ready":
-            log.info("operators: %s: %s", f"{call.verb} {call.worker}".strip(), "yes" if done else "no")
-        status = 200 if done else 404 if call.worker else 503
-        if status == 404:
-            return _not_found(UnknownWorker("no list and no ban has named it", call.worker))
-        return closing_response(status, b"yes\n" if done else b"no\n")
-
-    def _do(self, call: OperatorCall) -> bool:
-        match call.verb:
-            case "ready":
-                return self.control.ready()
-            case "out-of-service":
-                return self.control.out_of_service()
-            case "in-service":
-                return self.control.in_service()
-            case "offline" | "online":
-                return self.control.ban(call.worker, call.verb == "offline")
-        return False
+            return _serialize_error(UnknownOperation(str(error)))
+        return self._perform(Operation(call.verb), call.worker)
+
+    def _perform(self, operation: Operation, worker_id: str) -> bytes:
+        """Perform an operation and return the answer; worker_id: empty for one that names no worker."""
+        is_done = self.handlers[operation](worker_id)
+        self.counters.add(OPERATION_COUNTERS[operation] if is_done else "operators_refused")
+        if operation is not Operation.READY:
+            subject = f"{operation.value} {worker_id}".strip()
+            log.info("operator request %s: %s", subject, "done" if is_done else "refused")
+        if is_done:
+            return closing_response(200, b"yes\n")
+        if worker_id:
+            return _serialize_error(UnknownWorker("no list and no ban has named it", worker_id))
+        return closing_response(503, b"no\n")
+
+
+async def _read_request(reader: asyncio.StreamReader) -> h11.Request:
+    """Read one request.
+
+    Raises:
+        EOFError: the connection has ended before a complete request.
+        h11.RemoteProtocolError: the request is malformed.
+    """
+    http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+    request: h11.Request | None = None
+    while not isinstance(event := http.next_event(), h11.EndOfMessage):
+        if isinstance(event, h11.Request):
+            request = event
+        elif event is h11.NEED_DATA:
+            http.receive_data(await reader.read(READ_SIZE))
+        elif isinstance(event, h11.ConnectionClosed):
+            raise EOFError
+    assert request is not None
+    return request
--- a/weldquay/net/persistence.py
+++ b/weldquay/net/persistence.py
@@ -1,4 +1,4 @@
-"""Files in $TMPDIR that one process of a dispatcher keeps for the next: bans, the running configuration."""
+"""Files in $TMPDIR that one process of a dispatcher leaves to the next: bans, the running configuration."""
 
 from __future__ import annotations
 
@@ -16,50 +16,58 @@
 
 
 def state_path(name: str, suffix: str) -> Path:
-    """A file of this dispatcher in $TMPDIR."""
+    """The path of a file of the dispatcher of this name."""
     return Path(tempfile.gettempdir()) / f"weldquay-{quote(name, safe='')}{suffix}"
 
 
 class StateFile:
-    """A JSON file that is whole at every moment, since it is replaced by a rename."""
+    """A JSON file that is complete at every moment, since it is replaced by a rename."""
 
     def __init__(self, name: str, suffix: str) -> None:
+        """Use the file of the dispatcher of this name."""
         self.path = state_path(name, suffix)
 
     def read(self) -> Any:
-        """What it holds; None where there is no file, or, logged, none that can be understood."""
+        """The value of the file; None where there is no file, or none that can be read, which is logged."""
         try:
             return ujson.loads(self.path.read_bytes())
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            log.error("%s is not taken over: %s", self.path, error)
+            self.report("ignored", error)
             return None
 
     def write(self, value: object) -> None:
-        """Keep a value; a failure is logged, since this process does not need the file."""
-        fresh = self.path.with_suffix(f".{os.getpid()}")
+        """Replace the value; a failure is logged, since this process does not need the file."""
+        temporary_path = self.path.with_suffix(f".{os.getpid()}")
         try:
-            fresh.write_bytes(ujson.dumps(value).encode())
-            fresh.replace(self.path)
+            temporary_path.write_bytes(ujson.dumps(value).encode())
+            temporary_path.replace(self.path)
         except OSError as error:
-            log.error("%s cannot be kept: %s", self.path, error)
+            self.report("not written", error)
+
+    def report(self, event: str, reason: object) -> None:
+        """Log an error of this file."""
+        log.error("state file %s %s: %s", self.path, event, reason)
 
 
 class BanList:
-    """The ids of workers that operators took out."""
+    """The ids of the workers that operators have banned."""
 
     def __init__(self, name: str) -> None:
+        """Use the file of the dispatcher of this name."""
         self.file = StateFile(name, ".bans")
 
     def read(self) -> set[str]:
-        """The ids; none from a file that holds anything else."""
-        told = self.file.read()
-        if told is not None and not (isinstance(told, list) and all(isinstance(each, str) for each in told)):
-            log.error("%s is not taken over: it holds no list of ids", self.file.path)
+        """The ids; none from a file that contains anything else, which is logged."""
+        value = self.file.read()
+        if value is None:
+            return set()
+        if not isinstance(value, list) or not all(isinstance(worker_id, str) for worker_id in value):
+            self.file.report("ignored", "not a list of ids")
             return set()
-        return set(told or ())
+        return set(value)
 
-    def write(self, ids: Iterable[str]) -> None:
-        """Keep these."""
-        self.file.write(sorted(ids))
+    def write(self, worker_ids: Iterable[str]) -> None:
+        """Replace the ids."""
+        self.file.write(sorted(worker_ids))
--- /dev/null
+++ b/weldquay/net/process_migration.py
@@ -0,0 +1,216 @@
+"""The hot restart as this process performs it: what it takes from an older one and gives to a newer one."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Iterable
+from contextlib import suppress
+from dataclasses import replace
+
+from weldquay.net.dispatcher_parts import DispatcherParts
+from weldquay.net.hot_restart import HotRestart
+from weldquay.net.hot_restart_messages import (
+    NO_DESCRIPTOR,
+    BanChange,
+    ClientConnectionCount,
+    EndpointListChunk,
+    ForwardedCallback,
+    HotRestartMessage,
+    ListenerOffer,
+    MigratedConnection,
+    OpenRequests,
+    WorkerStateMessage,
+)
+from weldquay.net.lifecycle import Phase
+from weldquay.net.messages import (
+    MessageError,
+    endpoint_list_from_json,
+    endpoint_to_json,
+    parse_callback,
+)
+from weldquay.net.process_link import split_into_chunks
+from weldquay.net.service_control import ServiceControl
+
+NEWER_PROCESS_DESCRIPTORS = 24  # that a newer process needs before it has clients
+NEWER_PROCESS_WORKER_FRACTION = 1 / 3  # of the connections to workers, while both processes run
+CONNECTION_COUNT_INTERVAL_S = 0.2
+
+
+class ProcessMigration:
+    """The hot restart of one process; implements `HotRestartDelegate`."""
+
+    def __init__(self, parts: DispatcherParts, service: ServiceControl) -> None:
+        """Migrate these parts, and the state of the operators' drain."""
+        self.parts = parts
+        self.service = service
+        self.hot_restart = HotRestart(parts.config.name, parts.counters, self)
+        self.endpoint_list_chunks: list[EndpointListChunk] = []  # the older process's list
+        self.peer_connections = 0  # client connections of the older process
+        self.phase_before_migration = Phase.STARTING
+
+    # --- the newer process ---
+
+    async def request_listener(self) -> ListenerOffer | None:
+        """The offer of the older process, whose endpoint list is adopted; None where there is none."""
+        offer = await self.hot_restart.request_listener()
+        if self.endpoint_list_chunks:
+            self._adopt_endpoint_list()
+        return offer
+
+    def _adopt_endpoint_list(self) -> None:
+        """Start with the older process's endpoint list, which is newer than the configuration's."""
+        parts = self.parts
+        chunks = self.endpoint_list_chunks
+        # A revision has no meaning for another discovery; from 0 on that sends the complete list.
+        is_same_discovery = chunks[0].discovery_address == parts.config.discovery
+        revision = chunks[0].revision if is_same_discovery else 0
+        endpoints = [endpoint for chunk in chunks for endpoint in chunk.endpoints]
+        parts.config = replace(
+            parts.config,
+            known=endpoint_list_from_json({"revision": revision, "complete": True, "members": endpoints}),
+            lease=chunks[-1].lease,
+        )
+        parts.discovery.revision = revision
+        parts.coordinator.config = parts.config
+
+    async def take_over(self, offer: ListenerOffer) -> None:
+        """Take over from the older process, once the endpoint list is confirmed or its timeout is over."""
+        self.parts.workers.limit_connections(NEWER_PROCESS_WORKER_FRACTION)
+        for worker_id in offer.banned_worker_ids:
+            self.parts.coordinator.ban(worker_id, True)
+        await self.parts.readiness.wait_for_endpoint_list()
+        await self.hot_restart.confirm_ready()
+
+    def return_callback(self, body: bytes) -> None:
+        """Forward a callback that matches no attempt here."""
+        self.hot_restart.send(ForwardedCallback(body))
+
+    # --- the older process ---
+
+    def offer_listener(self) -> ListenerOffer | None:
+        """A duplicate of the listener, with descriptors reserved for the newer process; the list is sent."""
+        parts = self.parts
+        if not parts.lifecycle.can_hand_over or parts.server.listener is None:
+            return None
+        parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS)
+        parts.workers.limit_connections(1 - NEWER_PROCESS_WORKER_FRACTION)
+        if parts.coordinator.is_endpoint_list_confirmed:
+            self._send_endpoint_list()
+        is_out_of_service = parts.lifecycle.phase is Phase.OUT_OF_SERVICE
+        return ListenerOffer(
+            descriptor=os.dup(parts.server.listener.fileno()),
+            banned_worker_ids=tuple(sorted(parts.coordinator.bans)),
+            out_of_service_since=self.service.out_of_service_since if is_out_of_service else None,
+        )
+
+    def _send_endpoint_list(self) -> None:
+        parts = self.parts
+        for chunk in split_into_chunks(map(endpoint_to_json, parts.workers.listed_endpoints())):
+            self.hot_restart.send(
+                EndpointListChunk(
+                    revision=parts.discovery.revision,
+                    discovery_address=parts.discovery.config.discovery,
+                    lease=parts.coordinator.dispatcher.lease.state(),
+                    endpoints=tuple(chunk),
+                )
+            )
+
+    def start_migration(self) -> None:
+        """Stop accepting, send the state of the workers, and migrate the client connections."""
+        parts = self.parts
+        if not parts.lifecycle.can_hand_over:
+            return
+        self.phase_before_migration = parts.lifecycle.phase
+        self.service.stop_draining()
+        parts.lifecycle.enter(Phase.MIGRATING)
+        for worker_id, snapshot in parts.coordinator.worker_snapshots().items():
+            host, port = parts.workers.address(worker_id)
+            self.hot_restart.send(WorkerStateMessage(worker_id, host, port, snapshot))
+        for request_ids in split_into_chunks(parts.server.context.open_request_ids):
+            self.hot_restart.send(OpenRequests(tuple(request_ids)))
+        self._send_connection_count()
+        parts.server.start_migration(self.hot_restart.send)
+        parts.tasks.start(self._report_connection_count(), "connection count for the newer process")
+
+    def _send_connection_count(self) -> None:
+        self.hot_restart.send(ClientConnectionCount(len(self.parts.server.connections)))
+
+    async def _report_connection_count(self) -> None:
+        """Send the number of connections that the newer process has to leave descriptors for."""
+        while self.hot_restart.link is not None:
+            await asyncio.sleep(CONNECTION_COUNT_INTERVAL_S)
+            self._send_connection_count()
+
+    # --- both ---
+
+    def handle_message(self, message: HotRestartMessage) -> None:
+        """Handle a message of the other process."""
+        parts = self.parts
+        match message:
+            case WorkerStateMessage():
+                parts.workers.add_departed_worker(message.worker_id, message.host, message.port)
+                parts.coordinator.restore_worker(message.worker_id, message.snapshot)
+            case EndpointListChunk():
+                self.endpoint_list_chunks.append(message)
+            case OpenRequests():
+                parts.server.context.peer_request_ids.update(message.request_ids)
+            case MigratedConnection():
+                self._accept_connection(message)
+            case ClientConnectionCount():
+                self._reserve_for_peer(message.connections)
+            case BanChange():
+                parts.coordinator.ban(message.worker_id, message.is_banned)
+            case ForwardedCallback():
+                self._handle_forwarded_callback(message)
+
+    def _accept_connection(self, connection: MigratedConnection) -> None:
+        if connection.descriptor == NO_DESCRIPTOR:  # this process had none left for it
+            self.parts.counters.add("handover_without_descriptor")
+            return
+        if self.peer_connections:
+            self._reserve_for_peer(self.peer_connections - 1)
+        self.parts.server.accept_migrated(connection)
+
+    def _reserve_for_peer(self, connections: int) -> None:
+        """Leave descriptors for the client connections of the older process."""
+        self.peer_connections = connections
+        self.parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS + connections)
+
+    def _handle_forwarded_callback(self, message: ForwardedCallback) -> None:
+        """Handle a callback that matched no attempt of the other process."""
+        with suppress(MessageError):
+            callback = parse_callback(message.body, self.parts.config.report_fields)
+            is_matched = self.parts.coordinator.handle_callback(callback)
+            # A callback may arrive before its request migrates; sent back, it arrives after the request.
+            if not is_matched and self.parts.server.context.migrate_connection is not None:
+                self.hot_restart.send(message)
+
+    def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
+        """Use all descriptors again; serve again if the newer process has ended before this one."""
+        parts = self.parts
+        parts.server.table.reserve(0)
+        parts.workers.limit_connections(1)
+        parts.server.context.peer_request_ids.clear()
+        parts.server.context.migrate_connection = None
+        for message in unsent:
+            self._recover(message)
+        if parts.lifecycle.phase is Phase.DRAINING:
+            parts.server.begin_closing()
+        elif parts.lifecycle.phase is Phase.MIGRATING:
+            parts.tasks.start(parts.server.accept(), "accepting after a failed hot restart")
+            parts.lifecycle.enter(Phase.SERVING)
+            if self.phase_before_migration is Phase.OUT_OF_SERVICE:
+                self.service.take_out_of_service(self.service.out_of_service_since)
+
+    def _recover(self, message: HotRestartMessage) -> None:
+        """Take back a connection that was not sent, unless this process stops; close other descriptors."""
+        if not isinstance(message, MigratedConnection | ListenerOffer):
+            return
+        if message.descriptor == NO_DESCRIPTOR:
+            return
+        is_stopping = self.parts.lifecycle.phase in (Phase.STOPPING, Phase.STOPPED)
+        if isinstance(message, MigratedConnection) and not is_stopping:
+            self.handle_message(message)
+        else:
+            os.close(message.descriptor)
--- a/weldquay/net/tasks.py
+++ b/weldquay/net/tasks.py
@@ -11,22 +11,22 @@
 
 
 class Tasks:
-    """A group of asyncio tasks: holds a reference to each until it ends, and logs the exceptions."""
+    """A group of asyncio tasks: it references each until its end, and logs exceptions."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
 
-    def start(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
+    def start(self, coroutine: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
         """Start a task; name: the subject of the log line if it raises."""
-        task = asyncio.create_task(work, name=name)
+        task = asyncio.create_task(coroutine, name=name)
         self.running.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("%s ended with an exception", task.get_name(), exc_info=error)
+            log.error("task failed: %s", task.get_name(), exc_info=error)
 
     async def stop(self) -> None:
         """Cancel the running tasks and wait until they have ended."""
