--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -1,4 +1,4 @@
-"""What clients may send, on real sockets: bad input, slow requests, crowds of connections."""
+"""What clients send, on real sockets: malformed input, slow requests, many connections."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from weldquay.net.connection_state import ConnectionState
 
 
-def test_a_client_that_does_not_read_fills_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its next calls wait until it has read, and the end of the program does not wait for it."""
+def test_a_client_that_does_not_read_uses_little_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its next requests wait until it has read, and the shutdown does not wait for it."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -42,7 +42,7 @@
 HEAD = b"POST /lookup HTTP/1.1\r\nHost: a\r\n"
 
 
-BAD = [
+BAD_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (HEAD + b"Content-Length: 0\r\n\r\n", 400),
     (HEAD + b"X-Correlation-Id: a/b\r\nContent-Length: 0\r\n\r\n", 400),
@@ -67,22 +67,22 @@
 ]
 
 
-HIDDEN = b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + job("hidden")
+HIDDEN_REQUEST = b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + job("hidden")
 
 
 @pytest.mark.parametrize(
     ("data", "statuses"),
     [
         (job() + b"nonsense\r\n\r\n", ["200", "400"]),
-        (HEAD + b"X-Correlation-Id: c1\r\nContent-Length: 99\r\n" + HIDDEN, ["400"]),
-        (b"POST /lookup HTTP/1.0\r\nHost: a\r\nX-Correlation-Id: c1\r\n" + HIDDEN, ["400"]),
+        (HEAD + b"X-Correlation-Id: c1\r\nContent-Length: 99\r\n" + HIDDEN_REQUEST, ["400"]),
+        (b"POST /lookup HTTP/1.0\r\nHost: a\r\nX-Correlation-Id: c1\r\n" + HIDDEN_REQUEST, ["400"]),
     ],
-    ids=["behind a call", "a length told twice", "an encoding in HTTP/1.0"],
+    ids=["after a request", "two lengths", "an encoding in HTTP/1.0"],
 )
-def test_bad_input_is_answered_and_closes_and_hides_no_call(data: bytes, statuses: list[str]) -> None:
-    """Behind a call the connection stayed open: its reader waited for bytes it would not take.
+def test_malformed_input_is_answered_and_its_rest_is_not_forwarded(data: bytes, statuses: list[str]) -> None:
+    """The connection closes after the answer, also behind a complete request.
 
-    A call hidden in a body whose length is ambiguous is not passed on.
+    A request that is hidden in a body of ambiguous length is not forwarded.
     """
 
     async def scenario() -> None:
@@ -98,23 +98,25 @@
     play(scenario())
 
 
-PARTS = [b"", b"POST /loo", HEAD, HEAD + b"X-Correlation-Id: a\r\nContent-Length: 9\r\n\r\nhalf"]
+PARTIAL_REQUESTS = [b"", b"POST /loo", HEAD, HEAD + b"X-Correlation-Id: a\r\nContent-Length: 9\r\n\r\nhalf"]
 
 
-@pytest.mark.parametrize("kept", [False, True])
-@pytest.mark.parametrize("part", PARTS)
-def test_a_request_has_a_limited_time(part: bytes, kept: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """From the connection's first moment, or a later request's first byte; a kept connection may lie idle."""
+@pytest.mark.parametrize("is_reused", [False, True])
+@pytest.mark.parametrize("part", PARTIAL_REQUESTS)
+def test_a_request_that_is_too_slow_is_rejected(
+    part: bytes, is_reused: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The time counts from the connection's start, or the first byte of a later request."""
 
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            if kept:
+            if is_reused:
                 writer.write(job())
                 assert (await read_message(reader)).body == b"TEXT"
                 await asyncio.sleep(3 * connection_table.REQUEST_TIMEOUT_S)
             writer.write(part)
-            if kept and not part:
+            if is_reused and not part:
                 writer.write(job("c2"))
                 assert (await read_message(reader)).body == b"TEXT"
             else:
@@ -125,7 +127,7 @@
     play(scenario())
 
 
-def test_a_body_of_many_megabytes_is_refused_and_not_held() -> None:
+def test_a_large_body_is_rejected_and_not_buffered() -> None:
     """The client reads why, sends on for a while, and then the connection is closed."""
 
     async def scenario() -> None:
@@ -142,106 +144,106 @@
     play(scenario())
 
 
-def test_a_crowd_starves_neither_calls_nor_call_backs() -> None:
-    """Connections that say nothing or asked once make room for others; the one with calls stays."""
+def test_many_idle_connections_block_neither_requests_nor_callbacks() -> None:
+    """Connections without a complete request are evicted; the one with requests is not."""
 
     async def scenario() -> None:
         async with site() as here:
             here.program.server.table.max_connections = 10
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            crowd = []
+            others = []
             for number in range(5):
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
                 for _ in range(20):
-                    crowd.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
-                    crowd[-1][1].write(b"GET /_he")
+                    others.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
+                    others[-1][1].write(b"GET /_he")
                 assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
                 assert len(here.program.server.connections) <= 10
             assert here.program.counters.counts["evicted_reading"] >= 80
-            for _, each in [*crowd, (reader, writer)]:
-                each.close()
+            for _, other_writer in [*others, (reader, writer)]:
+                other_writer.close()
 
     play(scenario())
 
 
-def test_a_request_that_comes_in_pieces_outlives_a_silent_crowd() -> None:
-    """It came first, but those that have said nothing for longer make room before it."""
+def test_a_request_that_arrives_in_pieces_is_evicted_after_silent_ones() -> None:
+    """It is the oldest connection, but the others have received nothing for longer."""
 
     async def scenario() -> None:
         async with site() as here:
             here.program.server.table.max_connections = 10
             address = ("127.0.0.1", here.program.server.port)
             reader, writer = await asyncio.open_connection(*address)
-            crowd: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+            others: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
             counts = here.program.counters.counts
-            for piece in (job()[at : at + 20] for at in range(0, len(job()), 20)):
+            for piece in (job()[start : start + 20] for start in range(0, len(job()), 20)):
                 writer.write(piece)
-                crowd += [await asyncio.open_connection(*address) for _ in range(5)]
-                while counts["client_connections"] <= len(crowd):
+                others += [await asyncio.open_connection(*address) for _ in range(5)]
+                while counts["client_connections"] <= len(others):
                     await asyncio.sleep(0.01)
             assert (await read_message(reader)).body == b"TEXT"
             assert counts["evicted_reading"] > 10
-            for _, each in [*crowd, (reader, writer)]:
-                each.close()
+            for _, other_writer in [*others, (reader, writer)]:
+                other_writer.close()
 
     play(scenario())
 
 
-def test_a_kept_connection_with_a_request_on_it_makes_no_room() -> None:
-    """Closed for room, its request was lost; one that has just been closed is not asked, and makes room."""
+def test_an_idle_connection_with_an_unread_request_is_not_evicted() -> None:
+    """One that has just been aborted has no unread request, and is evicted."""
 
     async def scenario() -> None:
         async with site() as here:
-            taking = here.program.server
-            reader, writer = await asyncio.open_connection("127.0.0.1", taking.port)
+            server = here.program.server
+            reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
             writer.write(job("c0"))
             await read_message(reader)
-            await until(lambda: len(taking.connections) == 1)  # the call-back's has gone
-            (resting,) = taking.table.by_state[ConnectionState.IDLE]
+            await until(lambda: len(server.connections) == 1)  # the callback's connection has closed
+            (idle,) = server.table.by_state[ConnectionState.IDLE]
             writer.write(job("c1"))
             await writer.drain()
-            assert resting.has_unread_data() and not taking.table.evict_one()
+            assert idle.has_unread_data() and not server.table.evict_one()
             assert (await read_message(reader)).body == b"TEXT"
-            resting.abort()
+            idle.abort()
             await asyncio.sleep(0)  # its socket is closed, its end not yet taken in
-            assert not resting.has_unread_data() and taking.table.evict_one()
+            assert not idle.has_unread_data() and server.table.evict_one()
             writer.close()
 
     play(scenario())
 
 
-def test_no_more_connections_are_accepted_at_once_than_can_be_counted() -> None:
-    """Accepted before any was counted, a crowd took all descriptors, and asyncio paused for a second."""
+def test_few_connections_are_accepted_in_one_turn_of_the_loop() -> None:
+    """So the limit of connections is enforced before all descriptors are used."""
 
     async def scenario() -> None:
         async with site() as here:
             address = ("127.0.0.1", here.program.server.port)
-            crowd = [socket.create_connection(address) for _ in range(100)]  # the loop stands still meanwhile
-            files = len(os.listdir("/proc/self/fd"))
+            others = [socket.create_connection(address) for _ in range(100)]  # the loop does not run
+            descriptors = len(os.listdir("/proc/self/fd"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert len(os.listdir("/proc/self/fd")) - files <= 2 * client_server.MAX_ACCEPTS
+            assert len(os.listdir("/proc/self/fd")) - descriptors <= 2 * client_server.MAX_ACCEPTS
             await until(lambda: here.program.counters.counts["client_connections"] >= 100)
-            for each in crowd:
-                each.close()
+            for sock in others:
+                sock.close()
 
     play(scenario())
 
 
-def test_bad_input_is_answered_and_the_others_go_on() -> None:
-    """Each with its status, while another connection stays in use throughout."""
+def test_malformed_input_does_not_affect_another_connection() -> None:
+    """Each input has its status, while another connection is in use."""
 
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            for number, (data, status) in enumerate(BAD):
-                their, bad = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-                bad.write(data)
-                answer = await read_message(their)
+            for number, (data, status) in enumerate(BAD_REQUESTS):
+                bad_reader, bad_writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+                bad_writer.write(data)
+                answer = await read_message(bad_reader)
                 assert int(answer.start.split()[1]) == status, data[:80]
-                assert await their.read() == b"", data[:80]
-                bad.close()
+                assert await bad_reader.read() == b"", data[:80]
+                bad_writer.close()
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
             assert http_channel.MAX_HEAD_BYTES < 20_000
@@ -249,8 +251,8 @@
     play(scenario())
 
 
-def test_calls_over_the_limit_are_refused_at_once() -> None:
-    """Clients are told to come back; what is in hand goes on."""
+def test_requests_above_the_limit_are_rejected_at_once() -> None:
+    """The answer has Retry-After; the open request is not affected."""
 
     async def scenario() -> None:
         async with site(caps={"max_open": 1}) as here:
--- /dev/null
+++ b/tests/test_hot_restart.py
@@ -0,0 +1,272 @@
+"""Hot restart: a newer process takes over from an older one; both run in one event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import socket
+import sys
+from pathlib import Path
+
+import pytest
+
+from example.toy import Message, read_message
+from tests.newer_process import DISPATCHER_NAME, newer_process
+from tests.site import document, job, site, until
+from weldquay.net import readiness
+from weldquay.net import hot_restart
+from weldquay.net.hot_restart_messages import PROTOCOL_VERSION
+from weldquay.net.hot_restart_packet import Packet
+from weldquay.net.process_link import ProcessLink
+from weldquay.net.persistence import StateFile, state_path
+from weldquay.net.lifecycle import Phase
+
+
+def test_a_newer_process_takes_over_connections_and_open_requests() -> None:
+    """Connections and their open requests migrate; each callback is handled once."""
+
+    async def scenario() -> None:
+        async with site(workers=2) as here:
+            older, port = here.program, here.program.server.port
+            worker = here.workers[1]
+            await here.operate("match-workers/w0/offline")
+            idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)
+            idle_writer.write(job("c0"))
+            assert (await read_message(idle_reader)).body == b"TEXT"
+            new_reader, new_writer = await asyncio.open_connection("127.0.0.1", port)
+            worker.script = worker.accept
+            job_reader, job_writer = await asyncio.open_connection("127.0.0.1", port)
+            job_writer.write(job("c1"))
+            await until(lambda: len(older.coordinator.attempts) == 1)
+            await worker.tell("c1", state="started")
+            async with newer_process(here) as newer:
+                assert newer.service.is_ready() and older.phase is Phase.MIGRATING
+                assert newer.coordinator.bans == {"w0"} and newer.server.context.peer_request_ids == {"c1"}
+                assert (await here.post("c1")).start.split()[1] == "409"
+                await until(lambda: newer.counters.counts["client_connections"] >= 2)
+                worker.script = None
+                for number, (reader, writer) in enumerate(
+                    ((idle_reader, idle_writer), (new_reader, new_writer))
+                ):
+                    writer.write(job(f"d{number}"))
+                    assert (await read_message(reader)).body == b"TEXT"
+                ending = asyncio.create_task(older.shut_down())
+                await until(lambda: newer.counters.counts["calls_adopted"])
+                await worker.tell("c1", state="done", result="kept")
+                assert (await read_message(job_reader)).body == b"kept"
+                assert older.counters.counts["attempts_ok"] == 1
+                job_writer.write(job("d9"))
+                assert (await read_message(job_reader)).body == b"TEXT"
+                await ending
+                assert (older.counters.counts["calls"], newer.counters.counts["calls"]) == (2, 3)
+                assert here.workers[0].methods() == [] and newer.counters.counts["handover_worker"] == 2
+                await until(lambda: newer.hot_restart.link is None)
+                assert newer.server.table.max_connections == newer.server.table.connection_limit
+                assert not newer.server.context.peer_request_ids
+                for writer in (idle_writer, new_writer, job_writer):
+                    writer.close()
+
+    asyncio.run(scenario())
+
+
+def test_a_request_migrates_only_after_the_202_of_its_attempt() -> None:
+    """A callback that arrives at the newer process before that is forwarded to the older one."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            worker, older, gate = here.workers[0], here.program, asyncio.Event()
+
+            async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
+                await gate.wait()
+                await worker.accept(message, writer)
+
+            worker.script = slow
+            answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(2)]
+            await until(lambda: len(worker.methods()) == 2)
+            async with newer_process(here) as newer:
+                for _ in range(2):
+                    await worker.tell("c0", state="done", result="early")
+                assert (await answers[0]).body == b"early"
+                assert older.counters.counts["attempts_ok"] == 1
+                gate.set()
+                await until(lambda: newer.counters.counts["calls_adopted"])
+                await worker.tell("c1", state="done", result="late")
+                assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
+                # A callback that matches at neither process comes back once, after the earlier messages.
+                assert newer.counters.counts["handover_call-back"] == 1
+
+    asyncio.run(scenario())
+
+
+def test_a_migrated_idempotent_request_is_retried_when_its_attempt_is_lost() -> None:
+    """Earlier attempts count, and a client that disconnects cancels the retry."""
+
+    async def scenario() -> None:
+        async with site(workers=2, caps={"max_attempts": 2}) as here:
+            for worker in here.workers:
+                worker.script = worker.accept
+            _, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            writer.write(job("c1"))
+            first_worker = await until(
+                lambda: next((worker for worker in here.workers if worker.methods()), None)
+            )
+            async with newer_process(here) as newer:
+                await until(lambda: newer.counters.counts["calls_adopted"])
+                await first_worker.tell("c1", state="lost")
+                await until(lambda: sum(len(worker.methods()) for worker in here.workers) == 2)
+                last_worker = next(
+                    worker
+                    for worker in here.workers
+                    if worker.methods()[-1:] and (worker is not first_worker or len(worker.methods()) == 2)
+                )
+                writer.close()
+                await until(lambda: last_worker.methods()[-1] == "DELETE")
+                assert newer.counters.counts["clients_gone"] == 1 and not newer.coordinator.calls
+
+    asyncio.run(scenario())
+
+
+def test_the_newer_process_adopts_the_endpoint_list() -> None:
+    """A draining worker gets no jobs, although the configuration lists it and discovery does not answer."""
+
+    async def scenario() -> None:
+        async with site(workers=2) as here:
+            await here.discovery.change(here.workers[0], "DRAINING")
+            await until(lambda: here.program.discovery.revision == here.discovery.revision)
+            here.discovery.stop()  # the configuration's list has both as serving
+            async with newer_process(here) as newer:
+                assert [worker.endpoint.state.value for worker in newer.workers.workers.values()] == [
+                    "draining",
+                    "ready",
+                ]
+                assert newer.discovery.revision == here.discovery.revision
+                for number in range(4):
+                    assert (await here.post(f"c{number}")).body == b"TEXT"
+                assert here.workers[0].methods() == []
+
+    asyncio.run(scenario())
+
+
+def test_connections_in_the_listen_queue_are_served_by_the_newer_process(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The listener migrates: a second one would be reset with its queue when the older process ends."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            here.program.server.stop_accepting()
+            port = here.program.server.port
+            waiting = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
+            for number, (_, writer) in enumerate(waiting):
+                writer.write(job(f"c{number}"))
+            async with newer_process(here) as newer:
+                await here.program.shut_down()
+                for reader, writer in waiting:
+                    assert (await read_message(reader)).body == b"TEXT"
+                    writer.close()
+                assert newer.counters.counts["calls"] == 9
+
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
+    asyncio.run(scenario())
+
+
+def test_the_older_process_serves_again_if_the_newer_one_ends_too_early() -> None:
+    """Before it is ready, and after; connections that it did not receive come back."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            received: list[Packet] = []
+            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            writer.write(job("c0"))
+            assert (await read_message(reader)).body == b"TEXT"
+            for kinds, last_kind in ((["ask"], "offer"), (["ask", "ready"], "taken")):
+                sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+                sock.connect(str(state_path(DISPATCHER_NAME, ".sock")))
+                link = ProcessLink(sock, received.append, lambda unsent: None)
+                for kind in kinds:
+                    link.send(Packet(kind, {"form": PROTOCOL_VERSION}))
+                while last_kind not in [packet.kind for packet in received]:
+                    await asyncio.sleep(0.01)
+                link.close()
+                await until(lambda: here.program.hot_restart.link is None)
+                assert here.program.phase is Phase.SERVING
+                assert (await here.post(f"n{len(kinds)}")).body == b"TEXT"
+            for packet in received:
+                if packet.descriptor >= 0:
+                    os.close(packet.descriptor)
+            writer.close()
+
+    asyncio.run(scenario())
+
+
+def test_a_check_for_an_older_process_does_not_block_a_listener_request() -> None:
+    """Both wait in the queue of the socket when the older process accepts."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            is_listening = hot_restart.is_peer_listening(DISPATCHER_NAME)
+            async with newer_process(here) as newer:
+                assert is_listening and here.program.phase is Phase.MIGRATING and newer.service.is_ready()
+
+    asyncio.run(scenario())
+
+
+def test_the_newer_process_stays_out_of_service() -> None:
+    """A drain that operators have started lasts until they end it."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            await here.operate("out-of-service")
+            async with newer_process(here) as newer:
+                assert newer.service.is_ready() and await here.health() == 503
+                assert newer.service.out_of_service_since == here.program.service.out_of_service_since
+                assert newer.service.return_to_service() and await here.health() == 200
+
+    asyncio.run(scenario())
+
+
+def test_a_hot_restart_of_two_system_processes(tmp_path: Path) -> None:
+    """The newer one uses the older one's configuration, as its own file is bad; both exit with status 0."""
+
+    async def start(mgmt: int) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "weldquay",
+            stderr=asyncio.subprocess.PIPE,
+            env={
+                **os.environ,
+                "GW_CONFIG": str(path),
+                "GW_NAME": DISPATCHER_NAME,
+                "GW_MGMT": f"127.0.0.1:{mgmt}",
+            },
+        )
+        assert process.stderr is not None
+        return process, process.stderr
+
+    async def wait_for_line(lines: asyncio.StreamReader, text: bytes) -> None:
+        while text not in (line := await lines.readline()):
+            assert line, text
+
+    async def scenario() -> None:
+        path.write_text(json.dumps({**document(), "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}))
+        async with asyncio.timeout(20):
+            older, older_lines = await start(0)
+            await wait_for_line(older_lines, b"is serving")
+            while not StateFile(DISPATCHER_NAME, ".config").path.exists():
+                await asyncio.sleep(0.01)
+            path.write_text("{")
+            newer, newer_lines = await start(0)
+            await wait_for_line(newer_lines, b"configuration is taken over")
+            await wait_for_line(older_lines, b"is handed over")
+            await wait_for_line(newer_lines, b"is serving")
+            for process, lines in ((older, older_lines), (newer, newer_lines)):
+                process.send_signal(signal.SIGTERM)
+                await wait_for_line(lines, b"is stopped")
+                await lines.read()
+                assert await process.wait() == 0
+
+    path = tmp_path / "config.json"
+    asyncio.run(scenario())
--- /dev/null
+++ b/tests/test_job_forwarding.py
@@ -0,0 +1,69 @@
+"""A worker receives a job as the client sent it (PROTOCOL, dispatchers to match workers)."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from example.toy import Message, request, write_message
+from tests.site import site
+
+IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+RETURNED_UNSTARTED = write_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
+
+
+def job_request(call: str, target: str) -> bytes:
+    """A job request with all headers of PROTOCOL."""
+    return write_message(
+        f"POST {target} HTTP/1.1",
+        b'{"route": [1, 2, 3]}',
+        f"X-Correlation-Id: {call}",
+        "X-Time-Left-Ms: 5000",
+        f"Idempotency-Key: {IDEMPOTENCY_KEY}",
+        "X-Account: kelowna",
+        "Cookie: obj=7f3a9c21e0b4d655",
+    )
+
+
+def jobs(seen: list[Message]) -> list[Message]:
+    """The jobs among the requests that a worker received."""
+    return [message for message in seen if message.method == "POST"]
+
+
+@pytest.mark.parametrize("target", ["/lookup/a?b=1", "/lookup", "/lookup/x/y?z=%20&w="])
+def test_a_job_is_forwarded_unchanged(target: str) -> None:
+    """Method, path, query, body, id and idempotency key."""
+
+    async def scenario() -> None:
+        async with site() as here:
+            answer = await request(here.address, job_request("c1", target))
+            assert answer.status == 200
+            (job,) = jobs(here.workers[0].seen)
+            assert job.start == f"POST {target} HTTP/1.1"
+            assert job.body == b'{"route": [1, 2, 3]}'
+            assert job.headers["x-correlation-id"] == "c1"
+            assert job.headers["idempotency-key"] == IDEMPOTENCY_KEY
+
+    asyncio.run(scenario())
+
+
+def test_a_retry_has_the_same_idempotency_key() -> None:
+    """A job that a worker returns unstarted is sent to the next one with the same key and body."""
+
+    async def scenario() -> None:
+        async with site(workers=2) as here:
+
+            async def return_unstarted(message: Message, writer: asyncio.StreamWriter) -> None:
+                writer.write(RETURNED_UNSTARTED)
+
+            for worker in here.workers:
+                worker.script = return_unstarted
+            answer = await request(here.address, job_request("c2", "/lookup/a"))
+            assert answer.status in (429, 503)
+            attempts = [job for worker in here.workers for job in jobs(worker.seen)]
+            assert len(attempts) >= 2, "both workers returned it, so it was sent to both"
+            assert {job.headers.get("idempotency-key") for job in attempts} == {IDEMPOTENCY_KEY}
+            assert {job.body for job in attempts} == {b'{"route": [1, 2, 3]}'}
+
+    asyncio.run(scenario())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls, on real sockets."""
+"""Operators' requests, on real sockets."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
 
-def test_callers_that_complete_nothing_hold_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """They make room for others, and have a limited time from connecting."""
+def test_incomplete_requests_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Their connections are evicted, or closed after a timeout."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -38,30 +38,30 @@
     asyncio.run(scenario())
 
 
-def test_an_operators_drain_empties_the_dispatcher_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Health says no, resting clients and late calls go, a call in hand is served, call-backs go on."""
+def test_operators_take_the_dispatcher_out_of_service_and_return_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Health checks fail, idle connections close, new requests are rejected, the open one is answered."""
 
     async def scenario() -> None:
         async with site() as here:
             worker, port = here.workers[0], here.program.server.port
-            resting, rested = await asyncio.open_connection("127.0.0.1", port)
-            rested.write(job("c0"))
-            await read_message(resting)
+            idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)
+            idle_writer.write(job("c0"))
+            await read_message(idle_reader)
             worker.script = worker.accept
-            owed = asyncio.create_task(here.post())
+            open_request = asyncio.create_task(here.post())
             await until(lambda: worker.methods() == ["POST"] * 2)
             assert await here.operate("out-of-service") == await here.operate("out-of-service") == 200
             assert await here.health() == 503
-            assert await resting.read() == b""
+            assert await idle_reader.read() == b""
             await until(lambda: here.program.server.context.is_rejecting)
             late = await here.post("late")
             assert (late.start.split()[1], late.headers["connection"]) == ("503", "close")
             await worker.tell("c1", state="done", result="kept")
-            assert ((answer := await owed).body, answer.headers["connection"]) == (b"kept", "close")
+            assert ((answer := await open_request).body, answer.headers["connection"]) == (b"kept", "close")
             assert await here.operate("in-service") == await here.health() == 200
             worker.script = None
             assert (again := await here.post("c2")).body == b"TEXT" and "connection" not in again.headers
-            rested.close()
+            idle_writer.close()
             ending = asyncio.create_task(here.program.shut_down())
             await until(lambda: here.program.phase is Phase.DRAINING)
             assert await here.operate("out-of-service") == await here.operate("in-service") == 503
@@ -74,8 +74,8 @@
     asyncio.run(scenario())
 
 
-def test_a_worker_taken_out_gets_nothing_whatever_the_list_says() -> None:
-    """Any number of calls out end with one call back; ids that nobody has are told no."""
+def test_a_banned_worker_gets_no_jobs() -> None:
+    """Whatever the endpoint list has.  One request lifts any number of bans; an unknown id is refused."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
@@ -100,20 +100,20 @@
     asyncio.run(scenario())
 
 
-def test_a_job_whose_connection_comes_up_after_its_worker_was_taken_out_goes_elsewhere() -> None:
-    """It was decided before the call; its first byte would have come after the yes."""
+def test_an_attempt_that_connects_after_its_worker_was_banned_goes_to_another() -> None:
+    """It was placed before the ban, and no byte of it was sent."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as here:
             workers, gate = here.program.workers, asyncio.Event()
             connect = workers._connect
 
-            async def slow(worker: WorkerEndpoint) -> WorkerConnection:
+            async def connect_later(worker: WorkerEndpoint) -> WorkerConnection:
                 if worker.endpoint.id == "w0":
                     await gate.wait()
                 return await connect(worker)
 
-            workers._connect = slow  # type: ignore[method-assign]
+            workers._connect = connect_later  # type: ignore[method-assign]
             answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
             await until(lambda: any(name == "w0" for _, name in here.program.coordinator.at_worker))
             assert await here.operate("match-workers/w0/offline") == 200
@@ -124,8 +124,8 @@
     asyncio.run(scenario())
 
 
-def test_bans_are_kept_in_a_file_and_a_bad_one_is_no_more_than_logged() -> None:
-    """The next process reads it; half a file, or another's, must not stop its start."""
+def test_bans_are_saved_and_a_bad_file_is_ignored() -> None:
+    """The next process reads the file; a torn one, or other content, does not prevent its start."""
     bans = BanList("a/b")
     assert bans.read() == set()
     bans.write({"w1", "w0"})
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,4 +1,4 @@
-"""What meets what: the table of the architecture page, row by row."""
+"""The phases and the events between them, as the table of docs/architecture.md has them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.site import document, site, until
-from tests.test_handover import newer
+from tests.newer_process import newer_process
 from weldquay.net import dispatcher_process as program
 from weldquay.net.config import read
 from weldquay.net.dispatcher_process import DispatcherProcess
@@ -19,35 +19,35 @@
 PAGE = Path(__file__).parents[1] / "docs" / "architecture.md"
 
 
-def table() -> list[tuple[str, str, str]]:
-    """Each cell as (phase, what happens, what follows)."""
+def read_table() -> list[tuple[str, str, str]]:
+    """The cells as (phase, event, following phase or "no")."""
     text = PAGE.read_text().split("## Phases\n", 1)[1].split("\n## ", 1)[0]
     lines = [line for line in text.splitlines() if line[:1] == "|"]
     head, _, *rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
     return [(row[0], event, cell) for row in rows for event, cell in zip(head[1:], row[1:], strict=True)]
 
 
-async def reach(phase: str, stack: AsyncExitStack) -> DispatcherProcess:
-    """A program in that phase, by the way that leads there."""
+async def enter_phase(phase: str, stack: AsyncExitStack) -> DispatcherProcess:
+    """A process in that phase."""
     if phase == "starting":
         return DispatcherProcess(read({}, document()))
     here = await stack.enter_async_context(site())
     if phase == "out of service":
         here.program.service.take_out_of_service()
     elif phase == "handed over":
-        await stack.enter_async_context(newer(here))
+        await stack.enter_async_context(newer_process(here))
     elif phase != "serving":
         stack.callback(asyncio.create_task(here.program.shut_down()).cancel)
         if phase == "closing":  # and stay there
             here.workers[0].script = here.workers[0].accept
-            owed = asyncio.create_task(here.post())
-            stack.callback(owed.cancel)
+            request = asyncio.create_task(here.post())
+            stack.callback(request.cancel)
         await until(lambda: here.program.phase.value == phase)
     return here.program
 
 
-async def meet(here: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
-    """Have it happen; False where the answer is no."""
+async def apply_event(here: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
+    """Apply an event; False where operators are refused."""
     if event in ("out-of-service", "in-service"):
         return (
             here.service.take_out_of_service()
@@ -69,19 +69,21 @@
     return True
 
 
-@pytest.mark.parametrize(("phase", "event", "follows"), table())
-def test_phases(phase: str, event: str, follows: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The answer, and the phase that follows."""
+@pytest.mark.parametrize(("phase", "event", "follows"), read_table())
+def test_each_event_leads_to_the_phase_of_the_table(
+    phase: str, event: str, follows: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The operators' answer, and the phase that follows."""
 
     async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            here = await reach(phase, stack)
+            here = await enter_phase(phase, stack)
             assert here.phase.value == phase
-            yes = await meet(here, event, stack)
+            is_done = await apply_event(here, event, stack)
             if phase == "starting" and event == "SIGTERM":
                 assert here.lifecycle.shutdown_requested.is_set()  # `run` drains once the start is over
             else:
-                assert yes == (follows != "no")
+                assert is_done == (follows != "no")
                 assert here.phase.value == (phase if follows == "no" else follows)
 
     monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1 if phase == "closing" else 1.0)
@@ -89,9 +91,9 @@
     asyncio.run(scenario())
 
 
-def test_the_table_has_all_phases() -> None:
-    """But the one that is over within a turn of the loop, and those of the end."""
-    rows = {phase for phase, _, _ in table()}
+def test_the_table_has_all_phases_that_last() -> None:
+    """All but RELOADING, which ends within a turn of the loop, and the phases of the end."""
+    rows = {phase for phase, _, _ in read_table()}
     assert rows == {phase.value for phase in Phase} - {"reloading", "stopping", "stopped"}
-    seen: Any = {event for _, event, _ in table()}
+    seen: Any = {event for _, event, _ in read_table()}
     assert len(seen) == 5
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -21,7 +21,7 @@
 from tests.helpers import MS, SECOND, Drive, sends, settings
 from tests.site import ACCEPTED, Scripted, document, site, until
 from tests.test_descriptors import addresses, free_port
-from tests.test_handover import newer
+from tests.newer_process import newer_process
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
@@ -247,7 +247,7 @@
             named = {each["id"] for each in here.discovery.members.values()}
             await until(lambda: {each.id for each in here.program.workers.listed_endpoints()} == named)
             here.discovery.stop()
-            async with newer(here) as second:
+            async with newer_process(here) as second:
                 assert {each.id for each in second.workers.listed_endpoints()} == named
                 assert len(second.coordinator.dispatcher.ready_workers) == len(named) == 1101
                 assert second.counters.counts["handover_worker"] == 1101
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -10,7 +10,7 @@
 
 from example.toy import Message, Server
 from tests.site import Site, site, until
-from tests.test_handover import newer
+from tests.newer_process import newer_process
 from weldquay.lab.site import reserve
 from weldquay.net import readiness
 from tests.test_list_clock import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
@@ -208,7 +208,7 @@
             else:
                 lease.deadline_ns += 10**10  # for the test's time, whatever the machine does
             until_ns = lease.until_ns
-            async with newer(here) as second:
+            async with newer_process(here) as second:
                 lease = second.coordinator.dispatcher.lease
                 assert lease.until_ns >= until_ns and lease.missed == has_expired
                 assert (await here.post(left_ms=300)).status == (503 if has_expired else 200)
