--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients take every descriptor that they can have while discovery is down: all else goes on working."""
+"""Idle clients use all descriptors that they may have, while discovery is down; all else still works."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from weldquay.lab.site import reserve
 from weldquay.limits import LEAST_SOCKETS
 
-CROWD = LEAST_SOCKETS + 60  # more than there are descriptors
+IDLE_CLIENTS = LEAST_SOCKETS + 60  # more than there are descriptors
 
 
-def limit() -> None:
-    """The deployment's limit, in the process to be."""
+def limit_descriptors() -> None:
+    """Set the deployment's limit, in the child process."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_SOCKETS, LEAST_SOCKETS))
 
 
-async def addresses(process: asyncio.subprocess.Process) -> None:
-    """Wait until it serves."""
+async def wait_until_serving(process: asyncio.subprocess.Process) -> None:
+    """Wait for the log line."""
     assert process.stderr is not None
     while b"is serving" not in (line := await process.stderr.readline()):
         assert line
 
 
 def free_port() -> int:
-    """A port that nobody has."""
+    """A port that is not in use."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
-def test_a_crowd_of_idle_clients_starves_nothing(tmp_path: Any) -> None:
-    """The list comes at discovery's return, jobs go out, call-backs and operators' calls come in."""
+def test_idle_clients_leave_descriptors_for_all_else(tmp_path: Any) -> None:
+    """For jobs, callbacks, operators' requests and the endpoint list once discovery is back."""
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
@@ -48,9 +48,10 @@
         await failing.start()
         failing.address_told = worker.address
         address = failing.address
-        path, told = tmp_path / "config.json", document()
-        told["limits"]["sockets"] = LEAST_SOCKETS
-        row = {
+        path = tmp_path / "config.json"
+        config = document()
+        config["limits"]["sockets"] = LEAST_SOCKETS
+        endpoint = {
             "id": "w0",
             "host_port": worker.address,
             "locality": "here",
@@ -60,41 +61,42 @@
             "size": 1.0,
             "up_since_ms": 0,
         }
-        told["known"] = {"revision": 1, "complete": True, "members": [row]}
-        told |= {"listen": listen, "mgmt": mgmt, "discovery": address}
-        path.write_text(json.dumps(told))
+        config["known"] = {"revision": 1, "complete": True, "members": [endpoint]}
+        config |= {"listen": listen, "mgmt": mgmt, "discovery": address}
+        path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "weldquay",
             env={**os.environ, "GW_CONFIG": str(path)},
-            preexec_fn=limit,
+            preexec_fn=limit_descriptors,
             stderr=asyncio.subprocess.PIPE,
         )
-        crowd = []
+        idle_clients = []
         try:
             async with asyncio.timeout(30):
-                await addresses(process)
-                assert (await request(listen, job("c0"))).body == b"TEXT"  # by the list that it was told
+                await wait_until_serving(process)
+                assert (await request(listen, job("c0"))).body == b"TEXT"  # with the configuration's list
                 failing.stop()
                 down, _ = reserve(address)
                 host, number = listen.split(":")
-                for _ in range(CROWD):
-                    crowd.append(socket.create_connection((host, int(number))))
-                held = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert held <= LEAST_SOCKETS - 20  # what is set aside is free
+                for _ in range(IDLE_CLIENTS):
+                    idle_clients.append(socket.create_connection((host, int(number))))
+                open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+                assert open_descriptors <= LEAST_SOCKETS - 20  # the reserve is free
                 assert (await request(listen, job("c1"))).body == b"TEXT"
                 assert (await request(listen, write_message("GET /_health HTTP/1.1"))).status == 200
                 ready = await request(mgmt, write_message("GET /control/ready HTTP/1.1"))
                 assert ready.status in (200, 503)
                 await failing.start_on(down)
-                while (await request(listen, job("late", left_ms=500))).status != 503:  # the drain is heeded
-                    crowd.append(socket.create_connection((host, int(number))))
+                # Until the endpoint list has the worker as draining.
+                while (await request(listen, job("late", left_ms=500))).status != 503:
+                    idle_clients.append(socket.create_connection((host, int(number))))
                 assert len(os.listdir(f"/proc/{process.pid}/fd")) <= LEAST_SOCKETS - 20
                 process.terminate()
                 assert await process.wait() == 0
         finally:
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             worker.stop()
             failing.stop()
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -1,4 +1,4 @@
-"""The external form of the hot-restart messages, held against packets that release 725bba5 wrote."""
+"""The external form of the hot-restart messages, compared with packets that release 725bba5 wrote."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from weldquay.net.worker_state_codec import decode_worker_state
 
 RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
-FILE = 77  # a descriptor's number; nothing is opened or closed here
+DESCRIPTOR = 77  # a descriptor's number; nothing is opened or closed here
 
 # A worker's state with another value for each name.
 STATE: dict[str, Any] = {
@@ -52,7 +52,9 @@
 def recorded() -> Iterator[RecordedPacket]:
     """The packets of two hot restarts, in the order in which they were sent."""
     for row in json.loads(RECORDED.read_text()):
-        yield RecordedPacket(row["kind"], row["packet"].encode("latin-1"), FILE if row["descriptor"] else -1)
+        yield RecordedPacket(
+            row["kind"], row["packet"].encode("latin-1"), DESCRIPTOR if row["descriptor"] else -1
+        )
 
 
 PACKETS = list(recorded())
@@ -60,12 +62,14 @@
 
 def of_kind(kind: str) -> list[Any]:
     """The recorded messages of a kind, decoded."""
-    return [decode(Packet.decode(each.data, each.descriptor)) for each in PACKETS if each.kind == kind]
+    return [
+        decode(Packet.decode(packet.data, packet.descriptor)) for packet in PACKETS if packet.kind == kind
+    ]
 
 
 def received(kind: str, **fields: Any) -> Any:
     """The message of a packet with these fields."""
-    return decode(Packet.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", FILE))
+    return decode(Packet.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", DESCRIPTOR))
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
@@ -94,7 +98,7 @@
 
 def test_all_kinds_are_recorded() -> None:
     """Each kind of message is among the recorded ones, by its name and by its type."""
-    kinds = {each.kind for each in PACKETS}
+    kinds = {packet.kind for packet in PACKETS}
     assert kinds == {
         "ask", "offer", "members", "ready", "taken", "worker", "open", "held", "client", "ban", "call-back",
         "end", "ended",
@@ -120,8 +124,8 @@
     """The request, the list with its lease, and the offer in service and out of service."""
     assert of_kind("ask") == [messages.ListenerRequest(1)]
     assert of_kind("offer") == [
-        messages.ListenerOffer(FILE, ("w0",), None),
-        messages.ListenerOffer(FILE, (), 275.695290842),
+        messages.ListenerOffer(DESCRIPTOR, ("w0",), None),
+        messages.ListenerOffer(DESCRIPTOR, (), 275.695290842),
     ]
     (chunk,) = of_kind("members")
     assert (chunk.revision, chunk.discovery_address) == (1, ("127.0.0.1", 39129))
@@ -176,7 +180,7 @@
 
 
 def test_a_worker_restores_its_snapshot() -> None:
-    """What 725bba5 sent becomes the worker's state, and its own snapshot is the same again."""
+    """The state that 725bba5 sent is restored, and the worker's next snapshot equals it."""
     for message in of_kind("worker"):
         worker = Worker(WorkerEntry(1, WorkerState.READY))
         worker.consecutive_probe_failures, worker.failure_score = (
@@ -197,22 +201,22 @@
 @pytest.mark.parametrize(("name", "field"), [*zip(STATE, fields(WorkerSnapshot), strict=True)])
 def test_a_missing_name_of_a_workers_state_has_its_default(name: str, field: Field[Any]) -> None:
     """One name is missing at a time; the others are read."""
-    whole = decode_worker_state(STATE)
-    part = decode_worker_state({each: value for each, value in STATE.items() if each != name})
+    complete = decode_worker_state(STATE)
+    partial = decode_worker_state({key: value for key, value in STATE.items() if key != name})
     default = getattr(UNKNOWN_WORKER, field.name)
-    assert part == replace(whole, **{field.name: default}) and part != whole
+    assert partial == replace(complete, **{field.name: default}) and partial != complete
 
 
 def test_a_clients_connection_with_its_request() -> None:
     """One between two requests, one whose attempt has started, one whose attempt has not."""
     idle, waiting, started, *_ = of_kind("client")
-    assert idle == messages.MigratedConnection(FILE, b"", True, 272.174916748, None)
-    assert waiting.descriptor == FILE and not waiting.is_idle and waiting.state_since == 272.056656803
+    assert idle == messages.MigratedConnection(DESCRIPTOR, b"", True, 272.174916748, None)
+    assert waiting.descriptor == DESCRIPTOR and not waiting.is_idle and waiting.state_since == 272.056656803
     assert waiting.unparsed.startswith(b"POST /lookup/a?b=1 HTTP/1.1\r\n")
     assert waiting.unparsed.endswith(b"\r\n\r\ntext")
     attempt = messages.MigratedAttempt(0, "w1", 272057147353, 277056602981, 0)
     assert waiting.request == messages.MigratedRequest("lookup", 272056602981, 277056602981, 1, (attempt,))
-    assert [each.started_ns for each in started.request.attempts] == [272068152547]
+    assert [attempt.started_ns for attempt in started.request.attempts] == [272068152547]
 
 
 def test_the_other_messages() -> None:
@@ -228,18 +232,18 @@
     ("kind", "fields", "expected"),
     [
         ("ask", {}, messages.ListenerRequest(None)),
-        ("offer", {}, messages.ListenerOffer(FILE, (), None)),
+        ("offer", {}, messages.ListenerOffer(DESCRIPTOR, (), None)),
         ("members", {}, messages.EndpointListChunk(0, None, LeaseState(), ())),
         ("members", {"lease": [5]}, messages.EndpointListChunk(lease=LeaseState(5, False, False))),
         ("members", {"lease": [5, True]}, messages.EndpointListChunk(lease=LeaseState(5, True, False))),
         ("worker", {"id": "w", "at": ["h", 1]}, messages.WorkerStateMessage("w", "h", 1, UNKNOWN_WORKER)),
         ("open", {}, messages.OpenRequests(())),
         ("held", {}, messages.ClientConnectionCount(0)),
-        ("client", {}, messages.MigratedConnection(FILE, b"body", False, None, None)),
+        ("client", {}, messages.MigratedConnection(DESCRIPTOR, b"body", False, None, None)),
         (
             "client",
             {"call": {}},
-            messages.MigratedConnection(FILE, b"body", request=messages.MigratedRequest()),
+            messages.MigratedConnection(DESCRIPTOR, b"body", request=messages.MigratedRequest()),
         ),
         ("ban", {"id": "w"}, messages.BanChange("w", True)),
     ],
@@ -265,15 +269,15 @@
         received("later")
 
 
-def test_what_cannot_be_decoded_is_dropped_with_its_descriptor() -> None:
+def test_a_packet_that_cannot_be_decoded_is_dropped_with_its_descriptor() -> None:
     """An unknown kind is counted; neither it nor a malformed message reaches the process."""
     process, counters = Mock(), Counters()
-    handover = HotRestart("toy", counters, process)
+    hot_restart = HotRestart("toy", counters, process)
     for kind in ("later", "worker"):
-        file = os.dup(0)
-        handover._receive(Packet(kind, {}, descriptor=file))
+        descriptor = os.dup(0)
+        hot_restart._receive(Packet(kind, {}, descriptor=descriptor))
         with pytest.raises(OSError):
-            os.fstat(file)
+            os.fstat(descriptor)
     assert not process.method_calls and dict(counters.counts) == {"handover_unknown": 1}
 
 
@@ -281,7 +285,7 @@
 def test_received_messages_are_counted_by_their_external_kind(packet: RecordedPacket) -> None:
     """The counters' names are those of 725bba5; what the link itself handles is not counted."""
     counters = Counters()
-    handover = HotRestart("toy", counters, Mock(offer_listener=Mock(return_value=None)))
-    handover._receive(Packet.decode(packet.data, packet.descriptor))
+    hot_restart = HotRestart("toy", counters, Mock(offer_listener=Mock(return_value=None)))
+    hot_restart._receive(Packet.decode(packet.data, packet.descriptor))
     own = {"ask", "offer", "ready", "taken", "end", "ended"}
     assert dict(counters.counts) == ({} if packet.kind in own else {f"handover_{packet.kind}": 1})
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""How soon a process that was started again is ready, whatever discovery does just then."""
+"""The time until a started process is ready, with discovery failing in several ways."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 READY_S = 10.0  # nine in ten restarted processes
 
 
-class Slow(Server):
+class SlowDiscovery(Server):
     """Discovery that answers after a while."""
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Late, and whole."""
+        """A complete answer after a second."""
         await asyncio.sleep(1.0)
         writer.write(HEAD + chunk(listed(9, "SERVING", "127.0.0.1:1") + b"\n"))
 
@@ -30,38 +30,38 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("manner", [mute, busy, reset, None])
 def test_a_process_is_ready_soon(mode: str, manner: Manner | None) -> None:
-    """With discovery silent, behind, resetting or slow: from its start to /_health and its operators' yes."""
+    """With discovery silent, overloaded, resetting or slow: from the start to /_health and `ready`."""
 
     async def scenario() -> None:
-        begun = time.monotonic()
-        discovery = Slow() if manner is None else Failing(manner, 99)
+        started_at = time.monotonic()
+        discovery = SlowDiscovery() if manner is None else Failing(manner, 99)
         async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
             while await here.health() != 200:
                 await asyncio.sleep(0.05)
-            assert time.monotonic() - begun < READY_S - 2  # ENDPOINT_LIST_TIMEOUT_S at the most: 3.5 s
+            assert time.monotonic() - started_at < READY_S - 2  # ENDPOINT_LIST_TIMEOUT_S at the most: 3.5 s
             while await here.operate("ready", "GET") != 200:
                 await asyncio.sleep(0.05)
-            assert time.monotonic() - begun < READY_S
+            assert time.monotonic() - started_at < READY_S
 
     asyncio.run(scenario())
 
 
-def test_waits_for_the_list_leave_room() -> None:
-    """What a start may wait for at the most, and the first ask of the last of many dispatchers."""
+def test_the_endpoint_list_timeout_is_well_below_the_readiness_limit() -> None:
+    """And so is the first poll of the last one of many dispatchers."""
     assert readiness.ENDPOINT_LIST_TIMEOUT_S < READY_S / 2
     for seed in range(200):
         assert Backoff(random.Random(seed), 200).initial_delay_ns(0) <= 3.6e9
 
 
-def test_a_restart_with_an_old_list_hears_of_a_drain_in_time() -> None:
-    """One of a few dispatchers: its first ask comes at once, and the list that it had is replaced."""
+def test_a_restarted_process_soon_replaces_its_old_endpoint_list() -> None:
+    """One of few dispatchers polls discovery at once."""
 
     async def scenario() -> None:
         failing = Failing(mute, 0)
         async with site(discovery=failing, group_size=3) as here:
             failing.address_told = here.workers[0].address
-            begun = time.monotonic()
+            started_at = time.monotonic()
             await until(lambda: here.program.discovery.revision == 9)
-            assert time.monotonic() - begun < 2 and (await here.post(left_ms=300)).status == 503
+            assert time.monotonic() - started_at < 2 and (await here.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,7 +20,7 @@
 from example.toy import NO_LOAD, Discovery, Message, Server, write_message
 from tests.helpers import MS, SECOND, Drive, sends, settings
 from tests.site import ACCEPTED, Scripted, document, site, until
-from tests.test_descriptors import addresses, free_port
+from tests.test_descriptors import wait_until_serving, free_port
 from tests.newer_process import newer_process
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
@@ -323,7 +323,7 @@
 
     try:
         async with asyncio.timeout(60):
-            await addresses(process)
+            await wait_until_serving(process)
             await asyncio.gather(*map(client, range(clients)))
             status = Path(f"/proc/{process.pid}/status").read_text()
             process.terminate()
