--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -127,18 +127,23 @@
     play(scenario())
 
 
+async def send_megabytes(writer: asyncio.StreamWriter, count: int) -> None:
+    """Send as many megabytes, one after another."""
+    for _ in range(count):
+        writer.write(bytes(1_000_000))
+        await writer.drain()
+
+
 def test_a_large_body_is_rejected_and_not_buffered() -> None:
-    """The client reads why, sends on for a while, and then the connection is closed."""
+    """The client reads the answer and continues to send, until the connection is closed."""
 
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(HEAD + b"X-Correlation-Id: a\r\nContent-Length: 60000000\r\n\r\n")
             assert (await read_message(reader)).start.split()[1] == "413"
-            with pytest.raises(OSError):
-                for _ in range(60):
-                    writer.write(bytes(1_000_000))
-                    await writer.drain()
+            with pytest.raises(ConnectionError):
+                await send_megabytes(writer, 60)
             assert not here.program.server.connections
 
     play(scenario())
@@ -179,9 +184,8 @@
             counts = here.program.counters.counts
             for piece in (job()[start : start + 20] for start in range(0, len(job()), 20)):
                 writer.write(piece)
-                others += [await asyncio.open_connection(*address) for _ in range(5)]
-                while counts["client_connections"] <= len(others):
-                    await asyncio.sleep(0.01)
+                others.extend([await asyncio.open_connection(*address) for _ in range(5)])
+                await until(lambda: counts["client_connections"] > len(others))
             assert (await read_message(reader)).body == b"TEXT"
             assert counts["evicted_reading"] > 10
             for _, other_writer in [*others, (reader, writer)]:
--- /dev/null
+++ b/tests/test_connection_table.py
@@ -0,0 +1,126 @@
+"""The table of client connections, without sockets: limits, eviction and timeouts."""
+
+from __future__ import annotations
+
+import pytest
+
+from weldquay.net.connection_state import TRANSITIONS, ConnectionState
+from weldquay.net.connection_table import (
+    LINGER_TIMEOUT_S,
+    MIN_CONNECTIONS,
+    REQUEST_TIMEOUT_S,
+    ConnectionTable,
+)
+from weldquay.net.counters import Counters
+
+IDLE = ConnectionState.IDLE
+LINGERING = ConnectionState.LINGERING
+READING = ConnectionState.READING
+WAITING = ConnectionState.WAITING
+
+
+class FakeConnection:
+    """A connection without a socket."""
+
+    def __init__(self, state: ConnectionState, since: float = 0.0) -> None:
+        self.state = state
+        self.since = since
+        self.is_unread = False
+        self.is_unsent = False
+        self.is_aborted = False
+        self.timed_out_at: float | None = None
+
+    def has_unread_data(self) -> bool:
+        """As the test has set it."""
+        return self.is_unread
+
+    def has_unsent_data(self) -> bool:
+        """As the test has set it."""
+        return self.is_unsent
+
+    def abort(self) -> None:
+        """Record it."""
+        self.is_aborted = True
+
+    def on_timeout(self, now: float) -> None:
+        """Record it."""
+        self.timed_out_at = now
+
+
+def table_of(*states: ConnectionState) -> tuple[ConnectionTable[FakeConnection], list[FakeConnection]]:
+    """A table that is full with a connection in each of these states."""
+    table: ConnectionTable[FakeConnection] = ConnectionTable(Counters(), len(states))
+    connections = [FakeConnection(state) for state in states]
+    for connection in connections:
+        table.add(connection)
+    return table, connections
+
+
+def test_only_a_lingering_connection_never_changes_its_state() -> None:
+    """Each state can lead to a lingering close, and each but READING, the first, follows from another."""
+    assert set(TRANSITIONS) == set(ConnectionState)
+    assert [state for state in ConnectionState if not TRANSITIONS[state]] == [LINGERING]
+    assert all(LINGERING in following for state, following in TRANSITIONS.items() if state is not LINGERING)
+    assert set().union(*TRANSITIONS.values()) == set(ConnectionState)
+
+
+def test_eviction_follows_its_order_and_counts_each_state() -> None:
+    """LINGERING before READING before IDLE, the oldest first; never one with an open request."""
+    table, (waiting, idle, reading, later, lingering) = table_of(WAITING, IDLE, READING, READING, LINGERING)
+    for expected in (lingering, reading, later, idle):
+        assert table.evict_one() and expected.is_aborted and expected not in table.connections
+    assert not table.evict_one() and not waiting.is_aborted and list(table.connections) == [waiting]
+    assert table.counters.counts == {"evicted_leaving": 1, "evicted_reading": 2, "evicted_resting": 1}
+
+
+def test_an_active_connection_is_evicted_after_a_silent_one() -> None:
+    """The order of READING is that of the last received bytes."""
+    table, (first, second) = table_of(READING, READING)
+    table.mark_active(first)
+    assert table.evict_one() and second.is_aborted and not first.is_aborted
+
+
+@pytest.mark.parametrize("state", [READING, IDLE, LINGERING])
+def test_a_connection_with_unsent_data_is_not_evicted(state: ConnectionState) -> None:
+    """Its answer would be lost."""
+    table, (connection,) = table_of(state)
+    connection.is_unsent = True
+    assert not table.evict_one() and not connection.is_aborted
+
+
+@pytest.mark.parametrize(("state", "is_evicted"), [(READING, False), (IDLE, False), (LINGERING, True)])
+def test_unread_data_prevents_an_eviction_unless_it_is_dropped(
+    state: ConnectionState, is_evicted: bool
+) -> None:
+    """A lingering close drops what arrives."""
+    table, (connection,) = table_of(state)
+    connection.is_unread = True
+    assert table.evict_one() is connection.is_aborted is is_evicted
+
+
+def test_room_is_made_only_at_the_limit() -> None:
+    """Below it nothing is evicted; a reservation lowers it, to no less than MIN_CONNECTIONS."""
+    table, (connection,) = table_of(IDLE)
+    table.max_connections = 2
+    assert table.make_room() and not connection.is_aborted
+    table.max_connections = 1
+    assert table.make_room() and connection.is_aborted
+    table.connection_limit = 100
+    table.reserve(30)
+    assert table.max_connections == 70
+    table.reserve(1000)
+    assert table.max_connections == MIN_CONNECTIONS
+
+
+@pytest.mark.parametrize(
+    ("state", "timeout_s"), [(READING, REQUEST_TIMEOUT_S), (LINGERING, LINGER_TIMEOUT_S)]
+)
+def test_timeouts_apply_while_reading_and_lingering(state: ConnectionState, timeout_s: float) -> None:
+    """Not before the time is over, and never while waiting or idle."""
+    table, (connection, waiting, idle) = table_of(state, WAITING, IDLE)
+    table.enforce_timeouts(timeout_s - 0.01)
+    assert connection.timed_out_at is None
+    table.enforce_timeouts(timeout_s)
+    assert connection.timed_out_at == timeout_s
+    table.enforce_timeouts(1000.0)
+    assert waiting.timed_out_at is None and idle.timed_out_at is None
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -18,6 +18,11 @@
 from weldquay.net.lifecycle import Phase
 
 
+async def wait_for_connection(server: Server) -> None:
+    """Wait until a client has connected."""
+    await until(lambda: server.writers)
+
+
 def test_a_shutdown_serves_new_requests_until_it_closes_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     """The health check fails at once, answers close their connections, and callbacks are handled."""
 
@@ -92,7 +97,7 @@
     """While serving or draining, more than once, also while a new address does not answer."""
 
     class Hanging(Server):
-        async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+        async def answer(self, _message: Message, _writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(3600)
 
     async def scenario() -> None:
@@ -110,8 +115,7 @@
                 await server.start()
                 path.write_text(json.dumps({**document(), "listen": "h:1", "discovery": server.address}))
                 here.program.reloader.requested.set()
-                while not server.writers:
-                    await asyncio.sleep(0.01)
+                await wait_for_connection(server)
             await until(lambda: here.program.discovery.revision == 7)
             await newer.change(next(worker for worker in here.workers if worker is not busy), "DRAINING")
             await until(lambda: here.program.discovery.revision == 8)
@@ -135,7 +139,7 @@
     async def scenario() -> None:
         async with site(workers=2) as here:
 
-            async def abort_once(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def abort_once(_message: Message, writer: asyncio.StreamWriter) -> None:
                 for worker in here.workers:
                     worker.script = None
                 writer.transport.abort()
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -10,9 +10,10 @@
 import pytest
 
 from example.toy import Message, read_message
-from tests.site import job, site
+from tests.site import job, site, until
 from tests.test_discovery_client import Muted
 from weldquay.net import dispatcher_process as program
+from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.lifecycle import Phase
 
 SHORT_TIMEOUTS: list[dict[str, Any]] = [
@@ -31,7 +32,7 @@
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as here:
 
-            async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def hang(_message: Message, _writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
 
             if worker_hangs:
@@ -133,6 +134,11 @@
     asyncio.run(scenario())
 
 
+async def wait_for_phase(process: DispatcherProcess, phase: Phase) -> None:
+    """Wait until the process is in a phase, or has stopped."""
+    await until(lambda: process.phase in (phase, Phase.STOPPED))
+
+
 def test_a_second_sigterm_is_ignored() -> None:
     """In the phases DRAINING and CLOSING."""
 
@@ -142,8 +148,7 @@
             await here.workers[0].until("POST")
             ending = asyncio.create_task(here.program.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
-                while here.program.phase not in (phase, Phase.STOPPED):
-                    await asyncio.sleep(0.01)
+                await wait_for_phase(here.program, phase)
                 here.program.request_shutdown()
             assert (await open_request).body == b"TEXT"
             await ending
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -172,6 +172,11 @@
     asyncio.run(scenario())
 
 
+async def wait_for_packet(received: list[Packet], kind: str) -> None:
+    """Wait until a packet of this kind is among the received ones."""
+    await until(lambda: kind in [packet.kind for packet in received])
+
+
 def test_the_older_process_serves_again_if_the_newer_one_ends_too_early() -> None:
     """Before it is ready, and after; connections that it did not receive come back."""
 
@@ -184,11 +189,10 @@
             for kinds, last_kind in ((["ask"], "offer"), (["ask", "ready"], "taken")):
                 sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
                 sock.connect(str(state_path(DISPATCHER_NAME, ".sock")))
-                link = ProcessLink(sock, received.append, lambda unsent: None)
+                link = ProcessLink(sock, received.append, lambda _: None)
                 for kind in kinds:
                     link.send(Packet(kind, {"form": PROTOCOL_VERSION}))
-                while last_kind not in [packet.kind for packet in received]:
-                    await asyncio.sleep(0.01)
+                await wait_for_packet(received, last_kind)
                 link.close()
                 await until(lambda: here.program.hot_restart.link is None)
                 assert here.program.phase is Phase.SERVING
@@ -255,11 +259,10 @@
         async with asyncio.timeout(20):
             older, older_lines = await start(0)
             await wait_for_line(older_lines, b"is serving")
-            while not StateFile(DISPATCHER_NAME, ".config").path.exists():
-                await asyncio.sleep(0.01)
+            await until(StateFile(DISPATCHER_NAME, ".config").path.exists)
             path.write_text("{")
             newer, newer_lines = await start(0)
-            await wait_for_line(newer_lines, b"configuration is taken over")
+            await wait_for_line(newer_lines, b"using the older process's configuration")
             await wait_for_line(older_lines, b"is handed over")
             await wait_for_line(newer_lines, b"is serving")
             for process, lines in ((older, older_lines), (newer, newer_lines)):
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -276,7 +276,7 @@
     for kind in ("later", "worker"):
         descriptor = os.dup(0)
         hot_restart._receive(Packet(kind, {}, descriptor=descriptor))
-        with pytest.raises(OSError):
+        with pytest.raises(OSError, match="Bad file descriptor"):
             os.fstat(descriptor)
     assert not process.method_calls and dict(counters.counts) == {"handover_unknown": 1}
 
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -54,7 +54,7 @@
     async def scenario() -> None:
         async with site(workers=2) as here:
 
-            async def return_unstarted(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def return_unstarted(_message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(RETURNED_UNSTARTED)
 
             for worker in here.workers:
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -56,11 +56,11 @@
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         received: list[Packet] = []
         open_descriptors = len(os.listdir("/proc/self/fd"))
-        first = ProcessLink(ends[0], received.append, lambda unsent: None)
+        first = ProcessLink(ends[0], received.append, lambda _: None)
         for number in range(200):
             first.send(Packet("x", {"number": number}, b"d" * 9000, os.dup(0)))
         assert first.unsent
-        second = ProcessLink(ends[1], received.append, lambda unsent: None)
+        second = ProcessLink(ends[1], received.append, lambda _: None)
         await until(lambda: len(received) == 200)
         assert [packet.fields["number"] for packet in received] == list(range(200))
         for packet in received:
@@ -79,7 +79,7 @@
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         received: list[Packet] = []
         lost = asyncio.Event()
-        link = ProcessLink(ends[1], received.append, lambda unsent: lost.set())
+        link = ProcessLink(ends[1], received.append, lambda _: lost.set())
         link.send(Packet("unread", {}))
         for number in range(9):
             ends[0].send(Packet("x", {"number": number}).encode())
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 import time
+from collections.abc import Awaitable, Callable
 
 import pytest
 
@@ -21,12 +22,20 @@
 class SlowDiscovery(Server):
     """Discovery that answers after a while."""
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """A complete answer after a second."""
         await asyncio.sleep(1.0)
         writer.write(HEAD + chunk(listed(9, "SERVING", "127.0.0.1:1") + b"\n"))
 
 
+async def wait_for_yes(check: Callable[[], Awaitable[int]]) -> None:
+    """Repeat a check until its status is 200."""
+    while True:
+        if await check() == 200:
+            return
+        await asyncio.sleep(0.05)
+
+
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("manner", [mute, busy, reset, None])
 def test_a_process_is_ready_soon(mode: str, manner: Manner | None) -> None:
@@ -36,11 +45,9 @@
         started_at = time.monotonic()
         discovery = SlowDiscovery() if manner is None else Failing(manner, 99)
         async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
-            while await here.health() != 200:
-                await asyncio.sleep(0.05)
-            assert time.monotonic() - started_at < READY_S - 2  # ENDPOINT_LIST_TIMEOUT_S at the most: 3.5 s
-            while await here.operate("ready", "GET") != 200:
-                await asyncio.sleep(0.05)
+            await wait_for_yes(here.health)
+            assert time.monotonic() - started_at < READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
+            await wait_for_yes(lambda: here.operate("ready", "GET"))
             assert time.monotonic() - started_at < READY_S
 
     asyncio.run(scenario())
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -55,7 +55,7 @@
 
 
 def _report_older_config(error: ConfigError) -> None:
-    log.error("the older process's configuration is taken over, since %s", error.advice())
+    log.error("configuration error, using the older process's configuration: %s", error.advice())
 
 
 async def _run(config: Config) -> int:
