--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,16 +20,16 @@
 from example.toy import NO_LOAD, Discovery, Message, Server, write_message
 from tests.helpers import MS, SECOND, Drive, sends, settings
 from tests.site import ACCEPTED, Scripted, document, site, until
-from tests.test_descriptors import addresses, free_port
-from tests.test_handover import newer
+from tests.test_descriptors import wait_until_serving, free_port
+from tests.newer_process import newer_process
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
 from weldquay.lab.servers import MOST_TRIES, TRY_AGAIN_S
 from weldquay.net.config import read
 from weldquay.net import connection_pool
-from weldquay.net import dispatcher_process as program
-from weldquay.net.dispatcher_process import Phase
+from weldquay.net import readiness
+from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
 from weldquay.policy.worker_table import MAX_DEPARTED
 
@@ -249,14 +249,14 @@
             named = {each["id"] for each in here.discovery.members.values()}
             await until(lambda: {each.id for each in here.program.workers.listed_endpoints()} == named)
             here.discovery.stop()
-            async with newer(here) as second:
+            async with newer_process(here) as second:
                 assert {each.id for each in second.workers.listed_endpoints()} == named
                 assert len(second.coordinator.dispatcher.ready_workers) == len(named) == 1101
                 assert second.counters.counts["handover_worker"] == 1101
-                assert second.phase is Phase.SERVING and here.program.phase is Phase.HANDED_OVER
+                assert second.phase is Phase.SERVING and here.program.phase is Phase.MIGRATING
             fleet.stop()
 
-    monkeypatch.setattr(program, "LIST_S", 0.2)  # so long it waits for discovery, too
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # so long it waits for discovery, too
     asyncio.run(scenario())
 
 
@@ -325,7 +325,7 @@
 
     try:
         async with asyncio.timeout(60):
-            await addresses(process)
+            await wait_until_serving(process)
             await asyncio.gather(*map(client, range(clients)))
             status = Path(f"/proc/{process.pid}/status").read_text()
             process.terminate()
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,11 +9,11 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.test_handover import newer
+from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
+from tests.newer_process import newer_process
 from weldquay.lab.site import reserve
-from weldquay.net import dispatcher_process as program
+from weldquay.net import readiness
 from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
-from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 
 
 class Late(Server):
@@ -37,7 +37,7 @@
     mode: str, phase: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """That list may be of any age.  The first request has discovery asked at once, and waits for it."""
-    monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.2)
+    monkeypatch.setattr("weldquay.net.readiness.ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         discovery = Late(phase)
@@ -193,7 +193,7 @@
     has_expired: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery is down at an upgrade: the list is good for as long as it was at the older process."""
-    monkeypatch.setattr(program, "LIST_S", 0.2)
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
@@ -208,7 +208,7 @@
             else:
                 lease.expiry_ns += 10**10  # for the test's time, whatever the machine does
             until_ns = lease.until_ns
-            async with newer(here) as second:
+            async with newer_process(here) as second:
                 lease = second.coordinator.dispatcher.lease
                 assert lease.until_ns >= until_ns and lease.poll_missed == has_expired
                 assert (await here.post(left_ms=300)).status == (503 if has_expired else 200)
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -94,9 +94,9 @@
         async with site(**FIRST) as here:
             program, policy = here.program, here.program.coordinator.dispatcher
             assert policy.parts.runtimes.mean_runtime_ns() > 400e9
-            changed = {**program.config.document, "settings": document(**SECOND)["settings"]}
-            path.write_text(json.dumps(changed))
-            program.reload_wanted.set()
+            told = {**program.config.document, "settings": document(**SECOND)["settings"]}
+            path.write_text(json.dumps(told))
+            program.reloader.requested.set()
             await until(lambda: program.counters.counts["reloads"])
             await until(lambda: policy.settings.dispatcher_count == 20)
             offered = [
