--- a/benchmarks/script.py
+++ b/benchmarks/script.py
@@ -1,33 +1,33 @@
-"""A seeded fleet round one dispatcher's decisions: the same events for the same decisions, every time.
+"""A seeded simulation of workers, clients, discovery and other dispatchers around one dispatcher.
 
-`Script` stands in for workers, clients, the list and other dispatchers, in virtual time.  What it does next
-depends on its seed and on the actions that come back, so two versions that decide alike are fed alike.  It
-imports nothing but the interface and the dispatcher: it runs before any commit that has both.
+`Script` runs in virtual time.  Its next events depend only on its seed and on the dispatcher's actions, so
+two versions that take the same decisions receive the same events.
 """
 
 from __future__ import annotations
 
+import hashlib
 import heapq
 import random
 from collections.abc import Callable
-from typing import Any
 
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
 
 MS, SECOND = 1_000_000, 1_000_000_000
 BEGIN_NS = 1000 * SECOND
-WARM_NS = 10 * SECOND
-SLOTS = (2, 4, 8)  # of a worker, by its kind
-KINDS, ZONES = 3, 3
-RUN_NS = 400 * MS  # mean running time
-CALLS = 60  # calls of one phase
+SLOW_START_NS = 10 * SECOND
+SLOTS_BY_KIND = (2, 4, 8)
+WORKER_KINDS = 3
+ZONES = 3
+MEAN_RUNTIME_NS = 400 * MS
+REQUESTS_PER_PHASE = 60
 PHASES = ("calm", "full", "late", "zone", "cold", "list", "flap", "held")
 
 
-def settings(dispatchers: int, probes: bool, room: Any = None) -> api.Settings:
-    """Three classes: one that may run again, one keyed, one that may not run twice."""
-    rules = (
+def job_classes() -> tuple[api.JobClass, ...]:
+    """Return an idempotent class, one that is idempotent by key, and a non-idempotent one."""
+    return (
         api.JobClass(SECOND, 5 * SECOND, api.Idempotency.IDEMPOTENT, runtime_allowance=2.0),
         api.JobClass(
             SECOND,
@@ -47,8 +47,12 @@
             runtime_allowance=2.0,
         ),
     )
+
+
+def settings(dispatchers: int, probes: bool) -> api.Settings:
+    """Return the settings of a dispatcher in the middle of a group of so many."""
     return api.Settings(
-        classes=rules,
+        classes=job_classes(),
         dispatcher_count=dispatchers,
         dispatcher_index=dispatchers // 2,
         clock_resolution_ns=5 * MS,
@@ -61,208 +65,237 @@
         reports_in_probes=probes,
         weights_per_work=True,
         initial_capacity_fraction=0.34,
-        slow_start_ns=WARM_NS,
+        slow_start_ns=SLOW_START_NS,
         overload_multiple=2.5,
         overload_window_ns=2 * SECOND,
         probe_cost=0.002,
         cross_zone_cost=0.01,
-        reservations=room,
     )
 
 
-class Site:
-    """One worker as the script plays it: its slots, what others hold of them, and its queue."""
+class SimulatedWorker:
+    """One worker: its slots, and how many of them this dispatcher and the others use."""
 
-    def __init__(self, number: int, started_ns: int = 0) -> None:
-        self.number, self.started_ns = number, started_ns
-        self.kind, self.zone = number % KINDS, number // KINDS % ZONES
-        self.slots, self.others, self.mine, self.up = SLOTS[self.kind], 0, 0, True
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.started_ns = 0
+        self.kind = number % WORKER_KINDS
+        self.zone = number // WORKER_KINDS % ZONES
+        self.slots = SLOTS_BY_KIND[self.kind]
+        self.other_dispatchers_slots = 0
+        self.own_slots = 0
+        self.is_up = True
 
     def entry(self) -> api.WorkerEntry:
-        """Its line of the list."""
-        state = api.WorkerState.READY if self.up else api.WorkerState.GONE
-        common = (self.number * 0x9E3779B97F4A7C15 + self.started_ns) % 2**64
+        """Return its entry of the endpoint list."""
+        state = api.WorkerState.READY if self.is_up else api.WorkerState.GONE
+        start_id = (self.number * 0x9E3779B97F4A7C15 + self.started_ns) % 2**64
         return api.WorkerEntry(
-            self.number, state, self.number // 4, self.kind, self.zone, self.started_ns, start_id=common
+            self.number, state, self.number // 4, self.kind, self.zone, self.started_ns, start_id=start_id
         )
 
 
 class Script:
-    """One dispatcher and its fleet; `play` goes through a phase."""
+    """One dispatcher and its fleet.
+
+    `play` runs one phase.  `around` runs each step of the dispatcher and may be replaced to measure it.
+    """
 
     def __init__(
         self, workers: int, dispatchers: int = 1, probes: bool = False, seed: int = 1, held: int = 0
     ) -> None:
         self.random = random.Random(seed * 1_000_003 + workers)
         self.dispatcher = Dispatcher(settings(dispatchers, probes), seed)
-        self.sites = {number: Site(number) for number in range(1, workers + 1)}
-        self.now, self.number, self.order, self.steps = BEGIN_NS, 0, 0, 0
-        self.queue: list[tuple[int, int, Callable[[], list[api.Event]]]] = []
-        self.late = self.full = False
-        self.held, self.workers, self.dispatchers = held, workers, dispatchers
+        self.workers = {number: SimulatedWorker(number) for number in range(1, workers + 1)}
+        self.dispatchers = dispatchers
+        self.queued_requests = held  # sent at the begin of the phase "held"
+        self.now = BEGIN_NS
+        self.last_request = 0
+        self.scheduled_count = 0
+        self.steps = 0
+        self.schedule: list[tuple[int, int, Callable[[], list[api.Event]]]] = []
+        self.reports_are_missing = False
+        self.is_overloaded = False
         self.actions: list[tuple[int, api.Action]] = []
         self.around: Callable[[Dispatcher, int, list[api.Event]], list[api.Action]] = (
             lambda dispatcher, now, events: dispatcher.step(now, events)
         )
-        # Some dispatchers see little of a large fleet: what it hears is what its own traffic brings.
-        self.gap_ns = max(20 * MS, 10 * SECOND // max(1, min(500, workers // dispatchers * 4)))
-        self.list_all()
-        self.news()
+        # A dispatcher of a large group sees a small part of the fleet's traffic.
+        self.mean_gap_ns = max(20 * MS, 10 * SECOND // max(1, min(500, workers // dispatchers * 4)))
+        self.send_full_list()
+        self.send_load_reports()
 
-    # --- what the others do ---
+    # --- workers and discovery ---
 
-    def list_all(self) -> None:
-        """The whole list."""
-        entries = tuple(site.entry() for site in self.sites.values())
+    def send_full_list(self) -> None:
+        """Send the whole endpoint list."""
+        entries = tuple(worker.entry() for worker in self.workers.values())
         self.step([api.EndpointListUpdate(api.EndpointListKind.FULL, entries)])
 
-    def news(self) -> None:
-        """Workers' own reports of the last second: of all where there is one dispatcher."""
-        count = max(min(10, self.workers), min(self.workers, 4 * self.workers // self.dispatchers))
-        for number in self.random.sample(sorted(self.sites), count):
-            self.step([api.ProbeEnded(number, api.Outcome.OK, MS, self.report(self.sites[number]))])
+    def send_load_reports(self) -> None:
+        """Send the load reports of some workers, or of all where there is one dispatcher."""
+        fleet_size = len(self.workers)
+        count = max(min(10, fleet_size), min(fleet_size, 4 * fleet_size // self.dispatchers))
+        for number in self.random.sample(sorted(self.workers), count):
+            self.step([api.ProbeEnded(number, api.Outcome.OK, MS, self.report(self.workers[number]))])
 
-    def report(self, site: Site) -> api.LoadReport | None:
-        """What a worker tells of itself."""
-        if self.late:
+    def report(self, worker: SimulatedWorker) -> api.LoadReport | None:
+        """Return a worker's load report, or None while reports are missing."""
+        if self.reports_are_missing:
             return None
-        busy = site.slots if self.full else self.random.randint(0, site.slots)
-        site.others = max(0, busy - site.mine)
-        free = site.slots - min(site.slots, site.others + site.mine)
-        queued = float(self.random.randint(1, 3)) if self.full else 0.0
-        return api.LoadReport(float(free), 8.0, float(site.slots - free), queued)
+        busy = worker.slots if self.is_overloaded else self.random.randint(0, worker.slots)
+        worker.other_dispatchers_slots = max(0, busy - worker.own_slots)
+        free = worker.slots - min(worker.slots, worker.other_dispatchers_slots + worker.own_slots)
+        queued = float(self.random.randint(1, 3)) if self.is_overloaded else 0.0
+        return api.LoadReport(float(free), 8.0, float(worker.slots - free), queued)
 
     # --- virtual time ---
 
-    def after(self, delay_ns: int, make: Callable[[], list[api.Event]]) -> None:
-        """Events that come later."""
-        self.order += 1
-        heapq.heappush(self.queue, (self.now + delay_ns, self.order, make))
+    def schedule_events(self, delay_ns: int, make_events: Callable[[], list[api.Event]]) -> None:
+        """Schedule events, which are made when they are due."""
+        self.scheduled_count += 1
+        heapq.heappush(self.schedule, (self.now + delay_ns, self.scheduled_count, make_events))
 
     def step(self, events: list[api.Event]) -> None:
-        """Feed events and play what is done about them."""
+        """Run one step of the dispatcher and carry out its actions."""
         self.steps += 1
         for action in self.around(self.dispatcher, self.now, events):
             self.actions.append((self.now, action))
-            self.act(action)
+            self.handle_action(action)
 
-    def act(self, action: api.Action) -> None:
-        """What becomes of an action."""
+    def handle_action(self, action: api.Action) -> None:
+        """Schedule the events that follow from an action."""
         if isinstance(action, api.Send):
-            self.send(action)
+            self.start_attempt(action)
         elif isinstance(action, api.Probe):
             worker = action.worker
-            good = api.Outcome.OK if self.sites[worker].up else api.Outcome.CONNECT_FAILED
-            self.after(
-                4 * SECOND if self.late else self.random.randint(MS // 2, 4 * MS),
-                lambda: [api.ProbeEnded(worker, good, MS, self.report(self.sites[worker]))],
+            outcome = api.Outcome.OK if self.workers[worker].is_up else api.Outcome.CONNECT_FAILED
+            self.schedule_events(
+                4 * SECOND if self.reports_are_missing else self.random.randint(MS // 2, 4 * MS),
+                lambda: [api.ProbeEnded(worker, outcome, MS, self.report(self.workers[worker]))],
             )
         elif isinstance(action, api.SetTimer):
             token = action.token
-            self.after(action.delay_ns, lambda: [api.TimerDue(token)])
+            self.schedule_events(action.delay_ns, lambda: [api.TimerDue(token)])
         elif isinstance(action, api.Cancel):
             key = (action.request_id, action.attempt)
             if (attempt := self.dispatcher.attempts.get(key)) is not None:
                 worker = attempt.worker.entry.worker
-                self.after(
+                self.schedule_events(
                     MS,
                     lambda: [api.AttemptEnded(key[0], key[1], worker, api.Outcome.CANCELLED, MS, False)],
                 )
 
-    def send(self, action: api.Send) -> None:
-        """An attempt: refused, or begun and ended, or broken with its worker."""
-        site, key = self.sites[action.worker], action.request_id
-        number = self.dispatcher.jobs[key].attempts - 1
-        chance, run_ns = self.random.random(), int(self.random.expovariate(1 / RUN_NS)) + MS
-
-        def end(outcome: api.Outcome, took_ns: int, held: int) -> list[api.Event]:
-            site.mine -= held
-            report = self.report(site) if outcome is not api.Outcome.RESET else None
-            over = outcome is api.Outcome.OK
-            return [api.AttemptEnded(key, number, site.number, outcome, took_ns, over, report)]
-
-        if not site.up:
-            self.after(MS, lambda: end(api.Outcome.CONNECT_FAILED, MS, 0))
-        elif self.full or chance < 0.05:
-            self.after(2 * MS, lambda: end(api.Outcome.OVERLOADED, 2 * MS, 0))
+    def start_attempt(self, action: api.Send) -> None:
+        """Draw the outcome of an attempt and schedule its events."""
+        worker = self.workers[action.worker]
+        request_id = action.request_id
+        attempt = self.dispatcher.jobs[request_id].attempts - 1
+        chance = self.random.random()
+        runtime_ns = int(self.random.expovariate(1 / MEAN_RUNTIME_NS)) + MS
+
+        def end(outcome: api.Outcome, elapsed_ns: int, released_slots: int) -> list[api.Event]:
+            worker.own_slots -= released_slots
+            report = self.report(worker) if outcome is not api.Outcome.RESET else None
+            is_last = outcome is api.Outcome.OK
+            return [
+                api.AttemptEnded(request_id, attempt, worker.number, outcome, elapsed_ns, is_last, report)
+            ]
+
+        if not worker.is_up:
+            self.schedule_events(MS, lambda: end(api.Outcome.CONNECT_FAILED, MS, 0))
+        elif self.is_overloaded or chance < 0.05:
+            self.schedule_events(2 * MS, lambda: end(api.Outcome.OVERLOADED, 2 * MS, 0))
         elif chance < 0.06:
-            self.after(3 * MS, lambda: end(api.Outcome.ERROR, 3 * MS, 0))
+            self.schedule_events(3 * MS, lambda: end(api.Outcome.ERROR, 3 * MS, 0))
         else:
-            site.mine += 1
+            worker.own_slots += 1
             begin_ns = 2 * MS if chance < 0.9 else 120 * MS  # one in ten waits in the worker's queue
-            self.after(begin_ns, lambda: [api.AttemptProgress(key, number, site.number)])
-            bad = api.Outcome.RESET if chance > 0.98 else api.Outcome.OK
-            self.after(begin_ns + run_ns, lambda: end(bad, begin_ns + run_ns, 1))
+            self.schedule_events(begin_ns, lambda: [api.AttemptProgress(request_id, attempt, worker.number)])
+            outcome = api.Outcome.RESET if chance > 0.98 else api.Outcome.OK
+            end_ns = begin_ns + runtime_ns
+            self.schedule_events(end_ns, lambda: end(outcome, end_ns, 1))
 
     # --- phases ---
 
-    def call(self, **more: Any) -> list[api.Event]:
-        """A client's request."""
-        self.number += 1
-        kind = self.random.choices((0, 1, 2), (0.6, 0.3, 0.1))[0]
-        hint_ns = int(self.random.expovariate(1 / RUN_NS)) + MS if self.random.random() < 0.5 else None
-        values: dict[str, Any] = {"slots": 1.0, "runtime_hint_ns": hint_ns, **more}
-        return [api.RequestReceived(self.number, kind, (5, 8, 10)[kind] * SECOND, **values)]
-
-    def run(self, calls: int, between: Callable[[int], None]) -> None:
-        """So many calls, and all that comes meanwhile."""
-        for index in range(calls):
-            between(index)
-            if index % 20 == 0 and not self.dispatcher.settings.may_probe and not self.late:
-                self.news()
-            due_ns = self.now + int(self.random.expovariate(1 / self.gap_ns))
-            while self.queue and self.queue[0][0] <= due_ns:
-                self.now, _, make = heapq.heappop(self.queue)
-                self.step(make())
+    def call(self) -> list[api.Event]:
+        """Return the event of a client's next request."""
+        self.last_request += 1
+        job_class = self.random.choices((0, 1, 2), (0.6, 0.3, 0.1))[0]
+        has_hint = self.random.random() < 0.5
+        hint_ns = int(self.random.expovariate(1 / MEAN_RUNTIME_NS)) + MS if has_hint else None
+        timeout_ns = (5, 8, 10)[job_class] * SECOND
+        return [
+            api.RequestReceived(self.last_request, job_class, timeout_ns, slots=1.0, runtime_hint_ns=hint_ns)
+        ]
+
+    def run_requests(self, requests: int, before_each: Callable[[int], None]) -> None:
+        """Send so many requests and run everything that is due meanwhile."""
+        for index in range(requests):
+            before_each(index)
+            has_no_reports = self.dispatcher.settings.may_probe or self.reports_are_missing
+            if index % 20 == 0 and not has_no_reports:
+                self.send_load_reports()
+            due_ns = self.now + int(self.random.expovariate(1 / self.mean_gap_ns))
+            while self.schedule and self.schedule[0][0] <= due_ns:
+                self.now, _, make_events = heapq.heappop(self.schedule)
+                self.step(make_events())
             self.now = due_ns
             self.step(self.call())
 
-    def play(self, phase: str, calls: int = CALLS) -> None:
-        """One phase; each leaves the fleet as it found it but for its age."""
-        self.full, self.late = phase in ("full", "held"), phase == "late"
-        between: Callable[[int], None] = nothing
+    def play(self, phase: str, calls: int = REQUESTS_PER_PHASE) -> None:
+        """Run one phase; afterwards all workers are up and report again."""
+        self.is_overloaded = phase in ("full", "held")
+        self.reports_are_missing = phase == "late"
+        before_each: Callable[[int], None] = do_nothing
+        all_workers = list(self.workers.values())
         if phase == "held":
-            for _ in range(self.held):
+            for _ in range(self.queued_requests):
                 self.step(self.call())
-        lost = [site for site in self.sites.values() if site.zone == 1]
-        if phase == "zone":
-            self.swap(lost, up=False)
-            self.run(calls // 2, between)
+        elif phase == "zone":
+            zone_workers = [worker for worker in all_workers if worker.zone == 1]
+            self.change_workers(zone_workers, is_up=False)
+            self.run_requests(calls // 2, before_each)
             calls -= calls // 2
-            self.swap(lost, up=True)
+            self.change_workers(zone_workers, is_up=True)
         elif phase == "cold":
-            self.swap(list(self.sites.values())[:300], up=True)
+            self.change_workers(all_workers[:300], is_up=True)
         elif phase == "list":
-            self.swap(list(self.sites.values())[: max(1, self.workers // 2)], up=True, old=True)
+            half = all_workers[: max(1, len(all_workers) // 2)]
+            self.change_workers(half, is_up=True, is_restart=False)
         elif phase == "flap":
-            first = next(iter(self.sites.values()))
-            between = lambda index: self.swap([first], up=index % 2 == 0, old=True)  # noqa: E731
-        self.run(calls, between)
-        self.full = self.late = False
+            before_each = self.flap_first_worker
+        self.run_requests(calls, before_each)
+        self.is_overloaded = False
+        self.reports_are_missing = False
 
-    def swap(self, sites: list[Site], up: bool, old: bool = False) -> None:
-        """Workers leave or come back: cold, unless old."""
-        for site in sites:
-            site.up = up
-            if up and not old:
-                site.started_ns, site.mine = self.now, 0
-        self.step([api.EndpointListUpdate(api.EndpointListKind.DELTA, tuple(site.entry() for site in sites))])
+    def flap_first_worker(self, index: int) -> None:
+        """Bring the first worker back before an even request and take it away before an odd one."""
+        self.change_workers([next(iter(self.workers.values()))], is_up=index % 2 == 0, is_restart=False)
 
+    def change_workers(self, workers: list[SimulatedWorker], is_up: bool, is_restart: bool = True) -> None:
+        """Have workers leave or come back, after a restart or as they were, and send the list's changes."""
+        for worker in workers:
+            worker.is_up = is_up
+            if is_up and is_restart:
+                worker.started_ns = self.now
+                worker.own_slots = 0
+        entries = tuple(worker.entry() for worker in workers)
+        self.step([api.EndpointListUpdate(api.EndpointListKind.DELTA, entries)])
 
-def nothing(_: int) -> None:
-    """Between two calls of most phases nothing is done."""
 
+def do_nothing(_: int) -> None:
+    """Do nothing before a request."""
 
-def digest(script: Script) -> str:
-    """A short hash of all actions, with their moments."""
-    import hashlib
 
+def digest(script: Script) -> str:
+    """Return a short hash of all actions and their times."""
     return hashlib.sha256(repr(script.actions).encode()).hexdigest()[:16]
 
 
 def main() -> int:
-    """Print a hash of the actions of each size; two commits that decide alike print the same."""
-    for workers, dispatchers, probes, held in (
+    """Print hashes of the actions of each size; two commits that take the same decisions print the same."""
+    for workers, dispatchers, probes, queued in (
         (10, 1, False, 20),
         (10, 3, True, 20),
         (60, 1, False, 100),
@@ -273,13 +306,13 @@
         (200, 1, False, 100),
         (200, 1, True, 100),
     ):
-        script = Script(workers, dispatchers, probes, held=held)
-        told = []
+        script = Script(workers, dispatchers, probes, held=queued)
+        digests = []
         for phase in PHASES:
             script.play(phase, 150)
-            told.append(f"{phase} {digest(script)[:6]}")
+            digests.append(f"{phase} {digest(script)[:6]}")
         sends = sum(isinstance(action, api.Send) for _, action in script.actions)
-        print(workers, dispatchers, probes, script.steps, len(script.actions), sends, *told, flush=True)
+        print(workers, dispatchers, probes, script.steps, len(script.actions), sends, *digests, flush=True)
     return 0
 
 
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,4 +1,4 @@
-"""What lists of workers cost one dispatcher: resident memory of a process, time of a step of the decisions.
+"""Cost of an endpoint list for one dispatcher: resident memory of a process, time of a decision step.
 
 Run it as `python -m benchmarks.sizes` from the root; about 100 s, one core.
 """
@@ -22,12 +22,12 @@
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
 SECOND_NS = 1_000_000_000
-SETTLE_S = 0.25  # a list is taken in by then
-ROUNDS = (0, 6, 120)  # times that all ids of the list change
+SETTLE_S = 0.25  # from a change of the list to the measurement
+ROUNDS = (0, 6, 120)  # numbers of list changes, all ids each time, after which memory is measured
 
 
 def listing(count: int, round_number: int = 0) -> Discovery:
-    """Discovery with so many workers, which have other ids in each round."""
+    """Return a discovery stand-in with so many workers, whose ids differ from round to round."""
     discovery = Discovery()
     for number in range(count):
         address = f"127.{round_number + 1}.{number // 250}.{number % 250 + 1}:9"
@@ -35,32 +35,53 @@
     return discovery
 
 
+def resident_mb(pid: int) -> float:
+    """Return the resident memory of a process in MB."""
+    status = Path(f"/proc/{pid}/status").read_text().splitlines()
+    return int(next(line for line in status if line.startswith("VmRSS")).split()[1]) / 1024
+
+
+def write_config(folder: str, discovery: Discovery) -> Path:
+    """Write a dispatcher's configuration and return its path."""
+    document = json.loads(CONFIG.read_text())
+    document |= {
+        "listen": "127.0.0.1:0",
+        "mgmt": None,
+        "discovery": discovery.address,
+        "known": discovery.told(),
+    }
+    path = Path(folder) / "config.json"
+    path.write_text(json.dumps(document))
+    return path
+
+
+async def start_dispatcher(config: Path) -> asyncio.subprocess.Process:
+    """Start a dispatcher and wait until it serves."""
+    process = await asyncio.create_subprocess_exec(
+        *(sys.executable, "-m", "weldquay"),
+        env={**os.environ, "GW_CONFIG": str(config), "TMPDIR": str(config.parent)},
+        stderr=asyncio.subprocess.PIPE,
+    )
+    assert process.stderr is not None
+    while b"is serving" not in (line := await process.stderr.readline()):
+        assert line
+    return process
+
+
 async def memory(count: int) -> list[float]:
-    """Resident MB of a dispatcher with so many workers, after each of ROUNDS."""
+    """Return the resident MB of a dispatcher with so many workers, after each of ROUNDS."""
     discovery = listing(count)
     await discovery.start()
-    told = json.loads(CONFIG.read_text())
-    told |= {"listen": "127.0.0.1:0", "mgmt": None, "discovery": discovery.address, "known": discovery.told()}
     sizes = []
     with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "config.json"
-        path.write_text(json.dumps(told))
-        process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "weldquay"),
-            env={**os.environ, "GW_CONFIG": str(path), "TMPDIR": folder},
-            stderr=asyncio.subprocess.PIPE,
-        )
-        assert process.stderr is not None
-        while b"is serving" not in (line := await process.stderr.readline()):
-            assert line
+        process = await start_dispatcher(write_config(folder, discovery))
         for number in range(max(ROUNDS) + 1):
             if number:
                 discovery.members = listing(count, number).members
                 await discovery.tell()
             await asyncio.sleep(SETTLE_S)
             if number in ROUNDS:
-                status = Path(f"/proc/{process.pid}/status").read_text().splitlines()
-                sizes.append(int(next(row for row in status if row.startswith("VmRSS")).split()[1]) / 1024)
+                sizes.append(resident_mb(process.pid))
         process.terminate()
         await process.wait()
     discovery.stop()
@@ -68,7 +89,7 @@
 
 
 def step_ms(dispatchers: int, count: int, lines: int) -> float:
-    """Time of the step that takes in changes of all workers, in so many lines."""
+    """Return the milliseconds of the step that applies changes of all workers, in so many updates."""
     settings = read({}, json.loads(CONFIG.read_text())).settings
     decisions = Dispatcher(
         replace(settings, dispatcher_count=dispatchers, dispatcher_index=dispatchers - 1), 1
@@ -79,7 +100,8 @@
     ]
     decisions.step(1000 * SECOND_NS, [api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries))])
     events = [
-        api.EndpointListUpdate(api.EndpointListKind.DELTA, tuple(entries[at::lines])) for at in range(lines)
+        api.EndpointListUpdate(api.EndpointListKind.DELTA, tuple(entries[offset::lines]))
+        for offset in range(lines)
     ]
     begun = time.perf_counter()
     decisions.step(1001 * SECOND_NS, [*events])
@@ -87,11 +109,12 @@
 
 
 def main() -> None:
-    """Print all of it."""
+    """Print all measurements."""
     for count in (1, 1100, 1400):
         sizes = asyncio.run(memory(count))
-        told = ", ".join(f"{size:.1f} MB after {n} rounds" for n, size in zip(ROUNDS, sizes, strict=True))
-        print(f"{count} workers: {told}")
+        by_round = zip(ROUNDS, sizes, strict=True)
+        text = ", ".join(f"{size:.1f} MB after {rounds} rounds" for rounds, size in by_round)
+        print(f"{count} workers: {text}")
     for dispatchers, count in ((3, 1100), (410, 1400)):
         for lines in (1, count):
             print(
