--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 import pytest
 
 from weldquay.lab.scale import check, page
-from weldquay.lab.scale.budget import crossing
+from weldquay.lab.scale.projections import crossing
 from weldquay.lab.scale.decisions import measure
 from weldquay.lab.scale.fleet import ChildFailed, Fleet, Played, Window, play
 from weldquay.lab.scale.points import Point
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Sequence
 
 from weldquay.errors import OperatorError
-from weldquay.lab.scale import budget
+from weldquay.lab.scale import budget, projections
+from weldquay.lab.scale import roles as role_loads
 from weldquay.lab.scale.check import MachineStalled, compare
 from weldquay.lab.scale.points import CHECK
 from weldquay.lab.scale.results import SLOPES, Figure, Result, level, on_axis, spread
@@ -49,10 +50,10 @@
         "changes": levels(result, "changes", "changes", "changes a second", CHANGE_COLUMNS),
         "whole": levels(result, "whole", "dispatchers", "dispatchers", (*WORKER_COLUMNS, *FLEET_COLUMNS)),
         "decisions": decisions(result),
-        "roles": _table(("role", "figure", "slope x count", "at the users' size"), budget.roles(result)),
+        "roles": _table(("role", "figure", "slope x count", "at the users' size"), role_loads.roles(result)),
         "budget": _table(("line", "needed at the users' size", "allowed", "verdict"), budget.lines(result)),
-        "planned": _table(("mechanism", "at most, at each dispatcher"), budget.planned(result)),
-        "limits": _table(("what grows", "first limit met", "at"), budget.limits(result)),
+        "planned": _table(("mechanism", "at most, at each dispatcher"), projections.planned(result)),
+        "limits": _table(("what grows", "first limit met", "at"), projections.limits(result)),
     }
 
 
--- /dev/null
+++ b/weldquay/lab/scale/projections.py
@@ -0,0 +1,143 @@
+"""Where the measured lines meet the first limits, and what the budget leaves for planned mechanisms."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from weldquay.lab.scale.budget import CONTROL_PARTS, control, control_bytes, total
+from weldquay.lab.scale.results import Figure, Result, level, spread
+from weldquay.lab.scale.targets import (
+    CONTROL_BYTES_PER_S,
+    CONTROL_CORES,
+    DISPATCHERS,
+    LIST_DEADLINE_S,
+    MEMORY_MB,
+    MIN_ENTRY_BYTES,
+    MODELS,
+    PREFIXES,
+    REQUESTS_PER_S,
+    SESSIONS,
+    SETTINGS_CHANGES_PER_DAY,
+    SETTINGS_DEADLINE_S,
+    TENANTS,
+    WORKERS,
+    TableRow,
+    find_line,
+    find_point,
+)
+
+
+def planned(result: Result) -> list[TableRow]:
+    """Return what planned mechanisms may use at most: arithmetic on what the budget leaves."""
+    traffic, large = control_bytes(result), find_point(result, "whole", "workers", WORKERS)
+    parts = control(result)
+    if traffic is None or large is None or len(parts) < CONTROL_PARTS:
+        return []
+    left_bytes = max(1.0, CONTROL_BYTES_PER_S - traffic.total)
+    left_cores = CONTROL_CORES - total(parts).middle
+    left_mb = MEMORY_MB - level(large, "dispatcher.memory_mb").high
+    pairs, sessions = TENANTS * MODELS, SESSIONS / DISPATCHERS
+    core_text = (
+        f"{left_cores:.2%} of a core is left"
+        if left_cores > 0
+        else f"none is left: {-left_cores:.2%} of a core too much"
+    )
+    return [
+        ["all together", f"{left_bytes:,.0f} B/s, {left_mb:,.0f} MB; processor time: {core_text}"],
+        ["members (SWIM)", f"a fixed number of messages a period, whatever the count; {DISPATCHERS} entries"],
+        [
+            "shared counts",
+            f"{TENANTS:,} tenants x {MODELS} models = {pairs:,} pairs: told whole at {MIN_ENTRY_BYTES} B "
+            f"each they take {pairs * MIN_ENTRY_BYTES / left_bytes:,.0f} s of all that is left, so only what "
+            f"changed: {left_bytes / MIN_ENTRY_BYTES:,.0f} a second",
+        ],
+        [
+            "versioned settings",
+            f"{SETTINGS_CHANGES_PER_DAY / 86400:.4f} changes/s, each here within "
+            f"{SETTINGS_DEADLINE_S:.0f} s: {left_bytes * SETTINGS_DEADLINE_S / 1024:,.1f} KB a change "
+            f"at the rate that is left",
+        ],
+        [
+            "leases (sessions)",
+            f"{SESSIONS:,} / {DISPATCHERS} = {sessions:,.0f} a dispatcher; at {MIN_ENTRY_BYTES} B each "
+            f"renewed no more often than every {sessions * MIN_ENTRY_BYTES / left_bytes:,.0f} s; held by all "
+            f"they could take {left_mb * 2**20 / SESSIONS:,.0f} B each",
+        ],
+        [
+            "prefixes, bookings",
+            f"{PREFIXES:,} prefixes at {MIN_ENTRY_BYTES} B: {PREFIXES * MIN_ENTRY_BYTES / 1024:,.0f} KB, "
+            f"told anew within {PREFIXES * MIN_ENTRY_BYTES / left_bytes:,.0f} s at the soonest",
+        ],
+    ]
+
+
+def crossing(points: Sequence[tuple[float, float]], allowed: float) -> str:
+    """Return at which x a figure exceeds what is allowed, interpolated between (x, figure) points."""
+    previous_x, previous_value = 0.0, 0.0
+    for x, value in points:
+        if value > allowed:
+            fraction = (allowed - previous_value) / (value - previous_value)
+            return f"{previous_x + fraction * (x - previous_x):,.0f}"
+        previous_x, previous_value = x, value
+    return f"not up to {points[-1][0]:,.0f}"
+
+
+def limits(result: Result) -> list[TableRow]:
+    """Return the rows of the first limits met, by what grows."""
+    return [*_decision_limits(result), *_line_limits(result), *_discovery_restart(result)]
+
+
+def _decision_limits(result: Result) -> list[TableRow]:
+    """Return the numbers of workers at which decisions exceed the processor budget."""
+    costs = sorted(
+        (cost for cost in result.decisions if cost.dispatchers == DISPATCHERS), key=lambda cost: cost.workers
+    )
+    controls: list[tuple[float, Figure]] = []
+    all_reported: list[tuple[float, Figure]] = []
+    for cost in costs:
+        all_reported.append((float(cost.workers), spread(cost.told_us).times(REQUESTS_PER_S / 1e6)))
+        if len(parts := control(result, cost.workers)) == CONTROL_PARTS:
+            controls.append((float(cost.workers), total(parts)))
+    rows = []
+    for name, points in (("control", controls), ("decisions where all have just reported", all_reported)):
+        if points:
+            fewest = crossing([(workers, cores.high) for workers, cores in points], CONTROL_CORES)
+            median = crossing([(workers, cores.middle) for workers, cores in points], CONTROL_CORES)
+            most = crossing([(workers, cores.low) for workers, cores in points], CONTROL_CORES)
+            text = f"{name}: over {CONTROL_CORES:.1%} of a core at {REQUESTS_PER_S:.1f} requests/s"
+            rows.append(["workers in the list", text, f"{median} workers (spread: {fewest} to {most})"])
+    return rows
+
+
+def _line_limits(result: Result) -> list[TableRow]:
+    """Return where a measured line meets a limit."""
+    rows = []
+    if line := find_line(result, "processor time a request"):
+        limit = (1e6 - line.base) / line.slope
+        text = "a dispatcher's one core is full (100 workers, 410 in the settings)"
+        rows.append(["requests a second at a dispatcher", text, f"{limit:,.0f} requests/s"])
+    if line := find_line(result, "memory a listed"):
+        limit = (MEMORY_MB * 1024 - line.base) / line.slope
+        rows.append(["workers in the list", f"a dispatcher over {MEMORY_MB:.0f} MB", f"{limit:,.0f} workers"])
+    if line := find_line(result, "list, bytes"):
+        limit = (CONTROL_BYTES_PER_S - line.base) / line.slope
+        text = f"the list alone over {CONTROL_BYTES_PER_S:,.0f} B/s a dispatcher"
+        rows.append(["list changes", text, f"{limit:,.1f} a second"])
+    if line := find_line(result, "discovery: processor"):
+        limit = (1e6 - line.base) / line.slope
+        text = "one core of the discovery stand-in is full at 1 change/s (lines alone, not asks)"
+        rows.append(["dispatchers", text, f"{limit:,.0f} dispatchers"])
+    return rows
+
+
+def _discovery_restart(result: Result) -> list[TableRow]:
+    """Return the traffic after a restart of discovery, when all dispatchers ask for the whole list."""
+    if (large := find_point(result, "whole", "workers", WORKERS)) is None:
+        return []
+    list_bytes = large.started_lists["real"]
+    text = (
+        f"a whole list is {list_bytes / 1024:,.0f} KB; "
+        f"all {DISPATCHERS} ask within the list's {LIST_DEADLINE_S:.0f} s"
+    )
+    rate = list_bytes * DISPATCHERS / LIST_DEADLINE_S / 2**20
+    return [["discovery starts anew", text, f"{rate:,.1f} MB/s for {LIST_DEADLINE_S:.0f} s"]]
--- /dev/null
+++ b/weldquay/lab/scale/roles.py
@@ -0,0 +1,174 @@
+"""The load of each role at the users' size: a measured slope or level times a count."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from weldquay.lab.scale.budget import ProcessCost, request_and_probe
+from weldquay.lab.scale.fleet import Played
+from weldquay.lab.scale.results import Figure, Result, level
+from weldquay.lab.scale.targets import (
+    DISPATCHERS,
+    FLEET_REQUESTS_PER_S,
+    LIST_CHANGES_PER_S,
+    REQUESTS_PER_S,
+    WORKERS,
+    Line,
+    TableRow,
+    find_line,
+    find_point,
+)
+
+HEARTBEATS_PER_S = 0.5  # empty lines of a watch
+AT_FULL_SIZE = f"measured with {DISPATCHERS} dispatchers, {WORKERS:,} workers"
+
+
+@dataclass(frozen=True, slots=True)
+class Loads:
+    """What the rows are made of; slopes are per request, per listed worker, per change or per dispatcher."""
+
+    full_size: Played  # all dispatchers and workers
+    many_dispatchers: Played  # all dispatchers, 100 workers
+    process: ProcessCost
+    attempts: float  # a request
+    callbacks: float  # a request
+    memory_kb: Line
+    change_bytes: float
+    discovery_us: float
+
+    def at_full_size(self, name: str) -> float:
+        """Return the median of a figure that was measured at the full size."""
+        return level(self.full_size, name).middle
+
+    @property
+    def list_lines_per_s(self) -> float:
+        """Lines of the list that a dispatcher receives in a second."""
+        return HEARTBEATS_PER_S + LIST_CHANGES_PER_S
+
+
+def roles(result: Result) -> list[TableRow]:
+    """Return the rows of all roles, or none where a part was not measured."""
+    if (loads := _find_loads(result)) is None:
+        return []
+    return [*_dispatcher_rows(loads), *_discovery_rows(loads), *_worker_rows(loads)]
+
+
+def _find_loads(result: Result) -> Loads | None:
+    full_size, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
+    many_dispatchers = find_point(result, "dispatchers", "dispatchers", DISPATCHERS)
+    changes = find_line(result, "list, bytes")
+    if full_size is None or process is None or many_dispatchers is None or changes is None:
+        return None
+    attempts, callbacks = (find_line(result, f"{name}s a request") for name in ("attempt", "callback"))
+    memory_kb, discovery = find_line(result, "memory a listed"), find_line(result, "discovery: processor")
+    assert memory_kb is not None and discovery is not None
+    return Loads(
+        full_size,
+        many_dispatchers,
+        process,
+        attempts=attempts.slope if attempts else 0.0,
+        callbacks=callbacks.slope if callbacks else 0.0,
+        memory_kb=memory_kb,
+        change_bytes=changes.slope,
+        discovery_us=discovery.slope,
+    )
+
+
+def _dispatcher_rows(loads: Loads) -> list[TableRow]:
+    probes = loads.at_full_size("real.probes")
+    memory = loads.memory_kb
+    rate = f"a request x {REQUESTS_PER_S:.1f}/s"
+    return [
+        [
+            "dispatcher",
+            "attempts",
+            f"{loads.attempts:.2f} {rate}",
+            f"{loads.attempts * REQUESTS_PER_S:.1f}/s",
+        ],
+        ["", "callbacks", f"{loads.callbacks:.2f} {rate}", f"{loads.callbacks * REQUESTS_PER_S:.1f}/s"],
+        ["", "probes", AT_FULL_SIZE, f"{probes:.1f}/s"],
+        [
+            "",
+            "list",
+            f"{HEARTBEATS_PER_S:g} empty lines/s + {LIST_CHANGES_PER_S:.4f} changes/s",
+            f"{loads.list_lines_per_s:.2f} lines/s",
+        ],
+        _cpu_row("processor time, all of a request but probes", loads.process.request_us, REQUESTS_PER_S),
+        _cpu_row("processor time, probes", loads.process.probe_us, probes),
+        [
+            "",
+            "memory",
+            f"{memory.base / 1024:.1f} MB + {memory.slope:.2f} KB x {WORKERS:,} workers",
+            f"{(memory.base + memory.slope * WORKERS) / 1024:.1f} MB",
+        ],
+        ["", "descriptors", AT_FULL_SIZE, f"{loads.at_full_size('dispatcher.descriptors'):.0f}"],
+    ]
+
+
+def _cpu_row(name: str, cost_us: Figure, rate: float) -> TableRow:
+    text = f"{cost_us.middle:,.0f} us ({cost_us.low:,.0f} to {cost_us.high:,.0f}) x {rate:.1f}/s"
+    return ["", name, text, f"{cost_us.middle * rate / 1e6:.1%} of a core"]
+
+
+def _discovery_rows(loads: Loads) -> list[TableRow]:
+    lines_per_s = loads.list_lines_per_s
+    list_bytes = loads.full_size.started_lists["real"]
+    return [
+        ["discovery", "watches, descriptors", f"1 x {DISPATCHERS}", f"{DISPATCHERS}"],
+        ["", "lines", f"{lines_per_s:.2f}/s x {DISPATCHERS}", f"{lines_per_s * DISPATCHERS:.0f}/s"],
+        [
+            "",
+            "bytes of changes",
+            f"{loads.change_bytes:.0f} B x {LIST_CHANGES_PER_S:.4f}/s x {DISPATCHERS}",
+            f"{loads.change_bytes * LIST_CHANGES_PER_S * DISPATCHERS:,.0f} B/s",
+        ],
+        [
+            "",
+            "bytes, all ask anew",
+            f"{list_bytes / WORKERS:.0f} B x {WORKERS:,} workers x {DISPATCHERS}",
+            f"{list_bytes * DISPATCHERS / 2**20:.0f} MB",
+        ],
+        [
+            "",
+            "processor time of the stand-in, 1 change/s",
+            f"{loads.discovery_us:.0f} us x {DISPATCHERS}",
+            f"{loads.discovery_us * DISPATCHERS / 1e6:.1%} of a core",
+        ],
+    ]
+
+
+def _worker_rows(loads: Loads) -> list[TableRow]:
+    probes, connections = loads.at_full_size("real.probes"), loads.at_full_size("real.open")
+    small_fleet_connections = level(loads.many_dispatchers, "worker.connections").middle
+    return [
+        [
+            "a worker",
+            "attempts",
+            f"{FLEET_REQUESTS_PER_S:,.0f}/s / {WORKERS:,}",
+            f"{FLEET_REQUESTS_PER_S * loads.attempts / WORKERS:.1f}/s",
+        ],
+        [
+            "",
+            "callbacks sent",
+            f"{loads.callbacks:.2f} x",
+            f"{FLEET_REQUESTS_PER_S * loads.callbacks / WORKERS:.1f}/s",
+        ],
+        [
+            "",
+            "probes",
+            f"{probes:.1f}/s x {DISPATCHERS} / {WORKERS:,}",
+            f"{probes * DISPATCHERS / WORKERS:.1f}/s",
+        ],
+        [
+            "",
+            "connections from dispatchers",
+            f"{connections:.1f} a dispatcher x {DISPATCHERS} / {WORKERS:,}",
+            f"{connections * DISPATCHERS / WORKERS:.1f}",
+        ],
+        [
+            "",
+            "the same with 100 workers, 1 request/s a dispatcher",
+            f"measured at {DISPATCHERS} dispatchers",
+            f"{small_fleet_connections:.1f}",
+        ],
+    ]
