--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -12,14 +12,17 @@
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.direct import Result, Run, Trouble
-from weldquay.lab.room import FLEET
+from weldquay.lab.reservation_experiment import FLEET
+from weldquay.lab.virtual_time import Fault, Scenario, Simulation, SimulationResult
 from weldquay.reservations.settings import ReservationSettings
 from weldquay.settings import Pairs, decode_settings
 from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
 
-LARGE = (replace(loads.KINDS[2], widths=(0.0, 0.0, 1.0), part=1.0),)
-SMALL = (replace(loads.KINDS[0], part=1.0), replace(loads.KINDS[3], part=1.0, widths=(1.0,)))
+LARGE = (replace(loads.JOB_CLASSES[2], slot_probabilities=(0.0, 0.0, 1.0), fraction=1.0),)
+SMALL = (
+    replace(loads.JOB_CLASSES[0], fraction=1.0),
+    replace(loads.JOB_CLASSES[3], fraction=1.0, slot_probabilities=(1.0,)),
+)
 MILD = 15 * SECOND
 DRAINING = api.WorkerState.DRAINING
 
@@ -28,34 +31,44 @@
     load: float = 0.8,
     dispatchers: int = 1,
     room: ReservationSettings | None = None,
-    kinds: Sequence[loads.Kind] = loads.KINDS,
+    kinds: Sequence[loads.JobClass] = loads.JOB_CLASSES,
     hints: loads.Hints | None = None,
-    troubles: Sequence[Trouble] = (),
+    troubles: Sequence[Fault] = (),
     seed: int = 3,
     **spec: Any,
-) -> tuple[Run, Result]:
+) -> tuple[Simulation, SimulationResult]:
     """A quarter of a minute of load; each job has one answer, none runs against its class, each hold ends."""
-    specs = [model.Spec(f"s{n}", speed=speed, kind=kind, **spec) for n, (kind, speed) in enumerate(FLEET)]
+    specs = [
+        model.WorkerSpec(f"s{n}", speed=speed, kind=kind, **spec) for n, (kind, speed) in enumerate(FLEET)
+    ]
     capacity = sum(each.speed * each.cores for each in specs)
-    arrivals = loads.draw(seed, MILD, capacity, load, dispatchers, kinds, hints)
+    arrivals = loads.Traffic(
+        seed, MILD, capacity, load, dispatchers, kinds, hints or loads.Hints()
+    ).draw_arrivals()
     told = [
         decode_settings(Pairs.from_nested(loads.settings(dispatchers, kinds, me)))[0]
         for me in range(dispatchers)
     ]
-    run = Run(arrivals, specs, [replace(each, reservations=room) for each in told], seed, kinds, 1, troubles)
-    result = run.go()
+    run = Simulation(
+        Scenario(
+            arrivals, specs, [replace(each, reservations=room) for each in told], seed, kinds, 1, troubles
+        )
+    )
+    result = run.run()
     for record in result.records:
         assert record.answers == 1, record
-        if kinds[record.arrival.kind].effect == "fragile":
-            assert result.runs.get(record.arrival.number, 0) <= 1
+        if kinds[record.arrival.job_class].effect == "fragile":
+            assert result.starts_by_job.get(record.arrival.number, 0) <= 1
     assert not any(each.scheduler.by_request or each.scheduler.by_worker for each in run.dispatchers)
     return run, result
 
 
-def in_time(result: Result, slots: int, kinds: Sequence[loads.Kind] = loads.KINDS) -> float:
+def in_time(
+    result: SimulationResult, slots: int, kinds: Sequence[loads.JobClass] = loads.JOB_CLASSES
+) -> float:
     """The part of the worth of jobs of this width that came in time."""
     return next(
-        row.parts[loads.Fate.IN_TIME]
+        row.fractions[loads.RequestResult.IN_TIME]
         for row in loads.summary(result.records, kinds)
         if row.name == "any" and row.slots == slots
     )
@@ -64,19 +77,19 @@
 @pytest.mark.parametrize("dispatchers", [1, 3, 8])
 @pytest.mark.parametrize(
     "hints",
-    [loads.Hints(), loads.Hints(wrong=1.0), loads.Hints(missing=0.5)],
+    [loads.Hints(), loads.Hints(wrong_fraction=1.0), loads.Hints(missing_fraction=0.5)],
     ids=["good", "wrong", "missing"],
 )
 def test_every_job_has_one_answer_whatever_the_hints_say(dispatchers: int, hints: loads.Hints) -> None:
     """Several dispatchers hold at the same workers, with hints four times too long or short, or none."""
     _, result = play(1.1, dispatchers, ReservationSettings(), hints=hints)
-    assert any(name.startswith("holds_") for name in result.counts) or hints.wrong
+    assert any(name.startswith("holds_") for name in result.counts) or hints.wrong_fraction
 
 
-def served(result: Result, slots: int) -> tuple[int, int]:
+def served(result: SimulationResult, slots: int) -> tuple[int, int]:
     """Jobs of this width: those that came in time, and all."""
-    fates = [each.fate for each in result.records if each.arrival.slots == slots]
-    return fates.count(loads.Fate.IN_TIME), len(fates)
+    results = [each.result for each in result.records if each.arrival.slots == slots]
+    return results.count(loads.RequestResult.IN_TIME), len(results)
 
 
 def test_large_jobs_are_served_more_and_small_ones_hardly_less() -> None:
@@ -92,7 +105,7 @@
 
 def test_small_jobs_alone_are_decided_as_without_it() -> None:
     """No large job, no cost: the same sends at the same moments."""
-    runs = [play(0.9, 3, room, SMALL)[0].sends_after for room in (None, ReservationSettings())]
+    runs = [play(0.9, 3, room, SMALL)[0].sends for room in (None, ReservationSettings())]
     assert runs[0] == runs[1] and runs[0]
 
 
@@ -128,19 +141,23 @@
     assert {hold.worker for hold in drive.dispatcher.scheduler.by_request.values()} == {2}
 
 
-TROUBLES = {"drain": Run.drain, "restart": Run.restart, "vanish": Run.vanish}
+TROUBLES = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.vanish}
 
 
 @pytest.mark.parametrize("trouble", list(TROUBLES))
 def test_a_worker_that_drains_restarts_or_vanishes_in_a_hold(trouble: str) -> None:
     """Nothing new goes to a drained or gone worker, planned or not; a cold one is not pushed over."""
-    hits = [Trouble(at * SECOND, partial(TROUBLES[trouble], worker=w)) for at, w in ((4, 1), (7, 3))]
-    cold: dict[str, Any] = {"cold_share": 0.34, "warm_after_ns": 8900 * MS, "fall_multiple": 2.5}
+    hits = [Fault(at * SECOND, partial(TROUBLES[trouble], worker=w)) for at, w in ((4, 1), (7, 3))]
+    cold: dict[str, Any] = {
+        "initial_capacity_fraction": 0.34,
+        "slow_start_ns": 8900 * MS,
+        "overload_multiple": 2.5,
+    }
     run, _ = play(1.0, 2, ReservationSettings(), troubles=hits, **cold)
     if trouble == "restart":
-        assert not any(worker.fallen for worker in run.workers)
+        assert not any(worker.has_failed for worker in run.fleet.workers)
     else:  # told at once in virtual time: one step may be under way
-        late = [w for at, w in run.sends_after if at > run.begun_ns + 4 * SECOND + 5 * MS]
+        late = [w for at, w in run.sends if at > run.begun_ns + 4 * SECOND + 5 * MS]
         assert 1 not in late and len(late) > 50
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -25,7 +25,7 @@
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
-from weldquay.lab.servers import MOST_TRIES, TRY_AGAIN_S
+from weldquay.lab.servers import MAX_CALLBACK_ATTEMPTS, CALLBACK_RETRY_S
 from weldquay.net.config import read
 from weldquay.net import worker_client as workers
 from weldquay.net import dispatcher_process as program
@@ -70,12 +70,12 @@
         pool = self.pools.setdefault(name, Pool(self.dispatcher))
         told = {"id": call, "from": name, "state": "done", "result": "done"}
         data = write_message("POST /callback HTTP/1.1", json.dumps(told).encode())
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
                 await pool.ask(data)
                 break
             except (OSError, asyncio.IncompleteReadError):  # its connection made room for another
-                await asyncio.sleep(TRY_AGAIN_S)
+                await asyncio.sleep(CALLBACK_RETRY_S)
         del self.jobs[call]
 
     def load(self) -> dict[str, float]:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,7 @@
 from weldquay.fleet.slow_start import WarmingWorker, SlowStartPolicy, rank, remaining_budget_ns
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.direct import Run, Trouble
+from weldquay.lab.virtual_time import Fault, Scenario, Simulation
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.settings import Pairs, decode_settings
 from tests.helpers import MS, SECOND
@@ -345,7 +345,7 @@
         assert min(firsts) > 0.3 * 1280 / dispatchers
 
 
-class Watched(Run):
+class Watched(Simulation):
     """A run that keeps the work of each send."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
@@ -362,8 +362,8 @@
 
 def test_forty_dispatchers_share_a_zone_that_returns_cold() -> None:
     """Twenty workers of forty start at one moment: each gets work while it is cold, and never too much."""
-    specs = [model.Spec(f"s{n}") for n in range(40)]
-    kinds = loads.KINDS
+    specs = [model.WorkerSpec(f"s{n}") for n in range(40)]
+    kinds = loads.JOB_CLASSES
     told = [
         replace(
             decode_settings(Pairs.from_nested(loads.settings(40, kinds, me)))[0],
@@ -374,10 +374,12 @@
         )
         for me in range(40)
     ]
-    arrivals = loads.draw(3, 12 * SECOND, sum(spec.speed * spec.cores for spec in specs), 0.4, 40, kinds)
-    back = [Trouble(2 * SECOND, partial(Run.restart, worker=worker)) for worker in range(1, 21)]
-    run = Watched(arrivals, specs, told, 3, kinds, 1, back)
-    run.go()
+    arrivals = loads.Traffic(
+        3, 12 * SECOND, sum(spec.speed * spec.cores for spec in specs), 0.4, 40, kinds
+    ).draw_arrivals()
+    back = [Fault(2 * SECOND, partial(Simulation.restart, worker=worker)) for worker in range(1, 21)]
+    run = Watched(Scenario(arrivals, specs, told, 3, kinds, 1, back))
+    run.run()
     begun_ns, used = run.begun_ns + 2 * SECOND, 0.0
     for worker in range(1, 21):
         sent = [
--- a/weldquay/lab/load.py
+++ b/weldquay/lab/load.py
@@ -1,4 +1,4 @@
-"""What clients ask for: classes of jobs, arrivals drawn ahead from a seed, and what became of each job."""
+"""The clients' load: classes of jobs, arrivals drawn in advance from a seed, and the requests' results."""
 
 from __future__ import annotations
 
@@ -14,206 +14,271 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A class of jobs.  work_ns: mean running time at speed 1; widths: the chances of 1, 2, 4 slots."""
+class JobClass:
+    """A class of jobs.
+
+    fraction: of all jobs.  mean_work_ns: mean running time at speed 1.  effect: as the settings' file spells
+    it.  slot_probabilities: of 1, 2, 4 slots.  runtime_variation: standard deviation over mean.
+    """
 
     name: str
-    part: float
-    work_ns: float
-    aim_ns: int
-    give_up_ns: int
-    worth: float = 1.0
-    stretch: float = 2.0
+    fraction: float
+    mean_work_ns: float
+    latency_objective_ns: int
+    client_timeout_ns: int
+    priority_weight: float = 1.0
+    runtime_allowance: float = 2.0
     effect: str = "retryable"
-    widths: tuple[float, ...] = (1.0,)
-    spread: float = 2.0  # standard deviation of the running time over its mean
+    slot_probabilities: tuple[float, ...] = (1.0,)
+    runtime_variation: float = 2.0
 
 
-# The operators' classes, each figure in the midst of its published range.
-KINDS = (
-    Kind("exact-lookup", 0.39, 310 * MS, 250 * MS, 5 * SECOND),
-    Kind("fuzzy-match", 0.25, 610 * MS, 500 * MS, 7500 * MS, widths=(0.6, 0.25, 0.15)),
-    Kind(
+# The operators' classes, each figure in the middle of its published range.
+JOB_CLASSES = (
+    JobClass("exact-lookup", 0.39, 310 * MS, 250 * MS, 5 * SECOND),
+    JobClass("fuzzy-match", 0.25, 610 * MS, 500 * MS, 7500 * MS, slot_probabilities=(0.6, 0.25, 0.15)),
+    JobClass(
         "batch-import",
         0.23,
         1200 * MS,
         600 * MS,
         15 * SECOND,
-        worth=8.0,
+        priority_weight=8.0,
         effect="fragile",
-        widths=(0.6, 0.25, 0.15),
+        slot_probabilities=(0.6, 0.25, 0.15),
     ),
-    Kind(
+    JobClass(
         "segment-commit",
         0.13,
         610 * MS,
         500 * MS,
         7500 * MS,
-        worth=2.0,
-        stretch=1.75,
+        priority_weight=2.0,
+        runtime_allowance=1.75,
         effect="fragile",
-        widths=(0.6, 0.25, 0.15),
+        slot_probabilities=(0.6, 0.25, 0.15),
     ),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Hints:
-    """How clients guess the work: the spread of good guesses, the parts of wrong and of missing ones."""
+    """Errors of the clients' runtime hints.
+
+    spread: standard deviation of the logarithm of a good hint.  wrong_factor: wrong hints are so many times
+    too long or too short.
+    """
 
     spread: float = 0.25
-    wrong: float = 0.0
-    factor: float = 4.0  # wrong ones are so many times too long or too short
-    missing: float = 0.0
+    wrong_fraction: float = 0.0
+    wrong_factor: float = 4.0
+    missing_fraction: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job that a client brings at a moment, at one of the dispatchers."""
+    """A request for a job: when it comes, at which dispatcher, of which class (an offset)."""
 
     number: int
     at_ns: int
-    kind: int
+    job_class: int
     dispatcher: int
     work_ns: float
     slots: int
     memory: float
     hint_ns: int | None
-    attempt: int = 0  # the client's retries so far
+    retry: int = 0  # the client's retries so far
 
 
-def mean_area_ns(kinds: Sequence[Kind]) -> float:
-    """Mean slot time of a job at speed 1."""
-    parts = sum(kind.part for kind in kinds)
+def mean_slot_time_ns(job_classes: Sequence[JobClass]) -> float:
+    """Return the mean slot time of a job at speed 1."""
+    total = sum(job_class.fraction for job_class in job_classes)
     return math.fsum(
-        kind.part / parts * kind.work_ns * sum(p * 2.0**i for i, p in enumerate(kind.widths))
-        for kind in kinds
+        job_class.fraction
+        / total
+        * job_class.mean_work_ns
+        * sum(p * 2.0**i for i, p in enumerate(job_class.slot_probabilities))
+        for job_class in job_classes
     )
 
 
-def draw(
-    seed: int,
-    length_ns: int,
-    capacity: float,
-    load: float,
-    dispatchers: int = 1,
-    kinds: Sequence[Kind] = KINDS,
-    hints: Hints | None = None,
-) -> list[Arrival]:
-    """Poisson arrivals that ask for `load` of a fleet's capacity (work in a unit of time, all slots)."""
-    hints = hints or Hints()
-    streams = np.random.SeedSequence(seed).spawn(5)
-    when, what, work, wide, guess = (np.random.Generator(np.random.PCG64(each)) for each in streams)
-    parts = np.array([kind.part for kind in kinds])
-    gap_ns = mean_area_ns(kinds) / (load * capacity)
-    arrivals: list[Arrival] = []
-    at_ns = float(when.exponential(gap_ns))
-    while at_ns < length_ns:
-        number = int(what.choice(len(kinds), p=parts / parts.sum()))
-        kind = kinds[number]
-        slots = 2 ** int(wide.choice(len(kind.widths), p=np.array(kind.widths) / sum(kind.widths)))
-        sigma2 = math.log(1 + kind.spread**2)
-        work_ns = float(work.lognormal(math.log(kind.work_ns) - sigma2 / 2, math.sqrt(sigma2)))
-        hint_ns: int | None = int(work_ns * float(guess.lognormal(0.0, hints.spread)))
-        odd = float(guess.random())
-        if odd < hints.missing:
-            hint_ns = None
-        elif odd < hints.missing + hints.wrong and hint_ns is not None:
-            hint_ns = int(hint_ns * (hints.factor if guess.random() < 0.5 else 1 / hints.factor))
-        memory = float(np.clip(wide.lognormal(math.log(0.5 * slots), 0.4), 0.05, slots))
-        arrivals.append(
-            Arrival(
-                len(arrivals),
-                int(at_ns),
-                number,
-                int(what.integers(dispatchers)),
-                work_ns,
-                slots,
-                memory,
-                hint_ns,
-            )
+class _ArrivalStreams:
+    """Seeded random streams, one for each property of a job, so that a change of one keeps the others."""
+
+    def __init__(self, seed: int, job_classes: Sequence[JobClass], hints: Hints) -> None:
+        streams = np.random.SeedSequence(seed).spawn(5)
+        self.times, self.classes, self.work, self.sizes, self.hint_errors = (
+            np.random.Generator(np.random.PCG64(stream)) for stream in streams
         )
-        at_ns += float(when.exponential(gap_ns))
-    return arrivals
+        self.job_classes = job_classes
+        self.hints = hints
+        fractions = np.array([job_class.fraction for job_class in job_classes])
+        self.class_probabilities = fractions / fractions.sum()
+
+    def draw_arrival(self, number: int, at_ns: float, dispatchers: int) -> Arrival:
+        """Draw the properties of one job."""
+        class_index = int(self.classes.choice(len(self.job_classes), p=self.class_probabilities))
+        job_class = self.job_classes[class_index]
+        probabilities = np.array(job_class.slot_probabilities) / sum(job_class.slot_probabilities)
+        slots = 2 ** int(self.sizes.choice(len(probabilities), p=probabilities))
+        variance = math.log(1 + job_class.runtime_variation**2)
+        mean_log_ns = math.log(job_class.mean_work_ns) - variance / 2
+        work_ns = float(self.work.lognormal(mean_log_ns, math.sqrt(variance)))
+        hint_ns = self.draw_hint_ns(work_ns)
+        memory = float(np.clip(self.sizes.lognormal(math.log(0.5 * slots), 0.4), 0.05, slots))
+        dispatcher = int(self.classes.integers(dispatchers))
+        return Arrival(number, int(at_ns), class_index, dispatcher, work_ns, slots, memory, hint_ns)
+
+    def draw_hint_ns(self, work_ns: float) -> int | None:
+        """Draw a client's hint; None where the client gives none."""
+        hints = self.hints
+        hint_ns = int(work_ns * float(self.hint_errors.lognormal(0.0, hints.spread)))
+        chance = float(self.hint_errors.random())
+        if chance < hints.missing_fraction:
+            return None
+        if chance < hints.missing_fraction + hints.wrong_fraction:
+            factor = hints.wrong_factor if self.hint_errors.random() < 0.5 else 1 / hints.wrong_factor
+            return int(hint_ns * factor)
+        return hint_ns
+
+
+@dataclass(frozen=True, slots=True)
+class Traffic:
+    """The traffic of a run.
+
+    capacity: the fleet's work in a unit of time, all slots.  load: the requested work as a fraction of it.
+    """
 
+    seed: int
+    length_ns: int
+    capacity: float
+    load: float
+    dispatchers: int = 1
+    job_classes: Sequence[JobClass] = JOB_CLASSES
+    hints: Hints = Hints()
 
-def again(arrival: Arrival, at_ns: int, number: int) -> Arrival:
-    """A client's retry of a job."""
-    return replace(arrival, at_ns=at_ns, number=number, attempt=arrival.attempt + 1)
+    def draw_arrivals(self) -> list[Arrival]:
+        """Return Poisson arrivals, equal for equal seeds."""
+        streams = _ArrivalStreams(self.seed, self.job_classes, self.hints)
+        mean_gap_ns = mean_slot_time_ns(self.job_classes) / (self.load * self.capacity)
+        arrivals: list[Arrival] = []
+        at_ns = float(streams.times.exponential(mean_gap_ns))
+        while at_ns < self.length_ns:
+            arrivals.append(streams.draw_arrival(len(arrivals), at_ns, self.dispatchers))
+            at_ns += float(streams.times.exponential(mean_gap_ns))
+        return arrivals
 
 
-class Fate(Enum):
-    """What became of a job."""
+def retry_of(arrival: Arrival, at_ns: int) -> Arrival:
+    """Return a client's retry of a request."""
+    return replace(arrival, at_ns=at_ns, retry=arrival.retry + 1)
+
+
+class RequestResult(Enum):
+    """The result of a request."""
 
     IN_TIME = "in time"
     LATE = "late"
-    REFUSED = "refused"
+    REJECTED = "rejected"
     FAILED = "failed"
     LOST = "lost"  # no answer
 
 
 @dataclass(slots=True)
-class Record:
-    """A job and its last answer; wait_ns is the time that it did not run."""
+class RequestRecord:
+    """A request and its last answer; wait_ns is the time that its job did not run."""
 
     arrival: Arrival
-    fate: Fate = Fate.LOST
+    result: RequestResult = RequestResult.LOST
     answered_ns: int = 0
     wait_ns: int = 0
     answers: int = 0
-    refusals: int = 0
+    rejections: int = 0
 
 
-def judge(kind: Kind, work_ns: float, took_ns: int) -> Fate:
-    """Whether a served job came within its wanted time."""
-    return Fate.IN_TIME if took_ns <= kind.aim_ns + kind.stretch * work_ns else Fate.LATE
+def classify_served(job_class: JobClass, work_ns: float, elapsed_ns: int) -> RequestResult:
+    """Return whether a served request met its latency objective."""
+    limit_ns = job_class.latency_objective_ns + job_class.runtime_allowance * work_ns
+    return RequestResult.IN_TIME if elapsed_ns <= limit_ns else RequestResult.LATE
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """One line of the table: a class and a width."""
+class SummaryRow:
+    """The results of the jobs of one class and number of slots."""
 
     name: str
     slots: int
     jobs: int
-    parts: dict[Fate, float]  # by worth
-    refusals: float  # a job
+    fractions: dict[RequestResult, float]  # of the value of all jobs
+    rejections: float  # a job
     wait_ms: tuple[float, float, float]  # 50th, 90th and 99th percentile of served jobs
 
 
-def summary(records: Sequence[Record], kinds: Sequence[Kind] = KINDS) -> list[Row]:
-    """The table of a run: by class and width, by width alone, and all."""
-    groups: dict[tuple[str, int], list[Record]] = {}
+def summary(
+    records: Sequence[RequestRecord], job_classes: Sequence[JobClass] = JOB_CLASSES
+) -> list[SummaryRow]:
+    """Return the results by class and number of slots, by slots alone, and of all jobs (0 slots)."""
+    groups: dict[tuple[str, int], list[RequestRecord]] = {}
     for record in records:
         slots = record.arrival.slots
-        for key in ((kinds[record.arrival.kind].name, slots), ("any", slots), ("any", 0)):
+        for key in ((job_classes[record.arrival.job_class].name, slots), ("any", slots), ("any", 0)):
             groups.setdefault(key, []).append(record)
-    rows = []
-    for (name, slots), group in sorted(groups.items()):
-        worths = np.array([worth(each.arrival, kinds) for each in group])
-        parts = {
-            fate: float(
-                sum(w for w, each in zip(worths, group, strict=True) if each.fate is fate) / worths.sum()
-            )
-            for fate in Fate
-        }
-        waits = [each.wait_ns / MS for each in group if each.fate in (Fate.IN_TIME, Fate.LATE)] or [math.nan]
-        p50, p90, p99 = (float(np.percentile(waits, p)) for p in (50, 90, 99))
-        refusals = sum(each.refusals for each in group) / len(group)
-        rows.append(Row(name, slots, len(group), parts, refusals, (p50, p90, p99)))
-    return rows
-
-
-def worth(arrival: Arrival, kinds: Sequence[Kind] = KINDS) -> float:
-    """What a job is worth, by its work."""
-    return kinds[arrival.kind].worth * arrival.work_ns * arrival.slots
-
-
-def settings(dispatchers: int = 1, kinds: Sequence[Kind] = KINDS, me: int = 0, **more: Any) -> dict[str, Any]:
-    """Settings for these classes, as the operators write them."""
+    return [_summary_row(name, slots, group, job_classes) for (name, slots), group in sorted(groups.items())]
+
+
+def _summary_row(
+    name: str, slots: int, records: Sequence[RequestRecord], job_classes: Sequence[JobClass]
+) -> SummaryRow:
+    values = np.array([job_value(record.arrival, job_classes) for record in records])
+    fractions = {
+        result: float(
+            sum(value for value, record in zip(values, records, strict=True) if record.result is result)
+            / values.sum()
+        )
+        for result in RequestResult
+    }
+    served = (RequestResult.IN_TIME, RequestResult.LATE)
+    waits_ms = [record.wait_ns / MS for record in records if record.result in served] or [math.nan]
+    p50, p90, p99 = (float(np.percentile(waits_ms, percent)) for percent in (50, 90, 99))
+    rejections = sum(record.rejections for record in records) / len(records)
+    return SummaryRow(name, slots, len(records), fractions, rejections, (p50, p90, p99))
+
+
+def job_value(arrival: Arrival, job_classes: Sequence[JobClass] = JOB_CLASSES) -> float:
+    """Return the value of a job: its slot time by the weight of its class."""
+    return job_classes[arrival.job_class].priority_weight * arrival.work_ns * arrival.slots
+
+
+_CAPABILITIES = {
+    "cancel": True,
+    "probes": True,
+    "may_duplicate": True,
+    "max_attempts": 5,
+    "max_open": 10_000,
+    "retry_after": True,
+    "max_retry_after_ns": 2 * SECOND,
+    "connect_timeout_ns": 250 * MS,
+    "conn_idle_ns": 60 * SECOND,
+}
+_SAFETY = {
+    "ask_within_ns": 10 * SECOND,
+    "cold_share": 0.34,
+    "warm_after_ns": 8900 * MS,
+    "fall_multiple": 2.5,
+    "overload_for_ns": 2 * SECOND,
+}
+
+
+def settings(
+    dispatchers: int = 1,
+    job_classes: Sequence[JobClass] = JOB_CLASSES,
+    dispatcher_index: int = 0,
+    **extra: Any,
+) -> dict[str, Any]:
+    """Return the settings' document for these classes; extra: more groups, or other ones."""
     return {
         "group_size": dispatchers,
-        "me": me,
+        "me": dispatcher_index,
         "zone": 0,
         "zones": ["here"],
         "shapes": ["fast", "standard", "old"],
@@ -222,40 +287,24 @@
         "worth_by": "work",
         "services": [
             {
-                "name": kind.name,
-                "aim_ns": kind.aim_ns,
-                "give_up_ns": kind.give_up_ns,
-                "effect": kind.effect,
-                "worth": kind.worth,
+                "name": job_class.name,
+                "aim_ns": job_class.latency_objective_ns,
+                "give_up_ns": job_class.client_timeout_ns,
+                "effect": job_class.effect,
+                "worth": job_class.priority_weight,
             }
-            for kind in kinds
+            for job_class in job_classes
         ],
         "family_info": {
-            "class_stretch": [kind.stretch for kind in kinds],
+            "class_stretch": [job_class.runtime_allowance for job_class in job_classes],
             "tells_start": True,
             "queue_order": "fifo",
             "report_x0": "free slots",
             "report_x1": "free memory",
         },
         "load_info": {"fields": ["svc_ms", "pending", "x0", "x1"], "via": "inline"},
-        "caps": {
-            "cancel": True,
-            "probes": True,
-            "may_duplicate": True,
-            "max_attempts": 5,
-            "max_open": 10_000,
-            "retry_after": True,
-            "max_retry_after_ns": 2 * SECOND,
-            "connect_timeout_ns": 250 * MS,
-            "conn_idle_ns": 60 * SECOND,
-        },
-        "safety": {
-            "ask_within_ns": 10 * SECOND,
-            "cold_share": 0.34,
-            "warm_after_ns": 8900 * MS,
-            "fall_multiple": 2.5,
-            "overload_for_ns": 2 * SECOND,
-        },
+        "caps": dict(_CAPABILITIES),
+        "safety": dict(_SAFETY),
         "tariffs": {"probe": 0.002, "waste": 0.3, "late_fail": 0.054},
-        **more,
+        **extra,
     }
--- a/weldquay/lab/model.py
+++ b/weldquay/lab/model.py
@@ -1,7 +1,7 @@
-"""A match worker without I/O and clock: slots, memory, a bounded queue, speed, cold starts and late reports.
+"""A model of a match worker without I/O and clock: slots, memory, a bounded queue, slow start, late reports.
 
-Times are integer nanoseconds on the caller's clock.  The caller asks `next_ns` when to look again, and
-`advance` then tells what has happened.  After the operators' description of their machines.
+Times are integer nanoseconds on the caller's clock.  `next_event_ns` returns when the caller has to call
+`advance`, which returns what has happened until then.  Source: the operators' description of their machines.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from enum import Enum
 
 MS, SECOND = 1_000_000, 1_000_000_000
-COLD_STEP_NS = 50 * MS  # while it warms up, its speed is taken as constant for so long
+WARM_UP_STEP_NS = 50 * MS  # the speed counts as constant for so long during slow start
 
 
-class Order(Enum):
-    """Which waiting job starts next."""
+class QueueOrder(Enum):
+    """Which queued job starts next."""
 
     FIFO = "fifo"  # the first waits until it fits
     BACKFILL = "backfill"  # the first that fits
     PRIORITY = "priority"  # the class with the highest priority first; the first of it waits until it fits
 
 
-class Cancelling(Enum):
+class Cancellation(Enum):
     """What a cancel stops."""
 
     NOTHING = "nothing"
@@ -31,46 +31,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
-    """A match worker as it is built.  speed: work done in a slot in a unit of time, 1 for a standard core."""
+class WorkerSpec:
+    """The fixed properties of a match worker.
+
+    speed: work done in a slot in a unit of time, 1 for a standard core.  initial_capacity_fraction: the speed
+    at its start over the full speed, which it reaches after slow_start_ns.  overload_multiple: it fails if,
+    during slow start, so many times the work that it can do arrives within overload_window_ns.
+    """
 
     name: str
     speed: float = 1.0
     cores: int = 4
     slots: int = 4
-    queue: int = 24
-    order: Order = Order.FIFO
-    cancelling: Cancelling = Cancelling.NOTHING
+    queue_limit: int = 24
+    order: QueueOrder = QueueOrder.FIFO
+    cancellation: Cancellation = Cancellation.NOTHING
     kind: str = "standard"
     zone: str = "here"
-    report_every_ns: int = SECOND
+    report_interval_ns: int = SECOND
     report_delay_ns: int = 350 * MS
-    cold_share: float = 1.0  # its speed at its start, as a part of the full one
-    warm_after_ns: int = 0
-    fall_multiple: float = math.inf
-    overload_for_ns: int = 2 * SECOND
+    initial_capacity_fraction: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = math.inf
+    overload_window_ns: int = 2 * SECOND
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job as a worker holds it; work_ns is its running time in a slot at speed 1."""
+    """A job at a worker; work_ns is its running time in a slot at speed 1."""
 
     id: str
     work_ns: float
     slots: int = 1
     memory: float = 0.0
     priority: int = 0
-    come_ns: int = 0
+    arrived_ns: int = 0
     started_ns: int = -1
-    left_ns: float = field(init=False)
+    remaining_ns: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """All of its work is left."""
-        self.left_ns = self.work_ns
+        """Set the remaining work to all of it."""
+        self.remaining_ns = self.work_ns
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class JobStarted:
     """A job has started."""
 
     at_ns: int
@@ -78,213 +83,224 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """A job has ended well."""
+class JobCompleted:
+    """A job has completed."""
 
     at_ns: int
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
-class Returned:
-    """A job is handed back unstarted."""
+class JobReturned:
+    """A job that had not started was returned to its dispatcher."""
 
     at_ns: int
     job: Job
 
 
-Happening = Started | Done | Returned
+WorkerEvent = JobStarted | JobCompleted | JobReturned
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """A worker's own figures."""
+class LoadReport:
+    """A worker's own figures; service_ms is a moving average of running times."""
 
     service_ms: float
-    waiting: int
+    queued: int
     free_slots: int
     free_memory: float
 
 
 class Worker:
-    """One match worker at work."""
+    """One match worker and its jobs."""
 
-    def __init__(self, spec: Spec, now_ns: int = 0, cold: bool = False) -> None:
+    def __init__(self, spec: WorkerSpec, now_ns: int = 0, is_cold: bool = False) -> None:
         self.spec = spec
         self.now_ns = now_ns
-        self.born_ns = now_ns if cold else now_ns - spec.warm_after_ns
+        self.started_ns = now_ns if is_cold else now_ns - spec.slow_start_ns
         self.running: list[Job] = []
-        self.waiting: deque[Job] = deque()
-        self.draining = False
+        self.queue: deque[Job] = deque()
+        self.is_draining = False
         self.paused_until_ns = now_ns
-        self.fallen = False
-        self.pressure: deque[tuple[int, float]] = deque()  # work that came while cold
+        self.has_failed = False
+        self.recent_work: deque[tuple[int, float]] = deque()  # time and work of arrivals during slow start
         self.service_ms = 0.0
         self.busy_ns = 0.0  # slot time used
-        self.runs: dict[str, int] = {}  # starts by job, for the count of repeats
-        self.happened: list[Happening] = []
-        self.snapshots: deque[tuple[int, Figures]] = deque()
-        self.snapshot_ns = now_ns
-        self._snap()
+        self.starts_by_job: dict[str, int] = {}
+        self.events: list[WorkerEvent] = []
+        self.reports: deque[tuple[int, LoadReport]] = deque()
+        self.next_report_ns = now_ns
+        self._record_report()
 
-    # --- what comes ---
+    # --- requests ---
 
     def offer(self, now_ns: int, job: Job) -> bool:
-        """Take a job in; False where it is turned away unseen."""
+        """Queue a job; return False where it is rejected."""
         self._run_to(now_ns)
-        self._press(job)
-        full = job.slots > self.spec.slots or len(self.waiting) >= self.spec.queue
-        if self.fallen or self.draining or full:
+        self._apply_overload(job)
+        is_full = job.slots > self.spec.slots or len(self.queue) >= self.spec.queue_limit
+        if self.has_failed or self.is_draining or is_full:
             return False
-        job.come_ns = now_ns
-        self.waiting.append(job)
-        self._start()
+        job.arrived_ns = now_ns
+        self.queue.append(job)
+        self._start_jobs()
         return True
 
     def cancel(self, now_ns: int, job_id: str) -> bool:
-        """Nobody waits for a job any more; True where that spares its run."""
+        """Cancel a job; return True if it had not started and will not run."""
         self._run_to(now_ns)
-        if self.spec.cancelling is Cancelling.WAITING:
-            for job in self.waiting:
+        if self.spec.cancellation is Cancellation.WAITING:
+            for job in self.queue:
                 if job.id == job_id:
-                    self.waiting.remove(job)
-                    self._start()
+                    self.queue.remove(job)
+                    self._start_jobs()
                     return True
         return False
 
     def pause(self, now_ns: int, for_ns: int) -> None:
-        """Stand still for a while."""
+        """Stop all work for a while."""
         self._run_to(now_ns)
         self.paused_until_ns = max(self.paused_until_ns, now_ns + for_ns)
 
     def drain(self, now_ns: int) -> None:
-        """Finish what runs, hand back what waits, take nothing new."""
+        """Finish running jobs, return queued ones and reject new ones."""
         self._run_to(now_ns)
-        self.draining = True
-        while self.waiting:
-            self.happened.append(Returned(now_ns, self.waiting.popleft()))
+        self.is_draining = True
+        while self.queue:
+            self.events.append(JobReturned(now_ns, self.queue.popleft()))
 
     def restart(self, now_ns: int) -> list[Job]:
-        """Begin anew, cold and empty; the jobs that are lost."""
+        """Restart empty, with a slow start, and return the lost jobs."""
         self._run_to(now_ns)
-        lost = [*self.running, *self.waiting]
-        self.running, self.draining, self.fallen, self.born_ns = [], False, False, now_ns
-        self.waiting.clear()
-        self.pressure.clear()
+        lost = [*self.running, *self.queue]
+        self.running = []
+        self.is_draining = False
+        self.has_failed = False
+        self.started_ns = now_ns
+        self.queue.clear()
+        self.recent_work.clear()
         return lost
 
     # --- time ---
 
-    def advance(self, now_ns: int) -> list[Happening]:
-        """What has happened up to now, in order."""
+    def advance(self, now_ns: int) -> list[WorkerEvent]:
+        """Return the events up to now, in order."""
         self._run_to(now_ns)
-        happened, self.happened = self.happened, []
-        return happened
+        events, self.events = self.events, []
+        return events
 
-    def next_ns(self) -> int:
-        """When to look again at the latest; -1: nothing is to come by itself."""
-        if self.happened:
+    def next_event_ns(self) -> int:
+        """Return when `advance` has to be called at the latest; -1 if no event is due."""
+        if self.events:
             return self.now_ns
         if not self.running:
             return -1
         return self._step_end()
 
-    def report(self, now_ns: int) -> Figures:
-        """The figures as told now: refreshed now and then, and late."""
+    def report(self, now_ns: int) -> LoadReport:
+        """Return the load report that is visible now, which is older by the report delay."""
         self._run_to(now_ns)
         before_ns = now_ns - self.spec.report_delay_ns
-        while len(self.snapshots) > 1 and self.snapshots[1][0] <= before_ns:
-            self.snapshots.popleft()
-        return self.snapshots[0][1]
+        while len(self.reports) > 1 and self.reports[1][0] <= before_ns:
+            self.reports.popleft()
+        return self.reports[0][1]
 
     @property
     def free_slots(self) -> int:
-        """Slots that no running job holds."""
+        """Slots that no running job uses."""
         return self.spec.slots - sum(job.slots for job in self.running)
 
     @property
     def free_memory(self) -> float:
-        """Memory that no running job holds; a worker has one unit for each slot."""
+        """Memory that no running job uses; a worker has one unit for each slot."""
         return self.spec.slots - sum(job.memory for job in self.running)
 
-    def warmth(self, now_ns: int) -> float:
-        """Its speed as a part of the full one."""
-        age_ns, spec = now_ns - self.born_ns, self.spec
-        if age_ns >= spec.warm_after_ns:
+    def warm_up_fraction(self, now_ns: int) -> float:
+        """Return its speed over the full speed."""
+        age_ns, spec = now_ns - self.started_ns, self.spec
+        if age_ns >= spec.slow_start_ns:
             return 1.0
-        return spec.cold_share + (1 - spec.cold_share) * age_ns / spec.warm_after_ns
+        return (
+            spec.initial_capacity_fraction
+            + (1 - spec.initial_capacity_fraction) * age_ns / spec.slow_start_ns
+        )
 
     def _rate(self) -> float:
-        """Work done in a slot for each nanosecond: slots beyond the cores share these."""
+        """Return the work done in a slot in a nanosecond; slots beyond the cores share these."""
         if self.now_ns < self.paused_until_ns:
             return 0.0
         busy = self.spec.slots - self.free_slots
-        return self.spec.speed * self.warmth(self.now_ns) * min(1.0, self.spec.cores / max(1, busy))
+        return self.spec.speed * self.warm_up_fraction(self.now_ns) * min(1.0, self.spec.cores / max(1, busy))
 
     def _step_end(self) -> int:
-        """The end of the span in which the rate is constant and no job ends."""
+        """Return the end of the span in which the rate is constant and no job ends."""
         if self.now_ns < self.paused_until_ns:
             return self.paused_until_ns
         rate = self._rate()
-        end_ns = self.now_ns + max(1, math.ceil(min(job.left_ns for job in self.running) / rate))
-        if self.now_ns - self.born_ns < self.spec.warm_after_ns:
-            end_ns = min(end_ns, self.now_ns + COLD_STEP_NS)
+        end_ns = self.now_ns + max(1, math.ceil(min(job.remaining_ns for job in self.running) / rate))
+        if self.now_ns - self.started_ns < self.spec.slow_start_ns:
+            end_ns = min(end_ns, self.now_ns + WARM_UP_STEP_NS)
         return end_ns
 
     def _run_to(self, now_ns: int) -> None:
+        """Run the jobs until a time, span by span."""
         while self.now_ns < now_ns:
-            end_ns = min(now_ns, self._step_end() if self.running else now_ns, self.snapshot_ns)
+            end_ns = min(now_ns, self._step_end() if self.running else now_ns, self.next_report_ns)
             end_ns = max(end_ns, self.now_ns)
             done = self._rate() * (end_ns - self.now_ns)
             self.busy_ns += (self.spec.slots - self.free_slots) * (end_ns - self.now_ns)
             self.now_ns = end_ns
-            ended = []
+            ended_jobs = []
             for job in self.running:
-                job.left_ns -= done
-                if job.left_ns < 1:
-                    ended.append(job)
-            for job in ended:
+                job.remaining_ns -= done
+                if job.remaining_ns < 1:
+                    ended_jobs.append(job)
+            for job in ended_jobs:
                 self.running.remove(job)
                 self.service_ms += 0.2 * ((end_ns - job.started_ns) / MS - self.service_ms)
-                self.happened.append(Done(end_ns, job))
-            if ended:
-                self._start()
-            if self.now_ns >= self.snapshot_ns:
-                self._snap()
-
-    def _start(self) -> None:
-        """Start what fits, in the order of the queue."""
-        waiting = list(self.waiting)
-        if self.spec.order is Order.PRIORITY:
-            waiting.sort(key=lambda job: -job.priority)
-        for job in waiting:
+                self.events.append(JobCompleted(end_ns, job))
+            if ended_jobs:
+                self._start_jobs()
+            if self.now_ns >= self.next_report_ns:
+                self._record_report()
+
+    def _start_jobs(self) -> None:
+        """Start the jobs that fit, in the order of the queue."""
+        queued = list(self.queue)
+        if self.spec.order is QueueOrder.PRIORITY:
+            queued.sort(key=lambda job: -job.priority)
+        for job in queued:
             if job.slots <= self.free_slots and job.memory <= self.free_memory + 1e-9:
-                self.waiting.remove(job)
+                self.queue.remove(job)
                 job.started_ns = self.now_ns
                 self.running.append(job)
-                self.runs[job.id] = self.runs.get(job.id, 0) + 1
-                self.happened.append(Started(self.now_ns, job))
-            elif self.spec.order is not Order.BACKFILL:
+                self.starts_by_job[job.id] = self.starts_by_job.get(job.id, 0) + 1
+                self.events.append(JobStarted(self.now_ns, job))
+            elif self.spec.order is not QueueOrder.BACKFILL:
                 return
 
-    def _snap(self) -> None:
-        while len(self.snapshots) > 1 and self.snapshots[1][0] <= self.now_ns - self.spec.report_delay_ns:
-            self.snapshots.popleft()
-        self.snapshots.append(
-            (self.now_ns, Figures(self.service_ms, len(self.waiting), self.free_slots, self.free_memory))
+    def _record_report(self) -> None:
+        """Record a load report, and drop those that are no longer visible."""
+        while len(self.reports) > 1 and self.reports[1][0] <= self.now_ns - self.spec.report_delay_ns:
+            self.reports.popleft()
+        self.reports.append(
+            (self.now_ns, LoadReport(self.service_ms, len(self.queue), self.free_slots, self.free_memory))
         )
-        self.snapshot_ns = self.now_ns + self.spec.report_every_ns
+        self.next_report_ns = self.now_ns + self.spec.report_interval_ns
 
-    def _press(self, job: Job) -> None:
-        """Work that reaches a cold worker, taken in or not: too much within the window, and it falls over."""
+    def _apply_overload(self, job: Job) -> None:
+        """Count work that arrives during slow start, rejected or not; fail if it is too much."""
         spec = self.spec
-        if self.now_ns - self.born_ns >= spec.warm_after_ns:
+        if self.now_ns - self.started_ns >= spec.slow_start_ns:
             return
-        self.pressure.append((self.now_ns, job.work_ns * job.slots))
-        while self.pressure[0][0] <= self.now_ns - spec.overload_for_ns:
-            self.pressure.popleft()
-        capacity = spec.speed * spec.cores * self.warmth(self.now_ns)
-        if sum(work for _, work in self.pressure) > spec.fall_multiple * capacity * spec.overload_for_ns:
-            self.fallen = True
+        self.recent_work.append((self.now_ns, job.work_ns * job.slots))
+        while self.recent_work[0][0] <= self.now_ns - spec.overload_window_ns:
+            self.recent_work.popleft()
+        capacity = spec.speed * spec.cores * self.warm_up_fraction(self.now_ns)
+        if (
+            sum(work for _, work in self.recent_work)
+            > spec.overload_multiple * capacity * spec.overload_window_ns
+        ):
+            self.has_failed = True
             self.running.clear()
-            self.waiting.clear()
+            self.queue.clear()
--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -65,7 +65,7 @@
     def count(self) -> dict[str, Any]:
         """Counts, and the connections that are open now."""
         held = Counter(side_of(writer) for worker in self.fleet for writer in worker.writers)
-        unheard = sum(worker.unheard for worker in self.fleet)
+        unheard = sum(worker.unanswered_callbacks for worker in self.fleet)
         return {**self.tally, "open_real": held["real"], "open_hollow": held["hollow"], "unheard": unheard}
 
     async def stop(self) -> None:
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -1,6 +1,6 @@
 """What a request costs the decisions, by the number of workers and of dispatchers in the settings.
 
-Played: the decision module in virtual time against model workers (`lab.direct`), at the rate that a
+Simulated: the decision module in virtual time against model workers (`lab.virtual_time`), at the rate that a
 dispatcher has at the users' size.  Each step is timed; the sum over a run, by request, is the figure: the
 step that takes the request in, those for its probes and its end, the timers between.  Few workers have news.
 
@@ -19,8 +19,8 @@
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.direct import Run
-from weldquay.lab.scale.points import JOBS, WORK_NS, settings
+from weldquay.lab.scale.points import JOB_CLASSES, MEAN_WORK_NS, settings
+from weldquay.lab.virtual_time import Scenario, Simulation
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.settings import Pairs, decode_settings
 
@@ -65,7 +65,7 @@
     draw, at_ns, found = random.Random(seed), 0.0, []
     for number in range(requests):
         at_ns += draw.expovariate(RATE) * model.SECOND
-        found.append(loads.Arrival(number, int(at_ns), 0, 0, float(WORK_NS), 1, 0.5, None))
+        found.append(loads.Arrival(number, int(at_ns), 0, 0, float(MEAN_WORK_NS), 1, 0.5, None))
     return found
 
 
@@ -73,15 +73,15 @@
     """Play one size so many times."""
     cost = Cost(workers, dispatchers, requests, [], [], [], [], [])
     told = decode_settings(Pairs.from_nested(settings(dispatchers, 0)))[0]
-    specs = [model.Spec(f"w-{number}", slots=32, cores=32, queue=64) for number in range(workers)]
+    specs = [model.WorkerSpec(f"w-{number}", slots=32, cores=32, queue_limit=64) for number in range(workers)]
     for seed in range(1, repeats + 1):
-        run = Run(arrivals(requests, seed), specs, [told], seed, JOBS)
-        timed = Timed(run.dispatchers[0])
-        run.dispatchers = [timed]  # type: ignore[list-item]  # it has the one method that is used
-        result = run.go()
+        simulation = Simulation(Scenario(arrivals(requests, seed), specs, [told], seed, JOB_CLASSES))
+        timed = Timed(simulation.dispatchers[0])
+        simulation.dispatchers = [timed]  # type: ignore[list-item]  # it has the one method that is used
+        result = simulation.run()
         cost.request_us.append(timed.spent_s / requests * 1e6)
         cost.probes.append(result.counts["probes"] / requests)
-        change_us, list_us = _list_cost(timed, workers, run.now_ns)
+        change_us, list_us = _list_cost(timed, workers, simulation.now_ns)
         cost.change_us.append(change_us)
         cost.list_us.append(list_us)
         cost.told_us.append(_worst_cost(told, workers, seed))
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -21,7 +21,7 @@
 from weldquay.interface import DiscoveryFailure
 from weldquay.lab.http import Message, Server
 from weldquay.lab.scale.counts import CountingPool, Tally, hollow_address
-from weldquay.lab.scale.points import GIVE_UP_NS, JOBS, Point, job_body
+from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body
 from weldquay.net.discovery_client import ANSWER_S, BEAT_S, LATE_S
 from weldquay.net.messages import JobPayload, job_headers, watch_target
 from weldquay.policy.draw import LOOK_ENOUGH, LOOK_MOST
@@ -181,7 +181,7 @@
         begun_ns = time.monotonic_ns()
         ended = self.waiting[call] = asyncio.get_running_loop().create_future()
         try:
-            async with asyncio.timeout(GIVE_UP_NS / 1e9):
+            async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9):
                 for _ in range(MAX_ATTEMPTS):
                     if await self._attempt(call, begun_ns):
                         await ended
@@ -208,8 +208,8 @@
         address = self.workers[name]
         self.free[name] = self.free.get(name, 1.0) - 1
         body = job_body().encode()
-        job = JobPayload(f"/{JOBS[0].name}/run".encode(), body)
-        left_ns = begun_ns + GIVE_UP_NS - time.monotonic_ns()
+        job = JobPayload(f"/{JOB_CLASSES[0].name}/run".encode(), body)
+        left_ns = begun_ns + CLIENT_TIMEOUT_NS - time.monotonic_ns()
         lines = [b"POST %s HTTP/1.1" % job.target]
         lines += [b"%s: %s" % pair for pair in job_headers(call, job, left_ns, address)]
         answer = await self._pool(address).ask(b"\r\n".join([*lines, b"", body]))
--- a/weldquay/lab/scale/points.py
+++ b/weldquay/lab/scale/points.py
@@ -9,10 +9,10 @@
 from weldquay.lab import load as loads
 from weldquay.lab.model import MS, SECOND
 
-# One class that may run again.  Its jobs are short, so that few of them are under way when a point ends.
-WORK_NS = 20 * MS
-GIVE_UP_NS = 2 * SECOND
-JOBS = (loads.Kind("lookup", 1.0, WORK_NS, 500 * MS, GIVE_UP_NS),)
+# One idempotent class.  Its jobs are short, so that few of them run when a point ends.
+MEAN_WORK_NS = 20 * MS
+CLIENT_TIMEOUT_NS = 2 * SECOND
+JOB_CLASSES = (loads.JobClass("lookup", 1.0, MEAN_WORK_NS, 500 * MS, CLIENT_TIMEOUT_NS),)
 USERS_DISPATCHERS = 410  # the users' count, for the settings' group_size
 
 
@@ -68,11 +68,11 @@
 )
 
 
-def settings(dispatchers: int, me: int) -> dict[str, Any]:
-    """The settings of one dispatcher."""
-    return loads.settings(dispatchers, JOBS, me)
+def settings(dispatchers: int, dispatcher_index: int) -> dict[str, Any]:
+    """Return the settings' document of one dispatcher."""
+    return loads.settings(dispatchers, JOB_CLASSES, dispatcher_index)
 
 
 def job_body() -> str:
-    """What a job asks of a stand-in worker."""
-    return f'{{"work_ns": {WORK_NS}, "slots": 1, "memory": 0.5}}'
+    """Return the body of a job for a stand-in worker."""
+    return f'{{"work_ns": {MEAN_WORK_NS}, "slots": 1, "memory": 0.5}}'
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from weldquay.lab.http import Pool, write_message
-from weldquay.lab.scale.points import GIVE_UP_NS, JOBS, Point, job_body, settings
+from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body, settings
 from weldquay.lab.site import Node, make_node, reserve
 
 
@@ -73,10 +73,10 @@
     async def _request(self, number: int, call: str) -> None:
         self.tally["requests"] += 1
         begun = time.monotonic()
-        figures = (f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {GIVE_UP_NS // 1_000_000}")
-        data = write_message(f"POST /{JOBS[0].name}/run HTTP/1.1", job_body().encode(), *figures)
+        figures = (f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}")
+        data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
         try:
-            async with asyncio.timeout(GIVE_UP_NS / 1e9 + 1):
+            async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
                 answer = await self.pools[number].ask(data)
         except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
             self.tally["lost"] += 1
--- a/weldquay/lab/scale/workers.py
+++ b/weldquay/lab/scale/workers.py
@@ -11,14 +11,15 @@
 from weldquay.lab.servers import MatchWorker
 
 NAMES = {"POST": "attempts", "GET": "probes", "DELETE": "deletes"}
-SLOTS, QUEUE = 32, 64  # room for the many short jobs of a run: it is not about scarce room
+SLOTS = 32  # enough for the many short jobs of a run, which does not measure overload
+QUEUE_LIMIT = 64
 
 
 class CountingWorker(MatchWorker):
     """A model worker with one listener for all dispatchers; a call's id says whom to call back."""
 
     def __init__(self, name: str, callers: list[str], real: int, tally: Tally) -> None:
-        super().__init__(model.Spec(name, slots=SLOTS, cores=SLOTS, queue=QUEUE), ())
+        super().__init__(model.WorkerSpec(name, slots=SLOTS, cores=SLOTS, queue_limit=QUEUE_LIMIT), ())
         self.addresses, self.real, self.tally = callers, real, tally
         self.by_caller: dict[int, CountingPool] = {}
 
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import time
 from collections.abc import Coroutine, Sequence
@@ -12,18 +13,17 @@
 from weldquay.lab.http import Message, Pool, Server, write_line, write_message
 
 HEARTBEAT_S = 2.0
-MOST_TRIES = 10  # of a call-back
-TRY_AGAIN_S = 0.05
-BODY = "application/json"
+MAX_CALLBACK_ATTEMPTS = 10
+CALLBACK_RETRY_S = 0.05
 
 
 class MatchWorker(Server):
-    """A model worker at one address for each dispatcher, which it calls back.
+    """A model worker with one address for each dispatcher, to which it sends call-backs.
 
-    A job's body says what it asks for: {"work_ns": ..., "slots": ..., "memory": ...}.
+    A job's body has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
     """
 
-    def __init__(self, spec: model.Spec, dispatchers: Sequence[str]) -> None:
+    def __init__(self, spec: model.WorkerSpec, dispatchers: Sequence[str]) -> None:
         super().__init__()
         self.spec = spec
         self.model = model.Worker(spec, time.monotonic_ns())
@@ -31,7 +31,7 @@
         self.callers: dict[str, int] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
-        self.unheard = 0  # call-backs that no dispatcher answered
+        self.unanswered_callbacks = 0
 
     async def listen(self) -> None:
         """Listen for each dispatcher."""
@@ -39,86 +39,84 @@
             await self.start()
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Take a job, drop one, or tell the load."""
+        """Accept or reject a job (POST), cancel one (DELETE) or report the load (GET)."""
         now_ns = time.monotonic_ns()
         if message.method == "POST":
-            self._take(message, writer, now_ns)
+            self._accept_job(message, writer, now_ns)
         elif message.method == "DELETE":
             self.model.cancel(now_ns, message.target.rsplit("/", 1)[1])
             writer.write(write_message("HTTP/1.1 204 No Content"))
         else:
             writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self._load(now_ns)).encode()))
-        self._look()
+        self._process_events()
 
-    def _take(self, message: Message, writer: asyncio.StreamWriter, now_ns: int) -> None:
-        told, call = json.loads(message.body), message.headers["x-correlation-id"]
-        job = model.Job(call, told["work_ns"], told["slots"], told["memory"])
+    def _accept_job(self, message: Message, writer: asyncio.StreamWriter, now_ns: int) -> None:
+        request_id = message.headers["x-correlation-id"]
+        needs = json.loads(message.body)
+        job = model.Job(request_id, needs["work_ns"], needs["slots"], needs["memory"])
         if self.model.offer(now_ns, job):
-            self.callers[call] = self.caller(writer)
+            self.callers[request_id] = self.caller(writer)
             writer.write(write_message("HTTP/1.1 202 Accepted"))
         else:
             load = f"X-Backend-Load: {json.dumps(self._load(now_ns))}"
             writer.write(write_message("HTTP/1.1 503 Full", b"", "X-Unprocessed: 1", load))
 
     def _load(self, now_ns: int) -> dict[str, float]:
-        figures = self.model.report(now_ns)
+        report = self.model.report(now_ns)
         return {
-            "svc_ms": figures.service_ms,
-            "pending": figures.waiting,
-            "x0": figures.free_slots,
-            "x1": figures.free_memory,
+            "svc_ms": report.service_ms,
+            "pending": report.queued,
+            "x0": report.free_slots,
+            "x1": report.free_memory,
         }
 
     def drain(self) -> None:
-        """Finish what runs and hand back what waits."""
+        """Finish running jobs and return queued ones."""
         self.model.drain(time.monotonic_ns())
-        self._look()
-
-    def _look(self) -> None:
-        """Tell what has happened, and look again when more will have."""
-        for happening in self.model.advance(time.monotonic_ns()):
-            call = happening.job.id
-            if isinstance(happening, model.Started):
-                told: dict[str, Any] = {"id": call, "from": self.spec.name, "state": "started"}
-                self._go(self._tell(self.callers[call], told))
+        self._process_events()
+
+    def _process_events(self) -> None:
+        """Send the call-backs of the model's events, and schedule the next check."""
+        for event in self.model.advance(time.monotonic_ns()):
+            request_id = event.job.id
+            callback: dict[str, Any] = {"id": request_id, "from": self.spec.name}
+            if isinstance(event, model.JobStarted):
+                callback["state"] = "started"
+                self._start_task(self._send_callback(self.callers[request_id], callback))
                 continue
-            caller, load = self.callers.pop(call), self._load(time.monotonic_ns())
-            told = {"id": call, "from": self.spec.name, "load": load}
-            told |= (
-                {"state": "done", "result": call}
-                if isinstance(happening, model.Done)
-                else {"state": "returned"}
-            )
-            self._go(self._tell(caller, told))
+            callback["load"] = self._load(time.monotonic_ns())
+            if isinstance(event, model.JobCompleted):
+                callback |= {"state": "done", "result": request_id}
+            else:
+                callback["state"] = "returned"
+            self._start_task(self._send_callback(self.callers.pop(request_id), callback))
         if self.timer is not None:
             self.timer.cancel()
-        if (next_ns := self.model.next_ns()) >= 0:
+        if (next_ns := self.model.next_event_ns()) >= 0:
             delay_s = max(0, next_ns - time.monotonic_ns()) / 1e9
-            self.timer = asyncio.get_running_loop().call_later(delay_s, self._look)
+            self.timer = asyncio.get_running_loop().call_later(delay_s, self._process_events)
 
-    def _go(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def pool(self, caller: int) -> Pool:
-        """The connections to a dispatcher."""
+        """Return the connections to a dispatcher."""
         return self.pools[caller]
 
-    async def _tell(self, caller: int, told: dict[str, Any]) -> None:
-        """One call-back, until it is answered."""
-        data = write_message("POST /callback HTTP/1.1", json.dumps(told).encode())
-        for _ in range(MOST_TRIES):
-            try:
+    async def _send_callback(self, caller: int, callback: dict[str, Any]) -> None:
+        """Send a call-back until it is answered, or the attempts are used up."""
+        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        for _ in range(MAX_CALLBACK_ATTEMPTS):
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await self.pool(caller).ask(data)).status in (200, 204):
                     return
-            except (OSError, asyncio.IncompleteReadError):
-                pass
-            await asyncio.sleep(TRY_AGAIN_S)
-        self.unheard += 1
+            await asyncio.sleep(CALLBACK_RETRY_S)
+        self.unanswered_callbacks += 1
 
     def stop(self) -> None:
-        """End at once."""
+        """Close all connections and cancel all call-backs."""
         super().stop()
         if self.timer is not None:
             self.timer.cancel()
@@ -129,14 +127,14 @@
 
 
 class Discovery(Server):
-    """The list of match workers, as watches see it; each caller has addresses of its own for them."""
+    """The endpoint list; each caller may have addresses of its own for the workers."""
 
     def __init__(self) -> None:
         super().__init__()
         self.revision = 1
         self.members: dict[str, dict[str, Any]] = {}
         self.addresses: dict[str, list[str]] = {}
-        self.changed = asyncio.Event()  # another one after each change
+        self.changed = asyncio.Event()  # replaced after each change
 
     def put(
         self,
@@ -160,21 +158,21 @@
         }
 
     async def tell(self) -> None:
-        """Tell all watches that the list has changed."""
+        """Send the changed list to all watches."""
         self.revision += 1
-        before, self.changed = self.changed, asyncio.Event()
-        before.set()
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
 
     def told(self, caller: int = 0) -> dict[str, Any]:
-        """The whole list as a caller sees it."""
-        rows = []
+        """Return the whole list with the addresses for a caller."""
+        members = []
         for worker_id, member in self.members.items():
-            own = self.addresses.get(worker_id, [])[: caller + 1][1:]  # the first caller's is in the row
-            rows.append({**member, "host_port": own[-1]} if own else member)
-        return {"revision": self.revision, "complete": True, "members": rows}
+            own = self.addresses.get(worker_id, [])[: caller + 1][1:]  # the first caller's is in the member
+            members.append({**member, "host_port": own[-1]} if own else member)
+        return {"revision": self.revision, "complete": True, "members": members}
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """A watch: the whole list at once, and again with each change."""
+        """Serve a watch: send the whole list at once and after each change."""
         caller = self.caller(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
@@ -183,7 +181,7 @@
             await self.wait(writer, changed)
 
     async def wait(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
-        """Wait for a change, with an empty line now and then."""
+        """Wait for a change, and send an empty line as a heartbeat meanwhile."""
         while not writer.is_closing():
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -1,4 +1,4 @@
-"""A site on loopback: dispatcher processes among match workers, discovery, and clients that ask on time."""
+"""A site on loopback: dispatcher processes, match workers, discovery, and clients that send on schedule."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from weldquay.lab.http import Message, Pool, request, write_message
 from weldquay.lab.servers import Discovery, MatchWorker
 
-READY_S = 10.0
-LOOK_S = 0.02
-END_S = 20.0
-PAUSE_S = (0.05, 0.1)  # before a client tries again
-GRACE_S = 1.0  # how much longer than its patience a client's socket waits
+READY_TIMEOUT_S = 10.0
+POLL_S = 0.02
+EXIT_TIMEOUT_S = 20.0
+RETRY_PAUSE_S = (0.05, 0.1)  # of a client: minimum and maximum
+ANSWER_GRACE_S = 1.0  # how much longer than its timeout a client waits for an answer
 
 
 def reserve(address: str = "127.0.0.1:0") -> tuple[socket.socket, str]:
-    """An address that nobody else gets while the socket is open; it is bound and does not listen.
+    """Return a bound socket that does not listen, and its address, which nobody else gets while it is open.
 
     address: HOST:PORT, as of a server that was stopped; port 0 is one that the system chooses.
     """
     host, port = address.split(":")
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    held.bind((host, int(port)))
-    return held, "{}:{}".format(*held.getsockname())
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    sock.bind((host, int(port)))
+    return sock, "{}:{}".format(*sock.getsockname())
 
 
 async def ended(process: asyncio.subprocess.Process, within_s: float) -> None:
-    """Wait for a process that was told to end; by force where it does not."""
+    """Wait for a process that is to end, and kill it after a timeout."""
     try:
         async with asyncio.timeout(within_s):
             await process.wait()
@@ -65,16 +65,21 @@
     counters: dict[str, float] = field(default_factory=dict)
 
     async def start(self) -> None:
-        """Start it and wait until it takes clients."""
+        """Start it and wait until it accepts clients.
+
+        Raises:
+            TimeoutError: it does not accept clients in time.
+            RuntimeError: it ended.
+        """
         with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "weldquay", *self.arguments, env=self.environ, stdout=log, stderr=log
             )
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._healthy():
                 if self.process.returncode is not None:
                     raise RuntimeError(f"a dispatcher ended: {(self.folder / 'log').read_text()}")
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     async def _healthy(self) -> bool:
         try:
@@ -83,79 +88,82 @@
             return False
 
     async def stop(self) -> None:
-        """End it in order and keep its counters."""
+        """Shut it down gracefully and read its counters."""
         if self.process is None or self.process.returncode is not None:
             return
         self.process.send_signal(signal.SIGTERM)
-        await ended(self.process, END_S)
+        await ended(self.process, EXIT_TIMEOUT_S)
         for line in (self.folder / "log").read_text().splitlines():
-            _, found, told = line.partition(" counters {")
-            if found:
-                self.counters = json.loads("{" + told)
+            _, separator, text = line.partition(" counters {")
+            if separator:
+                self.counters = json.loads("{" + text)
 
 
 @dataclass(slots=True)
 class Site:
-    """All of a site that runs."""
+    """A running site."""
 
     nodes: list[Node]
     workers: list[MatchWorker]
     discovery: Discovery
-    kinds: Sequence[loads.Kind]
-    records: list[loads.Record] = field(default_factory=list)
+    job_classes: Sequence[loads.JobClass]
+    records: list[loads.RequestRecord] = field(default_factory=list)
     pools: list[Pool] = field(default_factory=list)
 
     async def play(self, arrivals: Sequence[loads.Arrival], seed: int, retries: int = 0) -> None:
-        """Bring each job at its moment, whatever became of the others, and wait for all answers."""
+        """Send each request at its time, independently of the others, and wait for all answers."""
         self.pools = [Pool(node.address) for node in self.nodes]
-        draw, begun = random.Random(seed), asyncio.get_running_loop().time()
+        draw = random.Random(seed)
+        begun_s = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
             for arrival in arrivals:
-                record = loads.Record(arrival)
+                record = loads.RequestRecord(arrival)
                 self.records.append(record)
-                await asyncio.sleep(begun + arrival.at_ns / 1e9 - asyncio.get_running_loop().time())
-                due_s = begun + arrival.at_ns / 1e9
-                pauses = [draw.uniform(*PAUSE_S) for _ in range(retries)]
-                tasks.create_task(self._client(record, due_s, pauses))
-
-    async def _client(self, record: loads.Record, due_s: float, pauses: list[float]) -> None:
-        """One client: a call, again after a refusal, to the end; times count from when it was due."""
-        arrival, kind = record.arrival, self.kinds[record.arrival.kind]
+                due_s = begun_s + arrival.at_ns / 1e9
+                await asyncio.sleep(due_s - asyncio.get_running_loop().time())
+                pauses = [draw.uniform(*RETRY_PAUSE_S) for _ in range(retries)]
+                tasks.create_task(self._run_client(record, due_s, pauses))
+
+    async def _run_client(self, record: loads.RequestRecord, due_s: float, pauses: list[float]) -> None:
+        """Send one request, with retries if it is rejected; times count from when it was due."""
+        arrival = record.arrival
+        job_class = self.job_classes[arrival.job_class]
         loop = asyncio.get_running_loop()
         for number in range(len(pauses) + 1):
             try:
-                async with asyncio.timeout(kind.give_up_ns / 1e9 + GRACE_S):
-                    answer = await self._ask(arrival, number)
+                async with asyncio.timeout(job_class.client_timeout_ns / 1e9 + ANSWER_GRACE_S):
+                    answer = await self._send(arrival, number)
             except (TimeoutError, OSError, asyncio.IncompleteReadError):
-                record.fate = loads.Fate.LOST
+                record.result = loads.RequestResult.LOST
                 return
-            took_ns = int((loop.time() - due_s) * 1e9)
+            elapsed_ns = int((loop.time() - due_s) * 1e9)
             if answer.status not in (429, 503):
                 record.answers += 1
-                record.answered_ns = arrival.at_ns + took_ns
-                record.wait_ns = took_ns - int(arrival.work_ns)
-                record.fate = (
-                    loads.judge(kind, arrival.work_ns, took_ns)
+                record.answered_ns = arrival.at_ns + elapsed_ns
+                record.wait_ns = elapsed_ns - int(arrival.work_ns)
+                record.result = (
+                    loads.classify_served(job_class, arrival.work_ns, elapsed_ns)
                     if answer.status == 200
-                    else (loads.Fate.FAILED)
+                    else loads.RequestResult.FAILED
                 )
                 return
-            record.refusals += 1
+            record.rejections += 1
             if number < len(pauses):
                 await asyncio.sleep(pauses[number])
-        record.answers, record.fate = record.answers + 1, loads.Fate.REFUSED
+        record.answers += 1
+        record.result = loads.RequestResult.REJECTED
 
-    async def _ask(self, arrival: loads.Arrival, number: int) -> Message:
-        kind = self.kinds[arrival.kind]
+    async def _send(self, arrival: loads.Arrival, number: int) -> Message:
+        job_class = self.job_classes[arrival.job_class]
         facts = {"slots": arrival.slots, "memory": round(arrival.memory, 6)}
         body = json.dumps({"work_ns": arrival.work_ns, **facts}).encode()
         hint = [] if arrival.hint_ns is None else [f"X-Weight-Hint: {arrival.hint_ns // 1000}"]
         return await self.pools[arrival.dispatcher].ask(
             write_message(
-                f"POST /{kind.name}/run HTTP/1.1",
+                f"POST /{job_class.name}/run HTTP/1.1",
                 body,
                 f"X-Correlation-Id: {arrival.number:x}-{number}",
-                f"X-Time-Left-Ms: {kind.give_up_ns // model.MS}",
+                f"X-Time-Left-Ms: {job_class.client_timeout_ns // model.MS}",
                 "X-Facts: " + ",".join(f"{name}={value}" for name, value in facts.items()),
                 *hint,
             )
@@ -163,24 +171,24 @@
 
     @property
     def counters(self) -> dict[str, float]:
-        """The dispatchers' counters, added up."""
+        """The sum of the dispatchers' counters."""
         total: dict[str, float] = {}
         for node in self.nodes:
             for name, value in node.counters.items():
                 total[name] = total.get(name, 0) + value
         return total
 
-    def runs(self) -> dict[str, int]:
-        """Starts by job, whatever the client's retry."""
+    def starts_by_job(self) -> dict[str, int]:
+        """Return how often each job was started, retries included."""
         total: dict[str, int] = {}
         for worker in self.workers:
-            for call, times in worker.model.runs.items():
-                job = call.split("-")[0]
+            for request_id, times in worker.model.starts_by_job.items():
+                job = request_id.split("-")[0]
                 total[job] = total.get(job, 0) + times
         return total
 
-    def busy(self, length_ns: int) -> float:
-        """The part of all slot time that was used."""
+    def busy_fraction(self, length_ns: int) -> float:
+        """Return the fraction of all slot time that was used."""
         for worker in self.workers:
             worker.model.advance(time.monotonic_ns())
         used = sum(worker.model.busy_ns for worker in self.workers)
@@ -189,18 +197,18 @@
 
 @contextlib.asynccontextmanager
 async def site(
-    specs: Sequence[model.Spec],
+    specs: Sequence[model.WorkerSpec],
     dispatchers: int = 1,
-    kinds: Sequence[loads.Kind] = loads.KINDS,
+    job_classes: Sequence[loads.JobClass] = loads.JOB_CLASSES,
     arguments: Sequence[str] = (),
     **settings: Any,
 ) -> AsyncIterator[Site]:
-    """A running site; its processes and servers end with the block."""
-    with tempfile.TemporaryDirectory(prefix="weldquay-lab-") as folder, contextlib.ExitStack() as held:
+    """Run a site; its processes and servers end with the block."""
+    with tempfile.TemporaryDirectory(prefix="weldquay-lab-") as folder, contextlib.ExitStack() as sockets:
         addresses = []
         for _ in range(dispatchers):
             sock, address = reserve()
-            held.enter_context(sock)
+            sockets.enter_context(sock)
             addresses.append(address)
         discovery, workers = Discovery(), [MatchWorker(spec, addresses) for spec in specs]
         for worker in workers:
@@ -212,18 +220,18 @@
         for number, address in enumerate(addresses):
             await discovery.start()
             document = _document(
-                number, address, discovery, loads.settings(dispatchers, kinds, number, **settings)
+                number, address, discovery, loads.settings(dispatchers, job_classes, number, **settings)
             )
             nodes.append(make_node(Path(folder) / f"n{number}", number, address, document, arguments))
-        here = Site(nodes, workers, discovery, kinds)
+        running = Site(nodes, workers, discovery, job_classes)
         try:
             await asyncio.gather(*(node.start() for node in nodes))
-            yield here
+            yield running
         finally:
             await asyncio.gather(*(node.stop() for node in nodes))
             for server in (discovery, *workers):
                 server.stop()
-            for pool in here.pools:
+            for pool in running.pools:
                 pool.close()
 
 
@@ -246,7 +254,7 @@
     document: dict[str, Any],
     arguments: Sequence[str],
 ) -> Node:
-    """A dispatcher that has not started, with its files in a folder."""
+    """Return a dispatcher that has not started, with its files in a folder."""
     (folder / "tmp").mkdir(parents=True)
     (folder / "config.json").write_text(json.dumps(document))
     environ = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
