--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,7 @@
 from weldquay.fleet.slow_start import WarmingWorker, SlowStartPolicy, rank, remaining_budget_ns
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.direct import Run, Trouble
+from weldquay.lab.virtual_time import Fault, Scenario, Simulation
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.settings import FlatSettings, decode_settings
 from tests.helpers import MS, SECOND
@@ -441,7 +441,7 @@
         assert min(first_counts) > 0.3 * 1280 / dispatcher_count
 
 
-class RecordedRun(Run):
+class RecordedRun(Simulation):
     """A run that records the work of each send, as (time, worker, work in ns)."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
@@ -458,8 +458,8 @@
 
 def test_forty_dispatchers_use_the_restarted_workers_of_a_zone() -> None:
     """Twenty of forty workers restart at once: each gets work while it warms up, and is not overloaded."""
-    specs = [model.Spec(f"s{n}") for n in range(40)]
-    kinds = loads.KINDS
+    specs = [model.WorkerSpec(f"s{n}") for n in range(40)]
+    kinds = loads.JOB_CLASSES
     dispatcher_settings = [
         replace(
             decode_settings(FlatSettings.from_nested(loads.settings(40, kinds, dispatcher)))[0],
@@ -470,10 +470,11 @@
         )
         for dispatcher in range(40)
     ]
-    arrivals = loads.draw(3, 12 * SECOND, sum(spec.speed * spec.cores for spec in specs), 0.4, 40, kinds)
-    restarts = [Trouble(2 * SECOND, partial(Run.restart, worker=worker)) for worker in range(1, 21)]
-    run = RecordedRun(arrivals, specs, dispatcher_settings, 3, kinds, 1, restarts)
-    run.go()
+    capacity = sum(spec.speed * spec.cores for spec in specs)
+    arrivals = loads.Traffic(3, 12 * SECOND, capacity, 0.4, 40, kinds).draw_arrivals()
+    restarts = [Fault(2 * SECOND, partial(Simulation.restart, worker=worker)) for worker in range(1, 21)]
+    run = RecordedRun(Scenario(arrivals, specs, dispatcher_settings, 3, kinds, 1, restarts))
+    run.run()
     begun_ns = run.begun_ns + 2 * SECOND
     used = 0.0
     for worker in range(1, 21):
