--- a/tests/site.py
+++ b/tests/site.py
@@ -1,4 +1,4 @@
-"""The one helper of the tests on real sockets: a dispatcher among toy workers and a toy discovery."""
+"""The fixture of the tests on real sockets: a dispatcher with toy workers and a toy discovery."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Scripted(Worker):
-    """A worker that does what its script says with each job, and keeps what came."""
+    """A worker whose script handles each job; it records the messages that it receives."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__(name, dispatcher)
@@ -32,7 +32,7 @@
         self.script: Script | None = None
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Keep the message, then follow the script; without one, serve."""
+        """Record the message, then run the script; without a script, serve the job."""
         self.seen.append(message)
         async with self.come:
             self.come.notify_all()
@@ -42,15 +42,15 @@
             await super().answer(message, writer)
 
     async def run(self, call: str, body: bytes) -> None:
-        """Done at once."""
+        """Complete a job at once."""
         await self.tell(call, state="done", result=body.decode().upper())
 
     async def accept(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """A script: take the job and say no more."""
+        """A script: accept the job and send no callback."""
         writer.write(ACCEPTED)
 
     def telling(self, result: str) -> Script:
-        """A script: take the job, and be done with it at once with this result."""
+        """The script that accepts a job and completes it at once with a result."""
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(ACCEPTED)
@@ -59,11 +59,11 @@
         return script
 
     def methods(self) -> list[str]:
-        """The methods of what came, probes left out."""
+        """The methods of the received requests, without health checks."""
         return [message.method for message in self.seen if message.method != "GET"]
 
     async def until(self, *methods: str) -> None:
-        """Wait until these have come, in this order."""
+        """Wait until exactly these methods have been received, in this order."""
         async with self.come:
             await self.come.wait_for(lambda: self.methods() == list(methods))
 
@@ -110,11 +110,11 @@
         self.address = f"127.0.0.1:{program.server.port}"
 
     async def post(self, call: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> Message:
-        """One call, to its answer."""
+        """Send one request, and return its response."""
         return await request(self.address, job(call, path, left_ms))
 
     async def operate(self, call: str, method: str = "POST") -> int:
-        """The status of an operator's call."""
+        """Send an operator's call, and return the status of its response."""
         address = f"127.0.0.1:{self.program.operators.port}"
         answer = await request(address, write_message(f"{method} /control/{call} HTTP/1.1"))
         return int(answer.start.split()[1])
@@ -126,21 +126,21 @@
 
 
 async def until(look: Callable[[], Any]) -> Any:
-    """Wait until a look finds something, and return it."""
+    """Poll a condition until its value is true, and return the value."""
     while not (found := look()):
         await asyncio.sleep(0.01)
     return found
 
 
 def job(call: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> bytes:
-    """The bytes of a call."""
+    """The bytes of a client's request."""
     return write_message(
         f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {left_ms}"
     )
 
 
 def document(**settings: Any) -> dict[str, Any]:
-    """The example's configuration with other settings, by group."""
+    """The example's configuration with changed settings, by group."""
     told: dict[str, Any] = json.loads(CONFIG.read_text())
     for group, values in settings.items():
         before = told["settings"].get(group)
@@ -152,7 +152,7 @@
 async def site(
     workers: int = 1, discovery: Server | None = None, discovery_mode: str = "ask", **settings: Any
 ) -> AsyncIterator[Site]:
-    """A running site; everything is closed at the end, and no task may have failed."""
+    """Run a site; at its end everything is closed, and no task may have failed."""
     listing = Discovery()
     told = document(discovery=discovery_mode, **settings)
     await (discovery or listing).start()
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -1,4 +1,4 @@
-"""Answers and call-backs that break off, never end or come twice: one outcome, and no forbidden repeat."""
+"""Responses and callbacks that break off, never end or arrive twice: one outcome, and no unsafe retry."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from tests.site import ACCEPTED, Script, Scripted, Site, job, site, until
 from weldquay.net import attempt_runner
 
-FULL = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
+OVERLOADED = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
 
 async def cut_head(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Half of the 202's head, then the end."""
+    """Send half of the 202's head, then close."""
     writer.write(ACCEPTED[:15])
     await writer.drain()
     writer.close()
 
 
 async def cut_body(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A head that promises more than comes."""
+    """Send less of the body than the head announces, then close."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
     writer.close()
 
 
 async def reset_body(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """The same, ended by a reset."""
+    """Send less of the body than the head announces, then reset."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -39,12 +39,12 @@
 
 
 async def garbage(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """No HTTP at all."""
+    """Send bytes that are no HTTP."""
     writer.write(b"\x16\x03\x01 nothing of the kind\r\n\r\n")
 
 
 async def endless(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A chunked answer without an end."""
+    """Send a chunked response without an end."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n")
     while not writer.is_closing():
         writer.write(b"1\r\nx\r\n")
@@ -53,10 +53,10 @@
 
 @pytest.mark.parametrize("script", [cut_head, cut_body, reset_body, garbage, endless])
 @pytest.mark.parametrize(("path", "posts", "status"), [("/lookup", 2, 200), ("/import", 1, 502)])
-def test_a_202_that_breaks_off_leaves_one_outcome(
+def test_incomplete_202_has_one_outcome(
     script: Script, path: str, posts: int, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may have run: what may run again is sent again, once the worker was told; the other fails."""
+    """The job may have run: an idempotent one is retried after the DELETE, another one fails."""
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -78,8 +78,8 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_second_answer_is_not_the_answer_to_the_next_request(late: bool) -> None:
-    """It came behind the 202 and told of no room: the next job on that connection was sent twice."""
+def test_second_response_does_not_count_for_next_request(late: bool) -> None:
+    """A 503 after the 202 on one connection does not count for the next job on that connection."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}) as here:
@@ -88,12 +88,14 @@
             async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 call = message.headers["x-correlation-id"]
-                writer.write(ACCEPTED + (b"" if late else FULL))
+                writer.write(ACCEPTED + (b"" if late else OVERLOADED))
                 if late:
                     await until(
-                        lambda: any(each.idle_connections for each in here.program.workers.workers.values())
+                        lambda: any(
+                            worker.idle_connections for worker in here.program.workers.workers.values()
+                        )
                     )
-                    writer.write(FULL)
+                    writer.write(OVERLOADED)
                 await worker.tell(call, state="done", result="one")
 
             worker.script = twice
@@ -106,19 +108,19 @@
     asyncio.run(scenario())
 
 
-def done(call: str, worker: Scripted, result: str) -> bytes:
-    """A call-back's bytes."""
+def completion_callback(call: str, worker: Scripted, result: str) -> bytes:
+    """The bytes of a callback."""
     told = json.dumps({"id": call, "from": worker.name, "state": "done", "result": result}).encode()
     return write_message("POST /callback HTTP/1.1", told)
 
 
 async def connect(here: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection to the dispatcher."""
+    """Connect to the dispatcher."""
     return await asyncio.open_connection("127.0.0.1", here.program.server.port)
 
 
-async def in_work(here: Site) -> asyncio.Task[Message]:
-    """The answer to a call that the worker has taken, and says no more of."""
+async def accepted_request(here: Site) -> asyncio.Task[Message]:
+    """The task of a request whose job the worker has accepted, without any callback yet."""
     here.workers[0].script = here.workers[0].accept
     answer = asyncio.create_task(here.post())
     await here.workers[0].until("POST")
@@ -126,13 +128,13 @@
 
 
 @pytest.mark.parametrize("size", [1, 20, 100])
-def test_a_call_back_in_pieces_counts_once_it_is_whole(size: int) -> None:
-    """However it is cut; one that ends in its midst counts for nothing, and its next try does."""
+def test_callback_in_pieces_counts_once_complete(size: int) -> None:
+    """It may arrive in pieces of any size; an incomplete one has no effect, and its retry has."""
 
     async def scenario() -> None:
         async with site() as here:
-            answer = await in_work(here)
-            data = done("c1", here.workers[0], "whole")
+            answer = await accepted_request(here)
+            data = completion_callback("c1", here.workers[0], "whole")
             _, torn = await connect(here)
             torn.write(data[:-3])
             await torn.drain()
@@ -149,18 +151,19 @@
     asyncio.run(scenario())
 
 
-def test_half_a_call_back_at_the_end_is_taken_in_whole_or_not_at_all() -> None:
-    """The rest comes after the shutdown began: it is answered, and closes its connection."""
+def test_callback_across_shutdown_is_handled_completely() -> None:
+    """Its second half arrives after the shutdown began: it is handled, and its connection closes."""
 
     async def scenario() -> None:
         async with site() as here:
-            answer = await in_work(here)
-            data = done("c1", here.workers[0], "late")
+            answer = await accepted_request(here)
+            data = completion_callback("c1", here.workers[0], "late")
             reader, writer = await connect(here)
             writer.write(data[:30])
             await until(
                 lambda: any(
-                    each.has_received and each.call is None for each in here.program.server.connections
+                    connection.has_received and connection.call is None
+                    for connection in here.program.server.connections
                 )
             )
             here.program.server.begin_closing()
@@ -172,8 +175,8 @@
 
 
 @pytest.mark.parametrize("path", ["/lookup", "/import"])
-def test_a_200_that_its_client_cuts_short_runs_nothing_again(path: str) -> None:
-    """The call has its result; what becomes of the answer is the client's."""
+def test_response_reset_by_client_causes_no_retry(path: str) -> None:
+    """The request has its result, so the job is not retried."""
 
     async def scenario() -> None:
         async with site() as here:
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""A client that has gone: no attempt of its call begins any more, however it left, whatever lay between."""
+"""Clients that disconnect: no attempt of their request starts afterwards."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def client(here: Site, call: str, ahead: int = 0) -> socket.socket:
-    """A client with one call, and so many bytes behind it."""
+    """A client with one request, and `ahead` bytes after it."""
     sock = socket.create_connection(("127.0.0.1", here.program.server.port))
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1024 * 1024)
@@ -38,63 +38,63 @@
         sock.close()
 
 
-async def in_hand(here: Site, count: int) -> None:
-    """Wait until so many calls wait."""
+async def requests_open(here: Site, count: int) -> None:
+    """Wait until so many requests are open."""
     await until(lambda: len(here.program.coordinator.requests) == count)
 
 
-async def gone(here: Site, count: int = 1) -> float:
-    """Wait until so many clients count as gone; how long that took, in seconds."""
+async def clients_disconnected(here: Site, count: int = 1) -> float:
+    """Wait until so many clients are counted as disconnected; return the time that took (s)."""
     begun = time.monotonic()
     await until(lambda: here.program.counters.counts["clients_gone"] == count)
     return time.monotonic() - begun
 
 
-async def serve_again(here: Site) -> None:
-    """Have the worker back, and one call served there."""
+async def return_worker_to_service(here: Site) -> None:
+    """Return the worker to service, and serve one request."""
     await here.discovery.change(here.workers[0], "SERVING")
     assert (await here.post("last")).body == b"TEXT"
 
 
-async def drained(here: Site) -> None:
-    """No worker takes work: calls wait."""
+async def drain_worker(here: Site) -> None:
+    """Drain the only worker, so that requests wait."""
     await here.discovery.change(here.workers[0], "DRAINING")
     await until(lambda: here.program.discovery.revision == here.discovery.revision)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("ahead", AHEAD)
-def test_a_call_that_waits_for_its_first_attempt(how: str, ahead: int) -> None:
-    """However much its client had sent behind it: it was not read any more, and so not seen to go."""
+def test_disconnection_while_waiting_for_first_attempt(how: str, ahead: int) -> None:
+    """The disconnection is noticed however much the client has sent after its request."""
 
     async def scenario() -> None:
         async with site() as here:
-            await drained(here)
+            await drain_worker(here)
             sock = client(here, "c1", ahead)
-            await in_hand(here, 1)
+            await requests_open(here, 1)
             await asyncio.sleep(0.05)  # what lies ahead is read, as far as it is
             leave(sock, how)
-            assert await gone(here) < 1  # in 0.1 s, unless this machine stalls
+            assert await clients_disconnected(here) < 1  # in 0.1 s, unless this machine stalls
             assert here.program.server.buffered_bytes == 0
-            await serve_again(here)
+            await return_worker_to_service(here)
             assert here.workers[0].methods() == ["POST"]
             sock.close()
 
     asyncio.run(scenario())
 
 
-def test_a_burst_of_hundreds() -> None:
-    """All leave at one moment, and right then there is room."""
+def test_burst_of_disconnections() -> None:
+    """All disconnect at one moment, when capacity becomes available."""
 
     async def scenario() -> None:
         async with site() as here:
-            await drained(here)
+            await drain_worker(here)
             socks = [client(here, f"c{number}", 100) for number in range(120)]
-            await in_hand(here, 120)
+            await requests_open(here, 120)
             for number, sock in enumerate(socks):
                 leave(sock, "reset" if number % 2 else "close")
             await here.discovery.change(here.workers[0], "SERVING")
-            await gone(here, 120)
+            await clients_disconnected(here, 120)
             assert (await here.post("last")).body == b"TEXT"
             assert here.workers[0].methods().count("POST") == 1
 
@@ -103,8 +103,8 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("path", ["/lookup", "/import"])
-def test_while_the_connection_to_the_worker_comes_up(path: str, cancel: bool) -> None:
-    """Nothing is written on it once it is up, also where the settings allow no attempt to be given up."""
+def test_disconnection_while_connecting_to_worker(path: str, cancel: bool) -> None:
+    """Nothing is written on the new connection, even if the settings allow no cancellation."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False, "cancel": cancel}) as here:
@@ -120,7 +120,7 @@
             sock.sendall(job(path=path))
             await until(lambda: here.program.coordinator.attempts)
             sock.close()
-            await gone(here)
+            await clients_disconnected(here)
             gate.set()
             await until(lambda: not here.program.coordinator.attempts and not workers.attempts.sending)
             assert (await here.post("last")).body == b"TEXT"
@@ -129,8 +129,8 @@
     asyncio.run(scenario())
 
 
-def test_between_two_attempts() -> None:
-    """The next one waits until the worker has been told that nobody waits for the first."""
+def test_disconnection_between_two_attempts() -> None:
+    """The retry waits for the DELETE of the first attempt, and is not sent after the disconnection."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}) as here:
@@ -142,12 +142,12 @@
 
             answer = worker.answer
 
-            async def held(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def delayed(message: Message, writer: asyncio.StreamWriter) -> None:
                 if message.method == "DELETE":
                     await gate.wait()
                 await answer(message, writer)
 
-            worker.script, worker.answer = cut, held  # type: ignore[method-assign]
+            worker.script, worker.answer = cut, delayed  # type: ignore[method-assign]
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job())
             await until(
@@ -157,7 +157,7 @@
                 )
             )
             sock.close()
-            await gone(here)
+            await clients_disconnected(here)
             gate.set()
             await until(lambda: not here.program.workers.busy and not here.program.workers.attempts.sending)
             assert len(posts) == 1
@@ -165,8 +165,8 @@
     asyncio.run(scenario())
 
 
-def test_while_its_connection_is_passed_on() -> None:
-    """It is not read any more, and its call cannot go yet: its leaving shows all the same."""
+def test_disconnection_while_connection_migrates() -> None:
+    """The disconnection is noticed although the connection is not read and cannot migrate yet."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -182,14 +182,14 @@
             here.program.server.start_migration(passed.append)
             await asyncio.sleep(0.05)
             sock.close()
-            await gone(here)
+            await clients_disconnected(here)
             assert not passed
 
     asyncio.run(scenario())
 
 
-def test_what_fits_behind_a_call_is_served_in_its_turn() -> None:
-    """Requests that came ahead are kept, up to a bound; past it the connection closes after its answer."""
+def test_pipelined_requests_within_limit_are_served() -> None:
+    """Pipelined requests are buffered up to a limit, and served in order."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -201,25 +201,25 @@
                         "POST /lookup HTTP/1.1", big, f"X-Correlation-Id: c{number}", "X-Time-Left-Ms: 5000"
                     )
                 )
-            got = b""
-            while got.count(b"Y" * 30_000) < 4:
-                got += await reader.read(65536)
-            assert got.count(b"200 OK") == 4
+            received = b""
+            while received.count(b"Y" * 30_000) < 4:
+                received += await reader.read(65536)
+            assert received.count(b"200 OK") == 4
             writer.close()
 
     asyncio.run(scenario())
 
 
-def test_a_flood_behind_a_call_is_bounded_and_its_answer_comes() -> None:
-    """All of it is read, none of it kept past the bound, and the connection ends behind the answer."""
+def test_flood_after_request_is_limited_and_request_is_answered() -> None:
+    """All of it is read, none is buffered past the limit, and the connection closes after the response."""
 
     async def scenario() -> None:
         async with site() as here:
-            worker, told = here.workers[0], asyncio.Event()
+            worker, may_finish = here.workers[0], asyncio.Event()
 
             async def later(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(ACCEPTED)
-                await told.wait()
+                await may_finish.wait()
                 await worker.tell(message.headers["x-correlation-id"], state="done", result="late")
 
             worker.script = later
@@ -232,12 +232,12 @@
                 await writer.drain()
             await until(lambda: connection.overrun)
             assert here.program.server.buffered_bytes <= 256 * 1024
-            told.set()
-            got = b""
+            may_finish.set()
+            received = b""
             while data := await reader.read(65536):
-                got += data
-            assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"late")
-            assert b"Connection: close" in got
+                received += data
+            assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"late")
+            assert b"Connection: close" in received
             writer.close()
 
     asyncio.run(scenario())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: read as told, refused with one plain line."""
+"""The configuration: reading, reloading and errors."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from weldquay.net.messages import EndpointList
 
 
-def test_the_example_is_read() -> None:
-    """Every figure that the program uses beside the module's settings."""
+def test_example_is_read() -> None:
+    """Every value that the process uses beside the decision module's settings."""
     config = load({"GW_CONFIG": str(CONFIG), "GW_LISTEN": "127.0.0.9:1"})
     assert config.listen == Address("127.0.0.9", 1) and config.discovery == Address("127.0.0.1", 8500)
     assert (config.class_names, config.zones, config.kinds) == (("lookup", "import"), ("here",), ("toy",))
@@ -31,48 +31,48 @@
     assert config.settings.polls_endpoint_list and config.settings.max_retry_after_ns == 2_000_000_000
 
 
-def test_a_reload_takes_the_settings_and_the_address_of_discovery(tmp_path: Path) -> None:
-    """The file comes before the variable then; what else has changed is named and stays.
+def test_reload_applies_settings_and_discovery_address(tmp_path: Path) -> None:
+    """The file has precedence over the variable; other changes are reported, and not applied.
 
-    Classes keep their numbers: the dropped one its rules too, the new one comes last.
+    Classes keep their numbers; a removed class keeps its settings, and a new class comes last.
     """
     path = tmp_path / "config.json"
     environ = {"GW_CONFIG": str(path), "GW_DISCOVERY": "127.0.0.1:1"}
     path.write_text(json.dumps(document()))
     running = load(environ)
-    told = {
+    changed = {
         **document(caps={"max_attempts": 2}),
         "discovery": "127.0.0.1:2",
         "name": "other",
         "seed": "7",
         "limits": {"sockets": 199, "memory_mb": 99, "cores": 1},
     }
-    told["settings"]["services"] = [
-        {**told["settings"]["services"][1], "name": "newer", "effect": "retryable"},
-        {**told["settings"]["services"][1], "give_up_ns": 7},
+    changed["settings"]["services"] = [
+        {**changed["settings"]["services"][1], "name": "newer", "effect": "retryable"},
+        {**changed["settings"]["services"][1], "give_up_ns": 7},
     ]
-    path.write_text(json.dumps(told))
-    moved, others = reload(environ, running)
-    assert moved.discovery == Address("127.0.0.1", 2) and moved.settings.max_attempts == 2
-    assert moved.class_names == ("lookup", "import", "newer") and moved.offered == {"import", "newer"}
-    assert [rules.client_timeout_ns // 10**9 for rules in moved.settings.classes] == [5, 0, 10]
-    assert (moved.name, moved.sockets) == (running.name, running.sockets)
-    assert others == ["name", "sockets", "memory_mb"]
+    path.write_text(json.dumps(changed))
+    reloaded, needs_restart = reload(environ, running)
+    assert reloaded.discovery == Address("127.0.0.1", 2) and reloaded.settings.max_attempts == 2
+    assert reloaded.class_names == ("lookup", "import", "newer") and reloaded.offered == {"import", "newer"}
+    assert [rules.client_timeout_ns // 10**9 for rules in reloaded.settings.classes] == [5, 0, 10]
+    assert (reloaded.name, reloaded.sockets) == (running.name, running.sockets)
+    assert needs_restart == ["name", "sockets", "memory_mb"]
 
 
-def change(path: str, value: Any) -> str:
+def changed_document(path: str, value: Any) -> str:
     """The example's configuration with one value changed, or its key left out."""
-    told = document()
-    told["discovery"] = "127.0.0.1:99"
+    changed = document()
+    changed["discovery"] = "127.0.0.1:99"
     *steps, last = path.split(".")
-    inner: Any = told
+    inner: Any = changed
     for step in steps:
         inner = inner[int(step) if isinstance(inner, list) else step]
     if value is None:
         del inner[last]
     else:
         inner[last] = value
-    return json.dumps(told)
+    return json.dumps(changed)
 
 
 BROKEN: list[tuple[str, Any]] = [
@@ -100,10 +100,17 @@
 
 @pytest.mark.parametrize(
     "text",
-    ["", "{", "[]", "null", json.dumps(document())[:-40], *(change(path, value) for path, value in BROKEN)],
+    [
+        "",
+        "{",
+        "[]",
+        "null",
+        json.dumps(document())[:-40],
+        *(changed_document(path, value) for path, value in BROKEN),
+    ],
 )
-def test_a_broken_file_changes_nothing(text: str, tmp_path: Path) -> None:
-    """Such a file may name a dead address of discovery as well: nothing of it is taken."""
+def test_broken_file_changes_nothing(text: str, tmp_path: Path) -> None:
+    """Nothing of a broken file is applied, the address of discovery included."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     running = load({"GW_CONFIG": str(path)})
@@ -128,7 +135,7 @@
 
 @pytest.mark.parametrize(("changes", "named"), BAD)
 def test_bad_configuration_is_named(changes: dict[str, Any], named: str, tmp_path: Path) -> None:
-    """The text names what is wrong, in one line."""
+    """The error names the wrong value, in one line."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**document(), **changes}))
     with pytest.raises(ConfigError, match=named) as caught:
@@ -137,8 +144,8 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]"])
-def test_a_bad_file_stops_the_start(text: str | None, tmp_path: Path) -> None:
-    """One plain line on standard error, status 2."""
+def test_bad_file_prevents_start(text: str | None, tmp_path: Path) -> None:
+    """One line on standard error, status 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -148,32 +155,32 @@
     assert done.stderr.startswith(b"weldquay: ") and done.stderr.count(b"\n") == 1
 
 
-def with_room(tmp_path: Path, text: str) -> dict[str, str]:
-    """Variables that name the example and a file of figures for holding room."""
+def with_reservations(tmp_path: Path, text: str) -> dict[str, str]:
+    """Variables that name the example and a file of reservation settings."""
     (tmp_path / "room.json").write_text(text)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     return {"GW_CONFIG": str(path), "GW_ROOM": str(tmp_path / "room.json")}
 
 
-def test_the_figures_for_holding_room_come_with_the_settings(tmp_path: Path) -> None:
-    """At a start and at a reload; a key that goes is at its default again, a bad file changes nothing."""
-    environ = with_room(tmp_path, '{"least_slots": 8, "slip": 2}')
+def test_reservation_settings_come_with_settings(tmp_path: Path) -> None:
+    """At a start and at a reload; a removed key returns to its default, a bad file changes nothing."""
+    environ = with_reservations(tmp_path, '{"least_slots": 8, "slip": 2}')
     running = load(environ)
     assert running.settings.reservations is not None and running.settings.reservations.least_slots == 8
-    with_room(tmp_path, '{"least_slots": 6}')
-    moved, others = reload(environ, running)
-    assert moved.settings.reservations is not None and not others
-    assert (moved.settings.reservations.least_slots, moved.settings.reservations.slip) == (6, 3.0)
-    with_room(tmp_path, '{"least_slots": 0}')
+    with_reservations(tmp_path, '{"least_slots": 6}')
+    reloaded, needs_restart = reload(environ, running)
+    assert reloaded.settings.reservations is not None and not needs_restart
+    assert (reloaded.settings.reservations.least_slots, reloaded.settings.reservations.slip) == (6, 3.0)
+    with_reservations(tmp_path, '{"least_slots": 0}')
     with pytest.raises(ConfigError, match="least_slots is 0: write a number of slots from 2") as caught:
         reload(environ, running)
     assert "\n" not in str(caught.value)
 
 
-def test_a_bad_file_of_figures_stops_the_start(tmp_path: Path) -> None:
-    """Named by the flag: one plain line, status 2; the simulator's program says the same."""
-    environ = {**os.environ, **with_room(tmp_path, '{"most_holds": 0}')}
+def test_bad_reservation_file_prevents_start(tmp_path: Path) -> None:
+    """Named by the option: one line, status 2, in the dispatcher and in the simulator's adapter."""
+    environ = {**os.environ, **with_reservations(tmp_path, '{"most_holds": 0}')}
     room = environ.pop("GW_ROOM")
     for module in ("weldquay", "weldquay.adapter"):
         done = subprocess.run(
@@ -191,32 +198,32 @@
 @pytest.mark.parametrize(
     "known", [[], {}, "torn", {"members": [{}]}, {"members": [{"id": "w"}], "revision": 3}]
 )
-def test_a_torn_list_is_left_out(known: Any, tmp_path: Path) -> None:
-    """It only helps at the start; forty dispatchers that cannot start for it would help nobody."""
+def test_invalid_cached_list_is_ignored(known: Any, tmp_path: Path) -> None:
+    """An invalid cached list does not prevent the start."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**document(), "known": known}))
     assert load({"GW_CONFIG": str(path)}).known == EndpointList(0, True, ())
 
 
 @pytest.mark.parametrize(("me", "count"), [(40, 40), (-1, 40), (1, 1)])
-def test_a_number_that_is_not_among_the_dispatchers(me: int, count: int, tmp_path: Path) -> None:
-    """Turns at cold workers and subsets are dealt out by it; a reload takes nothing of such a file."""
+def test_dispatcher_index_out_of_range(me: int, count: int, tmp_path: Path) -> None:
+    """Turns and subsets are assigned by the index, so a start and a reload reject it."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     running = load({"GW_CONFIG": str(path)})
-    told = document()
-    told["settings"].update(group_size=count, me=me)
-    path.write_text(json.dumps(told))
+    changed = document()
+    changed["settings"].update(group_size=count, me=me)
+    path.write_text(json.dumps(changed))
     with pytest.raises(ConfigError, match="setting me"):
         load({"GW_CONFIG": str(path)})
     with pytest.raises(ConfigError, match="setting me"):
         reload({"GW_CONFIG": str(path)}, running)
 
 
-def test_a_lone_dispatcher_needs_no_number(tmp_path: Path) -> None:
-    """One of one, as in the smallest installation."""
+def test_single_dispatcher_is_valid(tmp_path: Path) -> None:
+    """An index of 0 in a group of one is valid."""
     path = tmp_path / "config.json"
-    told = document()
-    told["settings"].update(group_size=1, me=0)
-    path.write_text(json.dumps(told))
+    changed = document()
+    changed["settings"].update(group_size=1, me=0)
+    path.write_text(json.dumps(changed))
     assert load({"GW_CONFIG": str(path)}).settings.dispatcher_count == 1
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -1,4 +1,4 @@
-"""Counters that have a name for each member of a set: all members have theirs, as 725bba5 names them."""
+"""Counters with one name for each member of a set: every member has its name."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_answers_and_lists() -> None:
-    """Each answer to a client, and each kind of news of the list."""
+    """Each answer to a client, and each kind of endpoint list update."""
     assert set(ANSWER_COUNTERS) == set(get_args(Answer))
     assert sorted(ANSWER_COUNTERS.values()) == ["answers_failed", "answers_overload", "answers_served"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
@@ -52,7 +52,7 @@
 
 
 def test_reservations() -> None:
-    """Each reason that a reservation ends for, those in the planner's source among them."""
+    """Each reason for the end of a reservation, those in the scheduler's source included."""
     reasons = set(re.findall(r'self\._end\([^"\n]*"(\w+)"\)|return "(\w+)"', PLANNER.read_text()))
     named = {one or other for one, other in reasons}
     assert len(named) >= 9 and named | {"placed", "job_over"} == set(RESERVATION_COUNTERS)
@@ -60,7 +60,7 @@
 
 
 def test_evictions_and_operators() -> None:
-    """Connections with a call are never evicted; the other states have a counter."""
+    """Connections with a request are never evicted; the other states have a counter."""
     assert set(EVICTION_COUNTERS) == set(State) - {State.WAITING}
     assert sorted(EVICTION_COUNTERS.values()) == ["evicted_leaving", "evicted_reading", "evicted_resting"]
     verbs = ["in-service", "offline", "online", "out-of-service", "ready"]
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The list's one clock: what a silent watch missed counts as told 6 s after it fell silent."""
+"""Polls of discovery: their backoff, the parser of the watch, and silent watches on real sockets."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "most_s"), [(2.0, 1.6), (2.6, 1.0), (5.0, 0.2), (5.9, 0.2), (6.0, 3.6), (6.25, 3.6)]
+    ("silent_s", "max_s"), [(2.0, 1.6), (2.6, 1.0), (5.0, 0.2), (5.9, 0.2), (6.0, 3.6), (6.25, 3.6)]
 )
-def test_the_spread_after_a_silence_is_what_the_clock_leaves(silent_s: float, most_s: float) -> None:
-    """The whole of that is used, and no more: past the clock a new one begins."""
+def test_jitter_after_silence_uses_remaining_clock(silent_s: float, max_s: float) -> None:
+    """The jitter uses all of the remaining time, and no more; past the clock's end a new one starts."""
     waits = [
         Backoff(random.Random(seed), FLEET).retry_delay_ns(
             100 * SECOND, 10 * SECOND, int(silent_s * SECOND), SILENT
         )
         for seed in range(500)
     ]
-    assert 0.9 * most_s <= max(waits) / SECOND <= most_s
+    assert 0.9 * max_s <= max(waits) / SECOND <= max_s
 
 
-def test_a_failure_within_the_clock_is_asked_again_within_it() -> None:
-    """An answer ends the clock, and what could not be reached begins it anew."""
+def test_failure_within_clock_is_polled_again_within_it() -> None:
+    """A response ends the clock, and an unreachable discovery restarts it."""
     backoff, now_ns = Backoff(random.Random(1), FLEET), 100 * SECOND
     begun_ns = now_ns - 2600 * MS
     backoff.retry_delay_ns(now_ns, 10 * SECOND, 2600 * MS, SILENT)
@@ -60,29 +60,27 @@
     )
 
 
-@pytest.mark.parametrize(("dispatchers", "least_s", "most_s"), [(3, 0.0, 3.6), (200, 5.0, 10.0)])
-def test_only_a_large_fleet_gives_a_discovery_that_is_behind_more_time(
-    dispatchers: int, least_s: float, most_s: float
-) -> None:
-    """From its second late failure in a row on; a few dispatchers are not what holds it up."""
+@pytest.mark.parametrize(("dispatchers", "min_s", "max_s"), [(3, 0.0, 3.6), (200, 5.0, 10.0)])
+def test_only_large_fleet_backs_off_beyond_clock(dispatchers: int, min_s: float, max_s: float) -> None:
+    """From the second late failure in a row on."""
     backoff = Backoff(random.Random(1), dispatchers)
     assert backoff.retry_delay_ns(100 * SECOND, 10 * SECOND, 2 * SECOND, BUSY) <= 3600 * MS
     waits = [
         backoff.retry_delay_ns((110 + 10 * n) * SECOND, 10 * SECOND, 2 * SECOND, BUSY) for n in range(50)
     ]
-    assert least_s * SECOND <= min(waits) and max(waits) <= most_s * SECOND
+    assert min_s * SECOND <= min(waits) and max(waits) <= max_s * SECOND
 
 
-def test_an_agent_of_the_own_machine_is_asked_at_once_and_soon_again() -> None:
-    """However many dispatchers there are, and however often it fails."""
+def test_local_agent_is_polled_at_once_and_soon_again() -> None:
+    """Independently of the number of dispatchers and of failures."""
     backoff = Backoff(random.Random(1), FLEET, near=True)
     assert backoff.initial_delay_ns(SECOND) == 0
     assert max(backoff.retry_delay_ns(n * SECOND, 10 * SECOND, 2 * SECOND) for n in range(50)) <= 100 * MS
 
 
 @pytest.mark.parametrize("work_ms", [1, 5, 10])
-def test_watches_that_all_fall_silent_at_once_are_open_again_in_time(work_ms: int) -> None:
-    """200 dispatchers, one discovery; each breaks its watch 0.6 s to 2.6 s after the silence began."""
+def test_watches_that_fail_together_reopen_in_time(work_ms: int) -> None:
+    """200 dispatchers, one discovery; each ends its watch 0.6 s to 2.6 s after the silence began."""
     draw, discovery, begun_ns = random.Random(work_ms), Discovery(work_ms * MS, 0), 100 * SECOND
     fleet = [
         Dispatcher(settings(dispatcher_count=FLEET, dispatcher_index=me, polls_endpoint_list=True), me)
@@ -105,11 +103,11 @@
             )
         )
     heapq.heapify(queue)
-    heard, number = dict[int, int](), FLEET
+    received_ns, number = dict[int, int](), FLEET
     while queue:
         now_ns, _, me, event = heapq.heappop(queue)
         if isinstance(event, api.EndpointListUpdate) and event.kind is api.EndpointListKind.DELTA:
-            heard[me] = now_ns - begun_ns
+            received_ns[me] = now_ns - begun_ns
             continue
         for action in fleet[me].step(now_ns, [event]):
             number += 1
@@ -119,7 +117,7 @@
                 at_ns, answered = discovery.ask(now_ns)
                 kind = api.EndpointListKind.DELTA if answered else api.EndpointListKind.FAILED
                 heapq.heappush(queue, (at_ns, number, me, api.EndpointListUpdate(kind)))
-    assert len(heard) == FLEET and max(heard.values()) < 5600 * MS
+    assert len(received_ns) == FLEET and max(received_ns.values()) < 5600 * MS
 
 
 LIST: dict[str, Any] = {"revision": 7, "complete": True, "members": [{"id": 'a"}{', "cell": 1}, {"id": "b"}]}
@@ -127,32 +125,32 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 1, 4])
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_values_come_whole_however_they_are_written(indent: int | None, size: int) -> None:
-    """On one line or indented, in pieces of any size, with empty lines between."""
+def test_values_are_complete_in_any_layout(indent: int | None, size: int) -> None:
+    """On one line or indented, in pieces of any size, with heartbeats between them."""
     text = json.dumps(LIST, indent=indent).encode() + b"\n\n" + b'{"revision":8}\r\n'
-    values, told = JsonStreamParser(), list[bytes]()
+    values, values_read = JsonStreamParser(), list[bytes]()
     for at in range(0, len(text), size):
-        told += values.feed(text[at : at + size])
-    assert [json.loads(value) if value else None for value in told] == [LIST, None, {"revision": 8}]
+        values_read += values.feed(text[at : at + size])
+    assert [json.loads(value) if value else None for value in values_read] == [LIST, None, {"revision": 8}]
 
 
 @pytest.mark.parametrize("data", [b"x" * MAX_VALUE + b"y", b"[\n" * (MAX_VALUE // 2 + 1) + b"[[\n" * 9])
-def test_bytes_that_make_no_value_are_bounded(data: bytes) -> None:
+def test_incomplete_value_is_limited(data: bytes) -> None:
     """On one line, or on many."""
     with pytest.raises(MessageError, match="too long"):
         JsonStreamParser().feed(data * 2)
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch, clock_ns: int) -> None:
-    """A watch is silent after 0.3 s, and what it missed counts as told after clock_ns."""
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch, clock_ns: int) -> None:
+    """Shorten the heartbeat timeout to 0.3 s, and the clock to clock_ns."""
     monkeypatch.setattr(discovery_client, "HEARTBEAT_S", 0.2)
     monkeypatch.setattr(discovery_client, "HEARTBEAT_GRACE_S", 0.1)
     monkeypatch.setattr(backoff_module, "CLOCK_NS", clock_ns)
 
 
-def test_a_silent_watch_is_asked_anew_within_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One of 200 dispatchers: from the revision that it knows, and the drain that it missed is heard of."""
-    hurry(monkeypatch, 2700 * MS)
+def test_silent_watch_is_polled_again_within_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One of 200 dispatchers polls from its known revision, and receives the drain that it missed."""
+    shorten_timeouts(monkeypatch, 2700 * MS)
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
@@ -171,9 +169,9 @@
     asyncio.run(scenario())
 
 
-def test_each_silence_has_a_clock_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Between the two nothing had changed: the answer was an empty line, and it ended the first silence."""
-    hurry(monkeypatch, 600 * MS)
+def test_each_silence_has_its_own_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A heartbeat in response to the new poll ends the first silence."""
+    shorten_timeouts(monkeypatch, 600 * MS)
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
@@ -195,8 +193,8 @@
     asyncio.run(scenario())
 
 
-def test_an_agents_list_is_taken_in_before_anyone_is_served() -> None:
-    """What an agent has counts as told from a process's first moment, though its known list is old."""
+def test_agents_list_is_applied_before_serving() -> None:
+    """With a local agent, the process waits for the agent's list before it serves."""
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
@@ -209,8 +207,8 @@
     asyncio.run(scenario())
 
 
-def test_a_silent_agent_is_asked_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Right after an outage what the agent has counts as told: no ask waits out the outage, or a backoff."""
+def test_silent_agent_is_polled_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Polls of a local agent neither wait for the end of an outage nor back off."""
     monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.5)
 
     async def scenario() -> None:
@@ -218,10 +216,10 @@
         async with site(discovery=discovery, discovery_mode="push", group_size=FLEET) as here:
             # The list that it was started with may be of any age: nothing is sent by it.
             assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
-            asked = len(discovery.polls)
+            polls_before = len(discovery.polls)
             discovery.lists.append(list_of_one_worker(9, "DRAINING", here.workers[0].address))
             await until(lambda: here.program.discovery.revision == 9)
-            assert len(discovery.polls) - asked <= 2
+            assert len(discovery.polls) - polls_before <= 2
             times = [at_s for _, at_s in discovery.polls]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.3 s, unless this stalls
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors say what an operator can do; the packages of the program import each other in one direction only."""
+"""Operator errors: codes, remedies and output; and the direction of imports between packages."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 ROOT = Path(weldquay.__file__).parent
 # Roots of errors that are handled inside the program and are never shown to operators.
-INNER = {"WorkerRequestError", "_Doubled", "_NotFinite", "OperatorError"}
+INTERNAL_ROOTS = {"WorkerRequestError", "_Doubled", "_NotFinite", "OperatorError"}
 
 
-def kinds() -> list[type[OperatorError]]:
-    """All error types of the program."""
+def error_classes() -> list[type[OperatorError]]:
+    """All operator errors of the program."""
     for module in pkgutil.walk_packages([str(ROOT)], "weldquay."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
@@ -33,21 +33,21 @@
         more = left.pop().__subclasses__()
         found.update(more)
         left += more
-    return [each for each in found if each.__module__.startswith("weldquay.")]
+    return [error for error in found if error.__module__.startswith("weldquay.")]
 
 
-def test_each_error_has_a_remedy_of_its_own() -> None:
-    """One that is inherited would be another cause's."""
-    remedies = [each.__dict__.get("remedy", "") for each in kinds()]
-    assert len(remedies) >= 12 and all(len(each) > 20 for each in remedies)
+def test_each_error_has_its_own_remedy() -> None:
+    """An inherited remedy would belong to another cause."""
+    remedies = [error.__dict__.get("remedy", "") for error in error_classes()]
+    assert len(remedies) >= 12 and all(len(remedy) > 20 for remedy in remedies)
     assert len(set(remedies)) == len(remedies)
 
 
-def test_no_error_stands_beside_the_root() -> None:
-    """An exception type that operators may see, and that says nothing of what to do."""
+def test_every_error_derives_from_operator_error() -> None:
+    """Every exception that operators may see has a remedy."""
     for path in ROOT.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ClassDef) and node.name not in INNER:
+            if isinstance(node, ast.ClassDef) and node.name not in INTERNAL_ROOTS:
                 bases = {base.id for base in node.bases if isinstance(base, ast.Name)}
                 plain = bases & {"Exception", "ValueError", "OSError"}
                 assert not plain or "OperatorError" in bases, node.name
@@ -62,10 +62,10 @@
         ({"GW_CONFIG": "bare.json"}, ConfigError),
     ],
 )
-def test_a_start_that_fails_says_what_to_do_in_one_line(
+def test_failed_start_prints_remedy_in_one_line(
     files: dict[str, str], kind: type[ConfigError], tmp_path: Path
 ) -> None:
-    """No file, none that can be read, one that is no object, one that lacks a key."""
+    """No file, an unreadable one, one that is no object, one that lacks a key."""
     (tmp_path / "list.json").write_text("[]")
     (tmp_path / "bare.json").write_text("{}")
     with pytest.raises(ConfigError) as caught:
@@ -75,11 +75,11 @@
     assert line.endswith(f"; what to do: {kind.remedy}") and "\n" not in line
 
 
-def test_a_reload_that_is_refused_has_a_type_of_its_own(tmp_path: Path) -> None:
-    """Its remedy is another than a start's: the dispatcher goes on."""
-    told = json.loads(CONFIG.read_text())
-    running = config_of({}, told)
-    (tmp_path / "c.json").write_text(json.dumps({**told, "limits": None}))
+def test_refused_reload_has_its_own_class(tmp_path: Path) -> None:
+    """Its remedy differs from a start's: the dispatcher continues."""
+    document = json.loads(CONFIG.read_text())
+    running = config_of({}, document)
+    (tmp_path / "c.json").write_text(json.dumps({**document, "limits": None}))
     with pytest.raises(ReloadRefused, match="missing key limits"):
         reload({"GW_CONFIG": str(tmp_path / "c.json")}, running)
 
@@ -91,15 +91,15 @@
         ("GET /control/fortune", "unknown-operation"),
     ],
 )
-def test_operators_are_answered_what_to_do(call: str, code: str) -> None:
-    """In JSON, with the type's name, so that a program can tell causes apart."""
+def test_operator_responses_have_remedies(call: str, code: str) -> None:
+    """In JSON, with the error's code, so that a program can distinguish causes."""
 
     async def scenario() -> None:
         async with site() as here:
             address = f"127.0.0.1:{here.program.operators.port}"
             answer = await request(address, write_message(f"{call} HTTP/1.1"))
-            told = json.loads(answer.body)
-            assert answer.status == 404 and told["error"] == code and len(told["remedy"]) > 20
+            document = json.loads(answer.body)
+            assert answer.status == 404 and document["error"] == code and len(document["remedy"]) > 20
 
     asyncio.run(scenario())
 
@@ -133,14 +133,14 @@
 }
 
 
-def test_the_codes_of_errors_stay_as_operators_know_them() -> None:
-    """Each class names its code itself; the codes of release 725bba5 are unchanged."""
-    codes = [vars(each)["error_code"] for each in kinds()]
+def test_error_codes_are_unchanged() -> None:
+    """Each class defines its code; the codes of release 725bba5 are unchanged."""
+    codes = [vars(error)["error_code"] for error in error_classes()]
     assert set(codes) == ERROR_CODES and len(codes) == len(ERROR_CODES)
 
 
-def test_the_packages_import_each_other_in_one_direction() -> None:
-    """No circle between packages, imports within functions included."""
+def test_packages_import_in_one_direction() -> None:
+    """There is no cycle between packages, imports in functions included."""
     edges: dict[str, set[str]] = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT).parts
@@ -150,15 +150,15 @@
             if isinstance(node, ast.ImportFrom) and node.module:
                 names = [node.module]
                 if node.module == "weldquay":
-                    names = [f"weldquay.{each.name}" for each in node.names]
+                    names = [f"weldquay.{alias.name}" for alias in node.names]
             elif isinstance(node, ast.Import):
-                names = [each.name for each in node.names]
+                names = [alias.name for alias in node.names]
             edges.setdefault(own, set()).update(
                 name.split(".")[1] for name in names if name.startswith("weldquay.")
             )
-    for each in edges:
-        edges[each].discard(each)
-    while free := [each for each, others in edges.items() if not others & set(edges)]:
-        for each in free:
-            del edges[each]
+    for package, others in edges.items():
+        others.discard(package)
+    while free := [package for package, others in edges.items() if not others & set(edges)]:
+        for package in free:
+            del edges[package]
     assert not edges
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -1,4 +1,4 @@
-"""A worker told of as leaving, a repeat past its time: nothing begins between decision and first byte."""
+"""Draining workers and late retries: the rules hold at an attempt's first byte, not only at its decision."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 ]
 
 
-class Held:
-    """A worker's script: it cuts the first attempt off, and answers no DELETE until the gate is open."""
+class DelayedDelete:
+    """A worker's script: reset the first attempt, and respond to no DELETE until the gate is open."""
 
     def __init__(self, worker: Any) -> None:
         self.gate, self.posts, self.deletes, self.answer = asyncio.Event(), 0, 0, worker.answer
@@ -35,7 +35,7 @@
         worker.answer = self.take
 
     async def take(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Count, hold or pass on."""
+        """Count the message, then reset, delay or handle it."""
         if message.method == "POST":
             self.posts += 1
             if self.posts == 1:
@@ -47,42 +47,42 @@
         await self.answer(message, writer)
 
 
-async def repeat_waits(here: Any) -> Held:
-    """Play a call up to the wait of its repeat for the DELETE of its first attempt."""
-    held = Held(here.workers[0])
-    held.call = asyncio.create_task(here.post(left_ms=3000))
+async def retry_waits_for_delete(here: Any) -> DelayedDelete:
+    """Run a request until its retry waits for the DELETE of its first attempt."""
+    script = DelayedDelete(here.workers[0])
+    script.call = asyncio.create_task(here.post(left_ms=3000))
     calls = here.program.coordinator.requests.by_number
-    await until(lambda: held.deletes and any(call.attempts_started == 2 for call in calls.values()))
-    return held
+    await until(lambda: script.deletes and any(call.attempts_started == 2 for call in calls.values()))
+    return script
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
-def test_a_repeat_that_waits_for_a_delete_is_not_sent_to_a_worker_that_leaves_meanwhile(phase: str) -> None:
-    """The wait lasts up to 2 s; the list's line comes within it."""
+def test_retry_waiting_for_delete_is_not_sent_to_worker_that_departs(phase: str) -> None:
+    """The worker's change of state arrives while the retry waits for the DELETE."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}) as here:
-            held = await repeat_waits(here)
+            script = await retry_waits_for_delete(here)
             await here.discovery.change(here.workers[0], phase)
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
-            held.gate.set()
-            assert (await held.call).status == 503
-            assert held.posts == 1
+            script.gate.set()
+            assert (await script.call).status == 503
+            assert script.posts == 1
 
     asyncio.run(scenario())
 
 
-def test_a_repeat_that_waits_for_a_delete_is_not_sent_after_its_window() -> None:
-    """The worker drops repeats for 0.4 s; the wait for its answer to the DELETE is longer."""
+def test_retry_waiting_for_delete_is_not_sent_after_its_window() -> None:
+    """The worker deduplicates for 0.4 s; the DELETE takes longer."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}, services=KEYED, family_info={"class_stretch": [2.0]}) as here:
-            held = await repeat_waits(here)
+            script = await retry_waits_for_delete(here)
             begun = time.monotonic()
             await until(lambda: time.monotonic() - begun > 0.5)
-            held.gate.set()
-            assert (await held.call).status == 502
-            assert held.posts == 1
+            script.gate.set()
+            assert (await script.call).status == 502
+            assert script.posts == 1
 
     asyncio.run(scenario())
 
@@ -91,9 +91,9 @@
 
 
 def cut_first_attempt(here: Site, on_delete: OnDelete) -> list[Scripted]:
-    """Have the first POST end in a reset and the repeat go elsewhere; who got a POST, as they come.
+    """Reset the first POST, have the retry go to another worker, and return the receivers of POSTs.
 
-    on_delete: what becomes of a DELETE; True where the worker answers it.
+    on_delete: handles a DELETE; True if the worker is to respond to it.
     """
     posts = list[Scripted]()
 
@@ -117,12 +117,12 @@
     return posts
 
 
-@pytest.mark.parametrize("several", [False, True])
-def test_a_repeat_elsewhere_waits_for_the_delete_where_no_second_copy_is_allowed(several: bool) -> None:
-    """A reset took back the first worker's 202: its job runs on until the DELETE has come."""
+@pytest.mark.parametrize("may_hedge", [False, True])
+def test_retry_at_another_worker_waits_for_delete_without_hedging(may_hedge: bool) -> None:
+    """The first worker's 202 was lost in a reset: its job runs until the DELETE arrives."""
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"probes": False, "may_duplicate": several}) as here:
+        async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as here:
             gate = asyncio.Event()
 
             async def wait(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
@@ -139,7 +139,7 @@
                     )
                 )
             )
-            if several:
+            if may_hedge:
                 assert (await call).body == b"TEXT"  # at once, with the DELETE still on its way
             else:
                 await asyncio.sleep(0.2)
@@ -150,38 +150,38 @@
     asyncio.run(scenario())
 
 
-def test_a_repeat_that_found_no_room_within_its_window_is_not_sent_later() -> None:
-    """It was held until a worker had room, and sent then, whatever time had passed."""
-    rules = job_class(
+def test_retry_without_capacity_in_its_window_is_not_sent_later() -> None:
+    """A keyed retry that waited for capacity past its deduplication window fails."""
+    job_settings = job_class(
         idempotency=api.Idempotency.IDEMPOTENT_BY_KEY,
         idempotency_window_ns=SECOND,
         latency_objective_ns=8 * SECOND,
     )
-    drive = Drive(settings(classes=(rules,), may_probe=False), workers=2)
+    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     for worker in drive.worker_ids:  # no room anywhere by the time that the attempt is lost
         drive.step(api.WorkerBanChanged(worker))
     assert not sends(drive.end(first, api.Outcome.RESET))
-    done = drive.run(2 * SECOND)
-    assert not sends(done) and finals(done) == [api.Fail(1)]
+    actions = drive.run(2 * SECOND)
+    assert not sends(actions) and finals(actions) == [api.Fail(1)]
     assert not sends(drive.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
 
 
-def test_a_repeat_says_until_when_it_may_begin() -> None:
-    """Nine tenths of the window from the first attempt that may have run; other attempts have no bound."""
-    rules = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
-    drive = Drive(settings(classes=(rules,), may_probe=False), workers=2)
+def test_retry_has_latest_send_time() -> None:
+    """Its limit is nine tenths of the window from the first possible execution; a first attempt has none."""
+    job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
+    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     sent_ns = drive.now
-    (again,) = sends(
+    (retry,) = sends(
         drive.step(api.AttemptEnded(1, 0, first.worker, api.Outcome.RESET, MS, False), after=300 * MS)
     )
-    assert first.send_before_ns == 0 and again.send_before_ns == sent_ns + 900 * MS
+    assert first.send_before_ns == 0 and retry.send_before_ns == sent_ns + 900 * MS
 
 
 @pytest.mark.parametrize("refuses", [False, True])
-def test_a_repeat_waits_until_a_delete_has_reached_the_first_worker(refuses: bool) -> None:
-    """The first DELETEs are lost: no second copy until one is answered, or the worker's process is gone."""
+def test_retry_waits_until_delete_succeeds(refuses: bool) -> None:
+    """While DELETEs fail there is no retry, until one succeeds or the worker refuses connections."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as here:
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers and writers of the messages."""
+"""The parsers and writers of messages, by tables of cases."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
         ([(b"cookie", b"a=b")], RequestMetadata("c1", None)),
     ],
 )
-def test_figures_of_a_call(headers: list[tuple[bytes, bytes]], expected: RequestMetadata) -> None:
-    """What the head of a call says."""
+def test_request_metadata(headers: list[tuple[bytes, bytes]], expected: RequestMetadata) -> None:
+    """The metadata in a request's head."""
     assert messages.parse_request_metadata([ID, *headers]) == expected
 
 
-def test_a_key_is_the_same_number_each_time() -> None:
-    """Calls about the same object belong together, wherever the cookie stands."""
+def test_key_is_stable() -> None:
+    """Requests about the same object have one key, wherever the cookie is."""
     one, two, other = (
         messages.parse_request_metadata([ID, (b"cookie", value)]).key
         for value in (b"obj=7f3a", b"x=1; obj=7f3a", b"obj=7f3b")
@@ -71,8 +71,8 @@
         [ID, (b"x-facts", b"slots=inf")],
     ],
 )
-def test_malformed_figures(headers: list[tuple[bytes, bytes]]) -> None:
-    """A call with such a head is answered 400."""
+def test_malformed_request_metadata(headers: list[tuple[bytes, bytes]]) -> None:
+    """A malformed head raises MessageError."""
     with pytest.raises(MessageError):
         messages.parse_request_metadata(headers)
 
@@ -87,20 +87,20 @@
         (b"*", b"*"),
     ],
 )
-def test_class_of_a_call(path: bytes, name: bytes) -> None:
-    """The first part of the path."""
+def test_class_of_request(path: bytes, name: bytes) -> None:
+    """The class is the first part of the path."""
     assert messages.class_name(path) == name
 
 
-def test_the_last_answer_of_a_connection() -> None:
-    """Whole in itself; to HEAD without its body."""
+def test_closing_response() -> None:
+    """It is complete; in response to HEAD it has no body."""
     head = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\nConnection: close\r\n\r\n"
     assert messages.closing_response(503, b"text") == head + b"text"
     assert messages.closing_response(503, b"text", head=True) == head
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("fields", "expected"),
     [
         ({"state": "started"}, Callback("c", "w", None)),
         ({"state": "running", "share": 0.4}, Callback("c", "w", None, progress=0.4)),
@@ -114,9 +114,9 @@
         ({"state": "lost", "load": {"x0": 1}}, Callback("c", "w", api.Outcome.RESET)),
     ],
 )
-def test_callbacks(told: dict[str, Any], expected: Callback) -> None:
-    """What a worker tells of a job, from a view of the buffer as from bytes."""
-    data = json.dumps({"id": "c", "from": "w", **told}).encode()
+def test_callbacks(fields: dict[str, Any], expected: Callback) -> None:
+    """Each state, from a view of a buffer and from bytes."""
+    data = json.dumps({"id": "c", "from": "w", **fields}).encode()
     assert (
         messages.parse_callback(data, FIELDS) == messages.parse_callback(memoryview(data), FIELDS) == expected
     )
@@ -142,7 +142,7 @@
     ],
 )
 def test_malformed_callbacks(data: bytes) -> None:
-    """Such a call-back is answered 400 and changes nothing."""
+    """A malformed callback raises MessageError."""
     with pytest.raises(MessageError):
         messages.parse_callback(data, FIELDS)
 
@@ -161,14 +161,14 @@
         b'{"svc_ms":1,"pending":1,"x0":true}',
     ],
 )
-def test_a_bad_load_report_is_none(data: bytes | None) -> None:
-    """It never becomes room that is not there."""
+def test_malformed_load_report_is_none(data: bytes | None) -> None:
+    """A malformed report never becomes capacity."""
     assert messages.parse_load_report(data, FIELDS) is None
     assert messages.parse_load_report(json.dumps(LOAD).encode(), FIELDS) == REPORT
 
 
 def member(**changes: Any) -> dict[str, Any]:
-    """A line of discovery's list."""
+    """A member of discovery's list."""
     return {
         "id": "s-1",
         "host_port": "127.0.0.1:80",
@@ -190,8 +190,8 @@
         ("DELETED", api.WorkerState.GONE),
     ],
 )
-def test_members(phase: str, state: api.WorkerState) -> None:
-    """Revision, completeness and every figure of a line."""
+def test_endpoint_list(phase: str, state: api.WorkerState) -> None:
+    """Revision, completeness and every field of a member."""
     data = json.dumps({"revision": 4, "complete": False, "members": [member(phase=phase)]}).encode()
     assert messages.parse_endpoint_list(data) == messages.EndpointList(
         4, False, (messages.Endpoint("s-1", "127.0.0.1", 80, "a", "m", 3, state, 1.5, 7),)
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "fields",
     [
         [],
         {},
@@ -214,15 +214,15 @@
         {"revision": 1, "members": [member(cell="x")]},
     ],
 )
-def test_malformed_lists(told: Any) -> None:
-    """A watch that tells such a line counts as failed."""
+def test_malformed_endpoint_lists(fields: Any) -> None:
+    """A malformed list raises MessageError."""
     with pytest.raises(MessageError):
-        messages.parse_endpoint_list(json.dumps(told).encode())
+        messages.parse_endpoint_list(json.dumps(fields).encode())
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(some.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_parse_or_raise_message_error(data: bytes) -> None:
     """No input raises anything but MessageError."""
     for parse in (
         lambda: messages.parse_callback(data, FIELDS),
@@ -236,8 +236,8 @@
             assert str(error)
 
 
-def test_headers_of_a_job() -> None:
-    """What a worker is sent besides the body."""
+def test_job_headers() -> None:
+    """The headers of a job for a worker, with and without optional ones."""
     job = messages.JobPayload(b"/x", b"abc", b"text/plain")
     assert messages.job_headers("c1", job, 1_999_999, "h:1") == [
         (b"Host", b"h:1"),
@@ -269,8 +269,8 @@
         (b"POST", b"/control/match-workers/offline", None),
     ],
 )
-def test_operators_calls(method: bytes, target: bytes, expected: tuple[str, str] | None) -> None:
-    """Each by its method and path; anything else is none."""
+def test_operator_calls(method: bytes, target: bytes, expected: tuple[str, str] | None) -> None:
+    """A call is a method and a path; any other combination raises MessageError."""
     if expected is None:
         with pytest.raises(MessageError):
             messages.operator_call(method, target)
@@ -278,8 +278,8 @@
         assert messages.operator_call(method, target) == messages.OperatorCall(*expected)
 
 
-def test_a_request_is_written_again_with_the_time_that_is_left() -> None:
-    """In one piece, whatever its framing was; all else as it came."""
+def test_request_is_serialized_with_remaining_time() -> None:
+    """A chunked body becomes one piece; other headers stay."""
     http = h11.Connection(h11.SERVER)
     http.receive_data(
         b"POST /a?b=1 HTTP/1.1\r\nHost: a\r\nX-Time-Left-Ms: 900\r\nX-Correlation-Id: c1\r\n"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""One test on real sockets for each rule of the way of a call."""
+"""The rules for a request's attempts and its answer, each on real sockets."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
-from weldquay.policy import members as listed
+from weldquay.policy import members as policy_members
 from weldquay.net import attempt_runner
-from weldquay.net import endpoint_list_adapter as list_intake
+from weldquay.net import endpoint_list_adapter
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 
 
-async def hang_up(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A script: the connection breaks before the 202."""
+async def reset_connection(_message: Message, writer: asyncio.StreamWriter) -> None:
+    """A script: reset the connection before the 202."""
     writer.transport.abort()
 
 
-async def turn_away(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A script: no room, and the job was not begun."""
+async def reject_as_overloaded(_message: Message, writer: asyncio.StreamWriter) -> None:
+    """A script: reject the job as overloaded, without starting it."""
     writer.write(write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
 
 
 async def reject(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A script: the worker cannot use the job, and no other could."""
+    """A script: reject the job as invalid for any worker."""
     writer.write(write_message("HTTP/1.1 400 Bad Request"))
 
 
 async def accept(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """A script: take the job and say no more."""
+    """A script: accept the job and send no callback."""
     writer.write(ACCEPTED)
 
 
-async def keep_silent(_message: Message, _writer: asyncio.StreamWriter) -> None:
-    """A script: no answer at all."""
+async def send_no_response(_message: Message, _writer: asyncio.StreamWriter) -> None:
+    """A script: send no response."""
     await asyncio.sleep(3600)
 
 
-def test_a_call_is_passed_on_unchanged_and_answered_with_the_result() -> None:
-    """Method, path, query, body and id reach the worker; its result is the answer's body."""
+def test_request_reaches_worker_unchanged_and_returns_its_result() -> None:
+    """Method, path, query, body and id reach the worker; its result is the response's body."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -65,15 +65,19 @@
 
 @pytest.mark.parametrize(
     ("path", "script", "left_ms", "status"),
-    [("/lookup", accept, 400, "503"), ("/import", accept, 400, "502"), ("/lookup", keep_silent, 200, "503")],
+    [
+        ("/lookup", accept, 400, "503"),
+        ("/import", accept, 400, "502"),
+        ("/lookup", send_no_response, 200, "503"),
+    ],
 )
-def test_a_silent_worker_does_not_keep_a_call_past_its_deadline(
+def test_silent_worker_does_not_delay_answer_past_deadline(
     path: str, script: Script, left_ms: int, status: str
 ) -> None:
-    """Exactly one answer by the deadline; a job that may have run and must not run twice is not refused.
+    """There is one answer by the deadline; a non-idempotent job that may have run fails, others are rejected.
 
-    The worker is told by DELETE, also before its 202: that may be on its way, and closing the connection
-    alone would leave the job running.
+    The worker gets a DELETE, even before its 202: that may be under way, and closing the connection alone
+    would leave the job running.
     """
 
     async def scenario() -> None:
@@ -89,15 +93,15 @@
 @pytest.mark.parametrize(
     ("path", "script", "posts"),
     [
-        ("/lookup", hang_up, 2),
-        ("/import", hang_up, 1),
-        ("/lookup", turn_away, 2),
-        ("/import", turn_away, 2),
+        ("/lookup", reset_connection, 2),
+        ("/import", reset_connection, 1),
+        ("/lookup", reject_as_overloaded, 2),
+        ("/import", reject_as_overloaded, 2),
         ("/lookup", reject, 1),
     ],
 )
-def test_only_what_may_run_again_is_sent_again(path: str, script: Script, posts: int) -> None:
-    """A break before the 202 may have run; a job handed back unstarted has not; one rejected suits nobody."""
+def test_only_safe_retries_are_sent(path: str, script: Script, posts: int) -> None:
+    """After a reset the job may have run; after an overload it has not; an invalid job is not retried."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
@@ -117,8 +121,8 @@
 
 
 @contextmanager
-def cut_off() -> Iterator[str]:
-    """The address of a machine that is cut off: connections to it neither come up nor fail."""
+def unreachable_address() -> Iterator[str]:
+    """The address of an unreachable machine: connections to it neither succeed nor fail."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen(0)  # one connection fills its queue; the system leaves further ones unanswered
@@ -127,12 +131,12 @@
 
 
 @pytest.mark.parametrize("caps", [{}, {"connect_timeout_ns": 50_000_000}], ids=["refused", "cut off"])
-def test_a_connection_that_does_not_come_up_never_ran(caps: dict[str, int]) -> None:
-    """A job that must not run twice goes elsewhere: where nothing listens, and after a connect time-out."""
+def test_failed_connection_counts_as_not_executed(caps: dict[str, int]) -> None:
+    """A non-idempotent job is retried at another worker after a refused connection and a connect timeout."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, **caps}) as here:
-            with cut_off() as address:
+            with unreachable_address() as address:
                 if caps:
                     here.discovery.members["w0"]["host_port"] = address
                     await here.discovery.change(here.workers[1], "SERVING")
@@ -147,12 +151,12 @@
     play(scenario())
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
-    """All workers full: an overload reply with Retry-After within what clients honour."""
+def test_rejection_has_retry_after() -> None:
+    """If all workers are full, the 503 has a Retry-After within the limit that clients honour."""
 
     async def scenario() -> None:
         async with site() as here:
-            here.workers[0].script = turn_away
+            here.workers[0].script = reject_as_overloaded
             answer = await here.post(left_ms=300)
             assert answer.start.split()[1] == "503"
             assert 0 < float(answer.headers["retry-after"]) <= 2
@@ -160,33 +164,33 @@
     play(scenario())
 
 
-def test_callbacks_count_once_and_only_from_the_worker_of_the_attempt() -> None:
-    """They may precede the 202, repeat, and come from anywhere: each is answered, one ends the attempt."""
+def test_callback_counts_once_and_only_from_worker_of_attempt() -> None:
+    """They may precede the 202, repeat, and come from anyone: each has a response, one ends the attempt."""
 
     async def scenario() -> None:
         async with site() as here:
-            worker, told = here.workers[0], asyncio.Event()
+            worker, reported = here.workers[0], asyncio.Event()
 
             async def early(message: Message, writer: asyncio.StreamWriter) -> None:
                 stranger = Scripted("stranger", here.address)
-                for teller, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
+                for sender, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
                     call = message.headers["x-correlation-id"]
-                    answer = await teller.tell(call, state="done", result=result)
+                    answer = await sender.tell(call, state="done", result=result)
                     assert answer.start.split()[1] == "204"
                 writer.write(ACCEPTED)
-                told.set()
+                reported.set()
 
             worker.script = early
             assert (await here.post()).body == b"mine"
-            await told.wait()
+            await reported.wait()
             assert here.program.counters.counts["attempts_ok"] == 1
             assert here.program.counters.counts["callbacks_unmatched"] == 2
 
     play(scenario())
 
 
-def test_a_client_that_leaves_ends_its_attempts() -> None:
-    """The worker is told by DELETE that nobody waits any more."""
+def test_client_disconnection_cancels_attempts() -> None:
+    """The worker gets a DELETE."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -203,20 +207,20 @@
 
 
 @pytest.mark.parametrize("begun", [False, True])
-def test_a_connection_that_falls_silent_holds_no_job_that_may_run_again(
+def test_silent_connection_does_not_block_idempotent_job(
     begun: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It waited for its deadline; now it goes elsewhere, unless the worker has told that it runs."""
+    """An idempotent job is retried before its deadline, unless the worker has reported its start."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
             first: list[Scripted] = []
 
             async def silent(message: Message, _writer: asyncio.StreamWriter) -> None:
-                worker = next(each for each in here.workers if message in each.seen)
+                worker = next(candidate for candidate in here.workers if message in candidate.seen)
                 first.append(worker)
-                for each in here.workers:
-                    each.script = None
+                for other in here.workers:
+                    other.script = None
                 call = message.headers["x-correlation-id"]
                 if begun:
                     await worker.tell(call, state="started")
@@ -227,15 +231,15 @@
             for worker in here.workers:
                 worker.script = silent
             assert (await here.post()).body == (b"late" if begun else b"TEXT")
-            told = ["POST"] if begun else ["POST", "DELETE"]
-            await until(lambda: first[0].methods()[:2] == told)  # it may be drawn again
+            reported = ["POST"] if begun else ["POST", "DELETE"]
+            await until(lambda: first[0].methods()[:2] == reported)  # it may be drawn again
 
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
     play(scenario())
 
 
-def test_a_stall_past_a_deadline_leaves_the_answer_to_the_decisions() -> None:
-    """Both timers come due in one turn of the loop: the last resort must not pass before the step."""
+def test_after_stall_decision_step_answers_before_overdue_timer() -> None:
+    """Both timers are due in one turn of the event loop: the decision step must run first."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -249,8 +253,8 @@
     play(scenario())
 
 
-def test_a_draining_worker_gets_nothing_new() -> None:
-    """From the line of the watch on that tells of its drain."""
+def test_draining_worker_gets_no_new_attempts() -> None:
+    """From the watch event of its drain on."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
@@ -265,10 +269,10 @@
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", None])
-def test_a_send_whose_connection_comes_up_after_the_drain_was_told_is_not_made(phase: str | None) -> None:
-    """The first byte counts, not the decision: a slow connection must not carry work to a draining worker.
+def test_no_attempt_starts_on_connection_established_after_drain(phase: str | None) -> None:
+    """The worker's state counts at the first byte, not at the decision.
 
-    None: a whole list that no longer names the worker.
+    phase None: a complete list that does not contain the worker.
     """
 
     async def scenario() -> None:
@@ -298,13 +302,13 @@
     play(scenario())
 
 
-def test_workers_that_are_gone_do_not_add_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Ids that change for years: beyond a number those that hold nothing are forgotten, but for bans."""
+def test_departed_workers_are_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Beyond a limit, departed workers without jobs are discarded everywhere; bans stay."""
 
     async def scenario() -> None:
         async with site() as here:
-            meeting, first = here.program.coordinator, here.workers[0]
-            await until(lambda: meeting.is_endpoint_list_confirmed)
+            coordinator, first = here.program.coordinator, here.workers[0]
+            await until(lambda: coordinator.is_endpoint_list_confirmed)
             for number in range(30):
                 here.discovery.members[f"old{number}"] = {
                     **here.discovery.members["w0"],
@@ -318,18 +322,18 @@
                 del here.discovery.members[f"old{number}"]
             await here.discovery.change(first, "SERVING")
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
-            numbers = meeting.endpoint_list.worker_numbers
-            known = here.program.workers.workers, numbers, meeting.dispatcher.workers
-            assert all(len(table) <= 8 for table in known) and meeting.is_known_worker("old0")
+            numbers = coordinator.endpoint_list.worker_numbers
+            known = here.program.workers.workers, numbers, coordinator.dispatcher.workers
+            assert all(len(table) <= 8 for table in known) and coordinator.is_known_worker("old0")
             assert (await here.post()).body == b"TEXT"
 
-    monkeypatch.setattr(listed, "MAX_DEPARTED", 2)
-    monkeypatch.setattr(list_intake, "MAX_DEPARTED", 2)
+    monkeypatch.setattr(policy_members, "MAX_DEPARTED", 2)
+    monkeypatch.setattr(endpoint_list_adapter, "MAX_DEPARTED", 2)
     play(scenario())
 
 
-def test_a_connection_that_the_worker_closed_is_not_used_again() -> None:
-    """A job written to it would count as one that may have run."""
+def test_connection_closed_by_worker_is_not_reused() -> None:
+    """A job written to it would count as possibly executed."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -343,8 +347,8 @@
     play(scenario())
 
 
-def test_a_job_that_must_not_run_twice_goes_on_a_new_connection() -> None:
-    """A kept connection may be reset by the next request: whether that ran nobody could tell."""
+def test_non_idempotent_job_uses_new_connection() -> None:
+    """An idle connection may be reset by the next request, and whether that ran is unknown."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -369,8 +373,8 @@
     play(scenario())
 
 
-def test_a_worker_has_one_attempt_of_a_call_at_a_time() -> None:
-    """After a break the first one is given up before the second is sent to the same worker."""
+def test_worker_has_one_attempt_of_request_at_a_time() -> None:
+    """After a reset the first attempt is cancelled before the second is sent to the same worker."""
 
     async def scenario() -> None:
         async with site() as here:
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -1,4 +1,4 @@
-"""Nothing goes to a worker that may have left: requests wait while the list may be out of date."""
+"""The lease on the endpoint list: requests wait while the list may be out of date."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 
 
-class Late(Server):
-    """Discovery that answers when it is told to, with a list of one worker in a phase."""
+class DelayedDiscovery(Server):
+    """A discovery that responds once it is allowed to, with a list of one worker."""
 
     def __init__(self, phase: str) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         self.may_answer = asyncio.Event()
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """The list, once it may be told."""
+        """Send the list, once it is allowed."""
         self.asked += 1
         await self.may_answer.wait()
         writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
@@ -33,14 +33,14 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize(("phase", "status"), [("DRAINING", 503), ("SERVING", 200)])
-def test_a_new_process_sends_nothing_by_the_list_it_was_started_with(
+def test_new_process_sends_nothing_by_its_cached_list(
     mode: str, phase: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """That list may be of any age.  The first request has discovery asked at once, and waits for it."""
+    """A cached list may be of any age.  The first request triggers a poll of discovery, and waits for it."""
     monkeypatch.setattr("weldquay.net.dispatcher_process.LIST_S", 0.2)
 
     async def scenario() -> None:
-        discovery = Late(phase)
+        discovery = DelayedDiscovery(phase)
         async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as here:
             discovery.address_told = here.workers[0].address
             waiting = asyncio.create_task(here.post(left_ms=3000))
@@ -54,11 +54,11 @@
     asyncio.run(scenario())
 
 
-def test_new_clients_are_wanted_once_the_list_is_there() -> None:
-    """A front does not send clients to a process that cannot serve them yet."""
+def test_health_is_ready_once_list_is_confirmed() -> None:
+    """The health endpoint returns 503 until the list is confirmed."""
 
     async def scenario() -> None:
-        discovery = Late("SERVING")
+        discovery = DelayedDiscovery("SERVING")
         async with site(discovery=discovery) as here:
             assert await here.health() == 503
             discovery.may_answer.set()
@@ -68,23 +68,23 @@
     asyncio.run(scenario())
 
 
-async def told_then_broken(here: Site, _failing: Failing) -> None:
-    """The list has come, then the calls fail until the lease has run out."""
-    exchange = here.program.coordinator
-    await until(lambda: exchange.endpoint_list.expires_ns > time.monotonic_ns())
+async def wait_for_lease_and_its_end(here: Site, _failing: Failing) -> None:
+    """Wait until the list is confirmed, then until its lease has ended."""
+    endpoint_list = here.program.coordinator.endpoint_list
+    await until(lambda: endpoint_list.expires_ns > time.monotonic_ns())
     assert (await here.post("before")).body == b"TEXT"
-    await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
+    await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
 
 
-class ToldThen(Failing):
-    """Discovery that tells a serving worker at first, then fails; at last it tells of a drain."""
+class ListThenFailures(Failing):
+    """A discovery that first sends a serving worker, then fails, and at last sends its drain."""
 
     def __init__(self, manner: Manner, closes: bool) -> None:
         super().__init__(manner, 10**6)
         self.first, self.closes = True, closes
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """The list, and a reset where the watch is to close; then as the script says."""
+        """Send the list, with a reset if the watch is to close; later polls follow the script."""
         await until(lambda: not self.address_told.endswith(":1"))  # known a moment later
         if not self.first:
             await super().answer(message, writer)
@@ -95,15 +95,15 @@
         self.first = False
 
 
-def test_requests_wait_once_a_missed_drain_would_count(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A silent watch, then unanswered calls: what they missed counts 6 s later, and nothing begins then."""
+def test_requests_wait_once_lease_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a silent watch and polls without response, no attempt starts once the lease has ended."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
-        failing = ToldThen(mute, closes=False)
+        failing = ListThenFailures(mute, closes=False)
         async with site(discovery=failing, group_size=3) as here:
             failing.address_told = here.workers[0].address
-            await told_then_broken(here, failing)
+            await wait_for_lease_and_its_end(here, failing)
             assert (await here.post("after", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
             assert here.program.counters.counts["list_leases_expired"] == 1
@@ -115,10 +115,10 @@
     asyncio.run(scenario())
 
 
-def test_an_attempt_whose_connection_comes_up_after_the_lease_is_not_begun(
+def test_no_attempt_starts_on_connection_established_after_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The last look is right before the first byte."""
+    """The lease is checked right before the first byte."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -141,8 +141,8 @@
     asyncio.run(scenario())
 
 
-def test_a_reload_that_moves_discovery_starts_a_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The old list is good for the clock's time where the new address takes calls and tells nothing."""
+def test_reload_with_new_discovery_address_limits_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If the new address accepts polls without responding, the old list is valid for the lease's time."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
@@ -155,8 +155,8 @@
             here.program.discovery.reconfigure(
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
-            exchange = here.program.coordinator
-            await until(lambda: exchange.endpoint_list.expires_ns <= time.monotonic_ns())
+            endpoint_list = here.program.coordinator.endpoint_list
+            await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
             silent.address_told = here.workers[0].address
             silent.left = 0
@@ -167,14 +167,12 @@
 
 
 @pytest.mark.parametrize("manner", [reset, busy])
-def test_a_list_stays_in_force_while_discovery_is_down(
-    manner: Manner, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Calls that are reset or answered 503 behind a watch that was closed: there was nothing to hear of."""
+def test_list_stays_valid_while_discovery_is_down(manner: Manner, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Polls that are reset or get 503 after a closed watch mean that no change can have been missed."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
-        down = ToldThen(manner, closes=True)
+        down = ListThenFailures(manner, closes=True)
         async with site(discovery=down, group_size=3) as here:
             down.address_told = here.workers[0].address
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
@@ -189,10 +187,8 @@
 
 
 @pytest.mark.parametrize("has_expired", [False, True])
-def test_a_newer_process_inherits_the_lease_with_the_list(
-    has_expired: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Discovery is down at an upgrade: the list is good for as long as it was at the older process."""
+def test_newer_process_inherits_lease(has_expired: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """If discovery is down at a hot restart, the list is valid for as long as in the older process."""
     monkeypatch.setattr(program, "LIST_S", 0.2)
 
     async def scenario() -> None:
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -1,4 +1,4 @@
-"""Calls to discovery that fail, on real sockets."""
+"""Polls of discovery that fail, on real sockets."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
     ],
     ids=["silent", "busy", "nonsense", "cut off", "no end"],
 )
-def test_a_watch_that_fails_is_asked_for_anew(
+def test_failed_watch_is_polled_again(
     answer: bytes, drips: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery is silent (its machine vanished), busy or talks nonsense; calls wait for its first answer.
+    """Discovery is silent, busy or sends invalid data; requests wait for its first valid response.
 
-    drips: bytes keep coming, but no line is ever whole; what changes meanwhile would never be received.
+    drips: bytes keep arriving, but no value is ever complete.
     """
 
     class Failing(Server):
-        asked = 0
-        well = False
+        polls = 0
+        is_healthy = False
 
         async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-            self.asked += 1
-            writer.write(NOTHING_NEW if self.well else answer)
-            while drips and not self.well and not writer.is_closing():
+            self.polls += 1
+            writer.write(NOTHING_NEW if self.is_healthy else answer)
+            while drips and not self.is_healthy and not writer.is_closing():
                 writer.write(b" ")
                 await asyncio.sleep(0.02)
 
@@ -49,11 +49,11 @@
         failing = Failing()
         async with site(discovery=failing) as here:
             waiting = asyncio.create_task(here.post())
-            await until(lambda: failing.asked >= 2)
+            await until(lambda: failing.polls >= 2)
             assert here.program.counters.counts["lists_failed"] >= 1 and not here.workers[0].methods()
-            failing.well = True
+            failing.is_healthy = True
             assert (await waiting).body == b"TEXT"
-            failing.well = False
+            failing.is_healthy = False
             assert (await here.post("c2")).body == b"TEXT"
 
     for name, limit_s in limits.items():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec on the protocol page's own bytes, and bad input."""
+"""The simulator's codec on the bytes of the page WIRE and on bad input, and the adapter."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def decode(text: str) -> tuple[api.Settings, tuple[str, ...]]:
-    """Settings from the wire's text."""
+    """The settings of a wire text."""
     return decode_settings(FlatSettings.from_text(text))
 
 
-def one(text: str) -> wire.WireEvent:
-    """Decode a FOR and one record."""
+def decode_record(text: str) -> wire.WireEvent:
+    """Decode a FOR and one other record."""
     data = bytes.fromhex(text.replace(" ", ""))
     ((_, event),) = wire.decode_batch(data, 2, {3: ("free_slots", "busy_reqs"), 5: ()})
     return event
@@ -47,28 +47,28 @@
 
 def test_events_of_the_page() -> None:
     """REQUEST, DEADLINE_HIT, GONE, MEMBERSHIP and REPORT_BACK."""
-    request = one(
+    request = decode_record(
         "070103000000 0101c4913a5d0000000000640ad2557c3bf091001c4e0e00000000001bb70000000000"
         "000000400000000001 00"
     )
     assert isinstance(request, api.RequestReceived)
     assert (request.request_id, request.slots, request.runtime_hint_ns) == (0x5D3A91C4, 2.0, 12_000_000)
     assert request.time_left_ns == 240_000_000
-    assert one("070103000000 03014d000000") == api.TimerDue(77)
-    assert one("070105000000 0501192b6f0e") == api.ClientDisconnected(0x0E6F2B19)
-    members = one(
+    assert decode_record("070103000000 03014d000000") == api.TimerDue(77)
+    assert decode_record("070105000000 0501192b6f0e") == api.ClientDisconnected(0x0E6F2B19)
+    members = decode_record(
         "070103000000 0901290000000202000000 0000000001074a1203000000000000000000000000803f"
         "0000000001f211902c0000009d966b010000000000c03f"
     )
     assert isinstance(members, api.EndpointListUpdate) and members.kind is api.EndpointListKind.CACHED
     assert [entry.weight for entry in members.entries] == [1.0, 1.5]
-    ended = one("070103000000 0001c4913a5d0000074a12030aa0491a0100000000010000")
+    ended = decode_record("070103000000 0001c4913a5d0000074a12030aa0491a0100000000010000")
     assert isinstance(ended, api.AttemptEnded)
     assert (ended.outcome, ended.request_finished, ended.report) == (api.Outcome.OK, True, None)
 
 
 def test_actions_of_the_page() -> None:
-    """The reply of the page, byte by byte (its FAULT-free records)."""
+    """The reply of the page, byte by byte."""
     body = wire.encode_actions(
         3, [api.Send(0x5D3A91C4, 0x03124A07, 80_000_000), api.SetTimer(500_000_000, 77)]
     )
@@ -84,15 +84,15 @@
 
 
 @pytest.mark.parametrize("values", [[], [1.0], [-1.0, 2.0], [float("nan"), 1.0], [float("inf"), 1.0]])
-def test_bad_reports_are_no_reports(values: list[float]) -> None:
-    """Absent, short, negative or not finite figures never become endless free slots."""
+def test_malformed_reports_are_none(values: list[float]) -> None:
+    """Absent, short, negative or non-finite reports never become free slots."""
     packed = struct.pack(f"<{len(values)}f", *values).hex()
-    event = one("070103000000 0a01" + struct.pack("<QBIB", 5, 10, 9, len(values)).hex() + packed)
+    event = decode_record("070103000000 0a01" + struct.pack("<QBIB", 5, 10, 9, len(values)).hex() + packed)
     assert isinstance(event, api.ProbeEnded) and event.report is None
 
 
 def test_settings() -> None:
-    """Known keys are read, unknown ones skipped, missing ones named."""
+    """Known keys are read, unknown ones are ignored, missing ones are named."""
     settings, fields = decode(SETTINGS)
     assert (
         settings.classes[0].idempotency is api.Idempotency.IDEMPOTENT_BY_KEY
@@ -107,7 +107,7 @@
 
 
 def test_nested_settings_flatten_to_the_same_paths() -> None:
-    """Both programs must read the same figures: lists, flags and words with spaces included."""
+    """Both programs read the same values: lists, flags and words with spaces included."""
     nested = {
         "services": [{"name": "a b", "stream": False}, {"name": "c"}],
         "caps": {"cancel": True, "x": 2.5},
@@ -161,7 +161,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    """Two instances in one process act like two processes; KILLED and POWER_ON may share a batch."""
+    """Two instances in one process behave like two processes; KILLED and POWER_ON may share a batch."""
     both, alone = adapter.Host(), adapter.Host()
     body = power_on(1) + power_on(2)
     first = both.answer(10, body, 6)
@@ -171,22 +171,22 @@
     assert both.answer(30, b"", 0) == b""
 
 
-def test_bad_settings_become_a_fault() -> None:
-    """What the module cannot do without is named in a FAULT record."""
+def test_bad_settings_become_fault() -> None:
+    """A missing required setting is named in a FAULT record."""
     reply = adapter.Host().answer(10, power_on(1, text="services.count=1"), 3)
     assert struct.pack("<H", 329) in reply and b"services.0.effect" in reply
 
 
 def run(data: bytes) -> tuple[int, bytes, str]:
-    """The adapter as a process."""
-    done = subprocess.run(
+    """Run the adapter as a process."""
+    process = subprocess.run(
         [sys.executable, "-m", "weldquay.adapter"], input=data, capture_output=True, check=False
     )
-    return done.returncode, done.stdout, done.stderr.decode()
+    return process.returncode, process.stdout, process.stderr.decode()
 
 
-def test_end_of_input_between_frames_is_fine() -> None:
-    """Exit 0, one reply a frame."""
+def test_input_may_end_between_frames() -> None:
+    """Status 0, one reply for each frame."""
     assert run(frame(b"", 0)) == (0, wire.frame_reply(b""), "")
 
 
@@ -201,14 +201,14 @@
         frame(struct.pack("<H", 262), 1),
     ],
 )
-def test_broken_frames_stop_the_adapter(data: bytes) -> None:
-    """One plain line, status 2, nothing half written."""
+def test_broken_frames_stop_adapter(data: bytes) -> None:
+    """One line on standard error, status 2, no partial output."""
     status, written, complaint = run(data)
     assert status == 2 and written == b"" and complaint.count("\n") == 1
 
 
 def test_serve_flushes_each_reply() -> None:
-    """Several frames in one stream."""
+    """Each frame in a stream gets its reply."""
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(frame(power_on(1), 3) + frame(request(1, 4), 2)), sink)
     assert struct.pack("<HI", 320, 4) in sink.getvalue()
