--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -1,4 +1,4 @@
-"""Counters that have a name for each member of a set: all members have theirs, as 725bba5 names them."""
+"""Counters with one name for each member of a set: every member has its name."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_answers_and_lists() -> None:
-    """Each answer to a client, and each kind of news of the list."""
+    """Each answer to a client, and each kind of endpoint list update."""
     assert set(ANSWER_COUNTERS) == set(get_args(Answer))
     assert sorted(ANSWER_COUNTERS.values()) == ["answers_failed", "answers_overload", "answers_served"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
