--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from weldquay import interface as api
-from weldquay.interface import Idempotency, DeduplicationScope
+from weldquay.interface import DeduplicationScope, Idempotency
 from weldquay.policy.dispatcher import Dispatcher
 
 MS = 1_000_000
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from tests.helpers import MS, SECOND, Drive, sends, settings
 from weldquay import interface as api
 from weldquay.interface import Outcome
 from weldquay.policy.dispatcher import Dispatcher
-from tests.helpers import MS, SECOND, Drive, sends, settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
 from weldquay.fleet.subset import LEAST, SHARERS, subset
 from weldquay.policy.dispatcher import Dispatcher
-from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
 
 DISPATCHERS = 40
 
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings, started
 from weldquay import interface as api
-from weldquay.interface import Idempotency, DeduplicationScope, Outcome
+from weldquay.interface import DeduplicationScope, Idempotency, Outcome
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings, started
 
 POSSIBLY_EXECUTED = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN]
 NOT_EXECUTED = [Outcome.OVERLOADED, Outcome.CONNECT_FAILED]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from weldquay import interface as api
 from tests.helpers import MS, SECOND, Drive, finals, sends
+from weldquay import interface as api
 
 
 def send_and_reject(drive: Drive, request: api.RequestReceived) -> None:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,4 @@
-"""Room held for large jobs, in the module: against model workers in virtual time, and event by event."""
+"""Capacity reservations for large requests: with model workers in virtual time, and event by event."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 import pytest
 
+from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
@@ -16,7 +17,6 @@
 from weldquay.lab.room import FLEET
 from weldquay.reservations.settings import ReservationSettings
 from weldquay.settings import Pairs, decode_settings
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
 
 LARGE = (replace(loads.KINDS[2], widths=(0.0, 0.0, 1.0), part=1.0),)
 SMALL = (replace(loads.KINDS[0], part=1.0), replace(loads.KINDS[3], part=1.0, widths=(1.0,)))
@@ -34,26 +34,39 @@
     seed: int = 3,
     **spec: Any,
 ) -> tuple[Run, Result]:
-    """A quarter of a minute of load; each job has one answer, none runs against its class, each hold ends."""
+    """Run a quarter of a minute of load; return the run and its result.
+
+    Each request has one answer, no non-idempotent one runs twice, and every reservation ends.
+    """
     specs = [model.Spec(f"s{n}", speed=speed, kind=kind, **spec) for n, (kind, speed) in enumerate(FLEET)]
-    capacity = sum(each.speed * each.cores for each in specs)
+    capacity = sum(worker.speed * worker.cores for worker in specs)
     arrivals = loads.draw(seed, MILD, capacity, load, dispatchers, kinds, hints)
-    told = [
+    dispatcher_settings = [
         decode_settings(Pairs.from_nested(loads.settings(dispatchers, kinds, me)))[0]
         for me in range(dispatchers)
     ]
-    run = Run(arrivals, specs, [replace(each, reservations=room) for each in told], seed, kinds, 1, troubles)
+    run = Run(
+        arrivals,
+        specs,
+        [replace(base, reservations=room) for base in dispatcher_settings],
+        seed,
+        kinds,
+        1,
+        troubles,
+    )
     result = run.go()
     for record in result.records:
         assert record.answers == 1, record
         if kinds[record.arrival.kind].effect == "fragile":
             assert result.runs.get(record.arrival.number, 0) <= 1
-    assert not any(each.scheduler.by_request or each.scheduler.by_worker for each in run.dispatchers)
+    assert not any(
+        dispatcher.scheduler.by_request or dispatcher.scheduler.by_worker for dispatcher in run.dispatchers
+    )
     return run, result
 
 
-def in_time(result: Result, slots: int, kinds: Sequence[loads.Kind] = loads.KINDS) -> float:
-    """The part of the worth of jobs of this width that came in time."""
+def on_time_fraction(result: Result, slots: int, kinds: Sequence[loads.Kind] = loads.KINDS) -> float:
+    """Return the fraction of the weight of requests with so many slots that were on time; 0: all."""
     return next(
         row.parts[loads.Fate.IN_TIME]
         for row in loads.summary(result.records, kinds)
@@ -67,79 +80,79 @@
     [loads.Hints(), loads.Hints(wrong=1.0), loads.Hints(missing=0.5)],
     ids=["good", "wrong", "missing"],
 )
-def test_every_job_has_one_answer_whatever_the_hints_say(dispatchers: int, hints: loads.Hints) -> None:
-    """Several dispatchers hold at the same workers, with hints four times too long or short, or none."""
+def test_every_request_has_one_answer_with_any_hints(dispatchers: int, hints: loads.Hints) -> None:
+    """Several dispatchers reserve at the same workers, with hints four times too long or short, or none."""
     _, result = play(1.1, dispatchers, ReservationSettings(), hints=hints)
     assert any(name.startswith("holds_") for name in result.counts) or hints.wrong
 
 
-def served(result: Result, slots: int) -> tuple[int, int]:
-    """Jobs of this width: those that came in time, and all."""
-    fates = [each.fate for each in result.records if each.arrival.slots == slots]
+def count_on_time(result: Result, slots: int) -> tuple[int, int]:
+    """Return the requests with so many slots: those on time, and all."""
+    fates = [record.fate for record in result.records if record.arrival.slots == slots]
     return fates.count(loads.Fate.IN_TIME), len(fates)
 
 
-def test_large_jobs_are_served_more_and_small_ones_hardly_less() -> None:
-    """What it is for, over thirty seeds of a quarter of a minute; ten vary by 0.04."""
+def test_reservations_serve_more_large_requests_and_hardly_fewer_small_ones() -> None:
+    """The mean over thirty seeds of a quarter of a minute; that of ten varies by 0.04."""
     gains: dict[int, float] = {1: 0.0, 4: 0.0}
     for seed in range(30):
         off, on = (play(0.9, 3, room, seed=seed)[1] for room in (None, ReservationSettings()))
         for slots in gains:
-            (before, jobs), (after, _) = served(off, slots), served(on, slots)
+            (before, jobs), (after, _) = count_on_time(off, slots), count_on_time(on, slots)
             gains[slots] += (after - before) / jobs / 30
     assert gains[4] > 0.02 and gains[1] > -0.05, gains
 
 
-def test_small_jobs_alone_are_decided_as_without_it() -> None:
-    """No large job, no cost: the same sends at the same moments."""
+def test_reservations_change_nothing_without_large_requests() -> None:
+    """The same sends at the same times."""
     runs = [play(0.9, 3, room, SMALL)[0].sends_after for room in (None, ReservationSettings())]
     assert runs[0] == runs[1] and runs[0]
 
 
-def test_large_jobs_alone_do_not_starve_each_other() -> None:
-    """Each holds at one worker at most, and none waits for another that waits for it."""
+def test_large_requests_alone_do_not_starve_each_other() -> None:
+    """Each has a reservation at one worker at most, and none waits for another that waits for it."""
     totals = [
-        sum(served(play(0.8, 2, room, LARGE, seed=seed)[1], 4)[0] for seed in range(6))
+        sum(count_on_time(play(0.8, 2, room, LARGE, seed=seed)[1], 4)[0] for seed in range(6))
         for room in (None, ReservationSettings())
     ]
     assert totals[1] > 0.95 * totals[0]
 
 
 @pytest.mark.parametrize("load", [0.9, 1.1, 1.3, 1.5])
-def test_overload_does_not_turn_holding_into_harm(load: float) -> None:
-    """Up to one and a half times the capacity, all worth counted, over six seeds."""
+def test_reservations_do_little_harm_in_overload(load: float) -> None:
+    """Up to one and a half times the capacity, with all weights counted, over six seeds."""
     gain = 0.0
     for seed in range(6):
         off, on = (play(load, 3, room, seed=seed)[1] for room in (None, ReservationSettings()))
-        gain += in_time(on, 0) - in_time(off, 0)
+        gain += on_time_fraction(on, 0) - on_time_fraction(off, 0)
     assert gain > -0.18
 
 
 @pytest.mark.parametrize("delay_s", [0.35, 4.0])
 def test_late_reports(delay_s: float) -> None:
-    """What the planner believes of a worker is four seconds old."""
+    """Load reports that are up to four seconds old break no invariant of `play`."""
     play(0.9, 3, ReservationSettings(), report_delay_ns=int(delay_s * SECOND))
 
 
-def test_an_old_machine_whose_slots_take_long_to_free() -> None:
-    """It is passed over for one where the job still ends in time, though its slots come free first."""
-    drive, _ = crowded(old=True)
-    drive.step(large(), after=MS)
-    assert {hold.worker for hold in drive.dispatcher.scheduler.by_request.values()} == {2}
+def test_slow_machine_is_not_reserved_when_a_faster_one_ends_sooner() -> None:
+    """Its slots come free first, but the request would end too late there."""
+    drive, _ = busy_pair(old=True)
+    drive.step(large_request(), after=MS)
+    assert {reserved.worker for reserved in drive.dispatcher.scheduler.by_request.values()} == {2}
 
 
 TROUBLES = {"drain": Run.drain, "restart": Run.restart, "vanish": Run.vanish}
 
 
 @pytest.mark.parametrize("trouble", list(TROUBLES))
-def test_a_worker_that_drains_restarts_or_vanishes_in_a_hold(trouble: str) -> None:
-    """Nothing new goes to a drained or gone worker, planned or not; a cold one is not pushed over."""
+def test_reserved_worker_that_drains_restarts_or_vanishes(trouble: str) -> None:
+    """A draining or removed worker gets nothing new; one that is warming up is not overloaded."""
     hits = [Trouble(at * SECOND, partial(TROUBLES[trouble], worker=w)) for at, w in ((4, 1), (7, 3))]
     cold: dict[str, Any] = {"cold_share": 0.34, "warm_after_ns": 8900 * MS, "fall_multiple": 2.5}
     run, _ = play(1.0, 2, ReservationSettings(), troubles=hits, **cold)
     if trouble == "restart":
         assert not any(worker.fallen for worker in run.workers)
-    else:  # told at once in virtual time: one step may be under way
+    else:  # the list is updated at once in virtual time: one step may be under way
         late = [w for at, w in run.sends_after if at > run.begun_ns + 4 * SECOND + 5 * MS]
         assert 1 not in late and len(late) > 50
 
@@ -147,13 +160,13 @@
 # --- event by event ---
 
 
-def large(number: int = 100, **changes: Any) -> api.RequestReceived:
-    """A four-slot job of 1 s."""
+def large_request(number: int = 100, **changes: Any) -> api.RequestReceived:
+    """Return a request of four slots and 1 s."""
     return api.RequestReceived(number, 0, 10 * SECOND, slots=4.0, runtime_hint_ns=SECOND, **changes)
 
 
-def crowded(old: bool = False, room: ReservationSettings | None = None) -> tuple[Drive, list[api.Send]]:
-    """Two workers of four slots, each with two own jobs of 0.8 s that have started."""
+def busy_pair(old: bool = False, room: ReservationSettings | None = None) -> tuple[Drive, list[api.Send]]:
+    """Return two workers of four slots, each with two own running requests of 0.8 s, and the sends."""
     rules = job_class(idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0)
     drive = Drive(
         settings(
@@ -183,38 +196,38 @@
     return drive, started
 
 
-def held(drive: Drive) -> Any:
-    """The one hold."""
-    (hold,) = drive.dispatcher.scheduler.by_request.values()
-    return hold
+def reservation(drive: Drive) -> Any:
+    """Return the only reservation."""
+    (only,) = drive.dispatcher.scheduler.by_request.values()
+    return only
 
 
-def ended(actions: list[api.Action]) -> list[str]:
-    """How holds ended."""
+def end_reasons(actions: list[api.Action]) -> list[str]:
+    """Return the reasons for which reservations ended."""
     return [action.reason for action in actions if isinstance(action, api.ReservationEnded)]
 
 
-def test_room_is_held_and_used() -> None:
-    """The job waits for its worker, a small one does not take the slots, and it starts once they are free."""
-    drive, started = crowded()
-    assert not sends(drive.step(large(), after=MS))
-    worker = held(drive).worker
+def test_reserved_capacity_is_kept_and_used() -> None:
+    """A small request does not take the slots, and the large one is sent once they are free."""
+    drive, started = busy_pair()
+    assert not sends(drive.step(large_request(), after=MS))
+    worker = reservation(drive).worker
     first, second = (send for send in started if send.worker == worker)
     drive.now += 780 * MS
     drive.end(first, api.Outcome.OK, over=True)
     other = drive.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
     )
-    assert not sends(other), "its two slots are free, but kept"
+    assert not sends(other), "its two slots are free, but reserved"
     actions = drive.end(second, api.Outcome.OK, over=True)
-    assert api.Send(100, worker) in actions and ended(actions) == ["placed"]
+    assert api.Send(100, worker) in actions and end_reasons(actions) == ["placed"]
 
 
-def test_a_short_job_fills_the_gap() -> None:
-    """It ends before the hold starts."""
-    drive, started = crowded()
-    drive.step(large(), after=MS)
-    worker = held(drive).worker
+def test_short_request_backfills_a_reservation() -> None:
+    """It ends before the reservation starts."""
+    drive, started = busy_pair()
+    drive.step(large_request(), after=MS)
+    worker = reservation(drive).worker
     drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, over=True)
     drive.dispatcher.scheduler.hint_bias = 0.0
     (send,) = sends(
@@ -223,23 +236,23 @@
     assert send.worker == worker
 
 
-def test_the_client_leaves_while_room_is_held() -> None:
-    """The hold ends with it, and the slots are for others."""
-    drive, _ = crowded()
-    drive.step(large(), after=MS)
-    assert ended(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
+def test_reservation_ends_when_the_client_disconnects() -> None:
+    """The slots are free for other requests."""
+    drive, _ = busy_pair()
+    drive.step(large_request(), after=MS)
+    assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
     assert not drive.dispatcher.scheduler.by_worker
 
 
-def test_its_time_ends_while_room_is_held() -> None:
-    """The slots do not come free: it is refused once it could not end in time any more, and not later."""
-    drive, _ = crowded()
-    drive.step(large(), after=MS)
-    born, answers = drive.now, list[api.Action]()
+def test_reserved_request_is_rejected_once_it_can_only_be_late() -> None:
+    """The slots do not come free in time."""
+    drive, _ = busy_pair()
+    drive.step(large_request(), after=MS)
+    received_ns, answers = drive.now, list[api.Action]()
     while not answers:
         answers = finals(drive.step(api.TimerDue(1), after=50 * MS))
     assert [type(answer) for answer in answers] == [api.Reject]
-    assert drive.now - born <= 3 * SECOND and not drive.dispatcher.scheduler.by_request
+    assert drive.now - received_ns <= 3 * SECOND and not drive.dispatcher.scheduler.by_request
 
 
 @pytest.mark.parametrize(
@@ -255,22 +268,22 @@
     ],
     ids=["ban", "drain", "gone"],
 )
-def test_the_worker_goes_out_in_the_hold(event: Callable[[int], api.Event]) -> None:
-    """At once, not after the grace: the hold ends, and nothing new goes there."""
-    drive, started = crowded()
-    drive.step(large(), after=MS)
-    worker = held(drive).worker
+def test_reservation_ends_at_once_when_its_worker_leaves(event: Callable[[int], api.Event]) -> None:
+    """Nothing new is sent to a banned, draining or removed worker."""
+    drive, started = busy_pair()
+    drive.step(large_request(), after=MS)
+    worker = reservation(drive).worker
     actions = drive.step(event(worker), after=MS)
     for send in started:
         actions += drive.end(send, api.Outcome.OK, over=True)
-    assert "worker_out" in ended(actions) and worker not in {send.worker for send in sends(actions)}
+    assert "worker_out" in end_reasons(actions) and worker not in {send.worker for send in sends(actions)}
 
 
-def test_a_cold_worker_gets_no_more_than_its_budget() -> None:
-    """The worker restarts in the hold: whatever is planned, the budget of a cold start decides."""
-    drive, _ = crowded()
-    drive.step(large(), after=MS)
-    worker = held(drive).worker
+def test_reserved_worker_that_restarts_gets_its_slow_start_budget_only() -> None:
+    """The budget applies whatever is reserved."""
+    drive, _ = busy_pair()
+    drive.step(large_request(), after=MS)
+    worker = reservation(drive).worker
     fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
     drive.all.clear()
@@ -281,28 +294,28 @@
     assert 0 < work <= 3.0 * 0.21 * 4 * 2 * SECOND
 
 
-def test_a_reload_ends_holds_and_jobs_keep_their_rules() -> None:
-    """Its class may be another one now: the job is planned anew by the rules that it came with."""
-    drive, _ = crowded()
-    drive.step(large(), after=MS)
+def test_reload_ends_reservations_and_requests_keep_their_settings() -> None:
+    """The request is reserved anew by the class settings that it was accepted with."""
+    drive, _ = busy_pair()
+    drive.step(large_request(), after=MS)
     new = replace(drive.dispatcher.settings, classes=(job_class(latency_objective_ns=MS), job_class()))
     actions = drive.step(api.SettingsChanged(new), after=20 * MS)
-    assert ended(actions) == ["reload"] and 100 in drive.dispatcher.scheduler.by_request
+    assert end_reasons(actions) == ["reload"] and 100 in drive.dispatcher.scheduler.by_request
     assert drive.dispatcher.jobs[100].class_settings.priority_weight == 8.0
 
 
-def test_an_upgrade_plans_anew() -> None:
-    """The newer process adopts the job without its hold, and makes one of its own."""
-    drive, _ = crowded()
-    drive.step(large(), after=MS)
-    newer, _ = crowded()
-    newer.step(api.RequestMigrated(large(), drive.now - MS, 0), after=MS)
-    assert held(newer).request == 100
-    assert ended(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
+def test_migrated_request_gets_a_new_reservation() -> None:
+    """The new process adopts the request without its reservation."""
+    drive, _ = busy_pair()
+    drive.step(large_request(), after=MS)
+    newer, _ = busy_pair()
+    newer.step(api.RequestMigrated(large_request(), drive.now - MS, 0), after=MS)
+    assert reservation(newer).request == 100
+    assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
 
 
-def test_without_figures_nothing_is_held() -> None:
-    """Off costs nothing: no hold is ever sought."""
-    drive, _ = crowded(room=ReservationSettings(on=False))
-    drive.step(large(), after=MS)
+def test_disabled_reservations_are_never_made() -> None:
+    """No reservation is tried at all."""
+    drive, _ = busy_pair(room=ReservationSettings(on=False))
+    drive.step(large_request(), after=MS)
     assert not drive.dispatcher.scheduler.by_request and not drive.dispatcher.scheduler.counts
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Lists of over a thousand workers, hundreds of dispatchers: nothing is cut short, and memory stays flat."""
+"""Lists of over a thousand workers and hundreds of dispatchers: completeness, descriptors and memory."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
 from weldquay.lab.servers import MOST_TRIES, TRY_AGAIN_S
-from weldquay.net.config import read
-from weldquay.net import worker_client as workers
 from weldquay.net import dispatcher_process as program
+from weldquay.net import worker_client as workers
+from weldquay.net.config import read
 from weldquay.net.dispatcher_process import Phase
 from weldquay.net.streams import connect
 from weldquay.policy.worker_table import MAX_DEPARTED
@@ -39,7 +39,7 @@
 
 
 class Fleet(Scripted):
-    """Any number of workers in one server; the address that a job came to tells which of them has it."""
+    """Any number of workers in one server; the address of a request selects the worker."""
 
     def __init__(self, dispatcher: str = "") -> None:
         super().__init__("", dispatcher)
@@ -50,14 +50,14 @@
         self.servers.append(await asyncio.start_server(self._serve, "0.0.0.0", port))
 
     def list_at(self, discovery: Discovery, count: int, pad: int = 0) -> None:
-        """List so many workers, with ids of so many characters at the least."""
+        """List so many workers, with ids of at least `pad` characters."""
         port = self.address.rpartition(":")[2]
         for number in range(count):
             host = f"127.1.{number // 250}.{number % 250 + 1}"
             discovery.put(f"{host}:{port}".ljust(pad, "x"), [f"{host}:{port}"])
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Take a job and be done with it at once, as the worker that is meant."""
+        """Accept a request and finish it at once, as the worker of its address."""
         if message.method == "POST":
             name, call = message.headers["host"], message.headers["x-correlation-id"]
             self.jobs[call] = asyncio.create_task(self.done(name, call))
@@ -66,10 +66,10 @@
             await super().answer(message, writer)
 
     async def done(self, name: str, call: str) -> None:
-        """The call-back, on the connection that this worker keeps, ten times at the most."""
+        """Send the callback on the connection that this worker keeps, in ten attempts at most."""
         pool = self.pools.setdefault(name, Pool(self.dispatcher))
-        told = {"id": call, "from": name, "state": "done", "result": "done"}
-        data = write_message("POST /callback HTTP/1.1", json.dumps(told).encode())
+        callback = {"id": call, "from": name, "state": "done", "result": "done"}
+        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MOST_TRIES):
             try:
                 await pool.ask(data)
@@ -79,20 +79,20 @@
         del self.jobs[call]
 
     def load(self) -> dict[str, float]:
-        """Each of them has room."""
+        """Return a load report with free room."""
         return NO_LOAD
 
 
 def changes(numbers: range, state: api.WorkerState) -> api.EndpointListUpdate:
-    """Changes of the list as one event."""
+    """Return a list update with these workers in this state."""
     return api.EndpointListUpdate(
         api.EndpointListKind.DELTA, tuple(api.WorkerEntry(number, state) for number in numbers)
     )
 
 
 @pytest.mark.parametrize("count", [1100, 1500])
-def test_a_list_of_any_length_stays_whole(count: int) -> None:
-    """The departed are bounded beside it: none with a job is dropped, and one that returns is still known."""
+def test_long_list_is_complete_and_departed_workers_are_bounded(count: int) -> None:
+    """No departed worker with an attempt is dropped, and one that returns has its state."""
     drive = Drive(settings(may_probe=False), workers=count)
     here = drive.dispatcher
     drive.step(api.ProbeEnded(7, api.Outcome.CONNECT_FAILED, MS))
@@ -103,23 +103,23 @@
     drive.step(drive.list_of(api.EndpointListKind.FULL))
     assert len(here.ready_workers) == count and here.workers[7].is_ejected
     drive.step(changes(range(push.worker, push.worker + 1), GONE))
-    for first in range(count + 1, count + 1 + 3 * MAX_DEPARTED, 512):  # ids that change
+    for first in range(count + 1, count + 1 + 3 * MAX_DEPARTED, 512):  # ids that change at each restart
         drive.step(changes(range(first, first + 512), READY))
         drive.step(changes(range(first, first + 512), GONE))
         assert len(here.workers) <= count + MAX_DEPARTED
-    assert push.worker in here.workers and {each.entry.worker for each in here.ready_workers} == {
+    assert push.worker in here.workers and {worker.entry.worker for worker in here.ready_workers} == {
         number for number in range(1, count + 1) if number != push.worker
     }
 
 
-def test_changes_that_come_together_cost_one_look_at_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a stall: sorting 1,400 workers anew for each of 1,400 lines took seconds."""
+def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sorting 1,400 workers anew for each of 1,400 changes would take seconds."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
     drive.step(*(changes(range(number, number + 1), GONE) for number in range(1, 701)))
     assert counted.call_count == 1 and len(drive.dispatcher.ready_workers) == 700
-    assert {each.entry.worker for each in drive.dispatcher.table.subset} <= set(range(701, 1401))
+    assert {worker.entry.worker for worker in drive.dispatcher.table.subset} <= set(range(701, 1401))
 
 
 @pytest.mark.parametrize(
@@ -127,10 +127,10 @@
     [api.EndpointListKind.UNCHANGED, api.EndpointListKind.ADDRESS_CHANGED, api.EndpointListKind.FAILED],
     ids=lambda kind: kind.value,
 )
-def test_news_without_changes_cost_no_look_at_the_list(
+def test_update_without_entries_does_not_refresh_the_list(
     kind: api.EndpointListKind, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An empty line comes every 2 s: sorting 1,400 workers anew for each took 1.1 ms."""
+    """An empty line comes every 2 s."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
@@ -139,7 +139,7 @@
 
 
 def test_more_workers_than_connections_are_all_served() -> None:
-    """An idle connection makes room; where none is idle a call waits, and no worker is blamed for it."""
+    """An idle connection is evicted; where none is idle a call waits, and no worker is ejected for it."""
 
     async def scenario() -> None:
         async with site(workers=6) as here:
@@ -150,39 +150,39 @@
                 assert (await here.post(f"c{number}")).body == b"TEXT"
                 assert side.open_connections <= 2 and len(side.idle) <= 2
             assert counts["connections_evicted"] > 2 and not counts["connections_over_limit"]
-            held: list[Message] = []
+            accepted: list[Message] = []
             answer = asyncio.Event()
 
             async def hold(worker: Scripted, message: Message, writer: asyncio.StreamWriter) -> None:
-                held.append(message)
+                accepted.append(message)
                 await answer.wait()
                 await worker.telling("late")(message, writer)
 
             for worker in here.workers:
                 worker.script = partial(hold, worker)
             calls = [asyncio.create_task(here.post(f"d{number}")) for number in range(6)]
-            await until(lambda: len(held) == 2 and side.waiting)
+            await until(lambda: len(accepted) == 2 and side.waiting)
             answer.set()
             assert [(await call).body for call in calls] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
                 worker.is_ejected for worker in here.program.coordinator.dispatcher.workers.values()
             )
-            side.limit_connections(1 / side.full)  # another process has the others
+            side.limit_connections(1 / side.full)  # another process uses the others
             await until(lambda: side.open_connections <= 1)
 
     asyncio.run(scenario())
 
 
-class Told(Server):
-    """Discovery that writes these values to a watch, each once the test says so, and then is silent."""
+class ReleasedDiscovery(Server):
+    """Discovery that writes these values to a watch, each when the test releases it, and then nothing."""
 
     def __init__(self, values: list[Any]) -> None:
         super().__init__()
         self.values, self.go = values, asyncio.Semaphore(0)
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """A watch."""
+        """Serve a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for value in self.values:
             await self.go.acquire()
@@ -191,17 +191,17 @@
         await asyncio.Event().wait()
 
 
-def test_a_list_comes_whole_in_one_value_and_changes_in_any_number() -> None:
+def test_list_of_1100_workers_and_its_changes_arrive_in_any_split() -> None:
     """1,100 workers in one value, all of them as changes in 11 lines, 700 changes in one value."""
 
     def value(complete: bool, revision: int, numbers: range, phase: str) -> dict[str, Any]:
-        told = Discovery()
+        discovery = Discovery()
         for number in numbers:
-            told.put(f"m{number}", [f"127.1.{number // 250}.{number % 250 + 1}:9"], phase)
-        return {"revision": revision, "complete": complete, "members": [*told.members.values()]}
+            discovery.put(f"m{number}", [f"127.1.{number // 250}.{number % 250 + 1}:9"], phase)
+        return {"revision": revision, "complete": complete, "members": [*discovery.members.values()]}
 
     lines = [value(False, 3 + n, range(100 * n, 100 * n + 100), "DRAINING") for n in range(11)]
-    tellings = [
+    values = [
         [value(True, 2, range(1100), "SERVING")],
         lines,
         [value(False, 14, range(700), "SERVING")],
@@ -210,7 +210,7 @@
     ]
 
     async def scenario() -> None:
-        discovery = Told(tellings)
+        discovery = ReleasedDiscovery(values)
         async with site(workers=0, discovery=discovery) as here:
             decisions, side = here.program.coordinator.dispatcher, here.program.workers
             for ready, listed in ((1100, 1100), (0, 1100), (700, 1100), (0, 400), (1100, 1100)):
@@ -223,20 +223,20 @@
     asyncio.run(scenario())
 
 
-def test_any_dispatcher_of_410_finds_its_place() -> None:
-    """The settings take the number, and each has some workers of 1,400 that it turns to first."""
+def test_each_of_410_dispatchers_has_a_subset() -> None:
+    """The settings accept the index, and each of 1,400 workers is in at least three subsets."""
     config = read({}, document(group_size=410, me=409))
     assert (config.settings.dispatcher_count, config.settings.dispatcher_index) == (410, 409)
     with pytest.raises(ValueError, match="setting me is not among the 410 dispatchers"):
         read({}, document(group_size=410, me=410))
-    common = [zlib.crc32(b"%d" % number) for number in range(1400)]
-    sharers = Counter(place for me in range(410) for place in subset(common, me, 410))
+    start_ids = [zlib.crc32(b"%d" % number) for number in range(1400)]
+    sharers = Counter(position for index in range(410) for position in subset(start_ids, index, 410))
     assert len(sharers) == 1400 and min(sharers.values()) >= 3
 
 
 @pytest.mark.parametrize("pad", [0, 400])
-def test_a_handover_passes_all_workers(pad: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With discovery away the newer process has them from the older one alone, however long their ids are."""
+def test_hot_restart_passes_all_workers(pad: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """With discovery down the new process gets them from the old one, however long their ids are."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -244,22 +244,22 @@
             await fleet.start()
             fleet.list_at(here.discovery, 1100, pad)
             await here.discovery.tell()
-            named = {each["id"] for each in here.discovery.members.values()}
-            await until(lambda: {each.id for each in here.program.workers.listed_endpoints()} == named)
+            named = {member["id"] for member in here.discovery.members.values()}
+            await until(lambda: {worker.id for worker in here.program.workers.listed_endpoints()} == named)
             here.discovery.stop()
             async with newer(here) as second:
-                assert {each.id for each in second.workers.listed_endpoints()} == named
+                assert {worker.id for worker in second.workers.listed_endpoints()} == named
                 assert len(second.coordinator.dispatcher.ready_workers) == len(named) == 1101
                 assert second.counters.counts["handover_worker"] == 1101
                 assert second.phase is Phase.SERVING and here.program.phase is Phase.HANDED_OVER
             fleet.stop()
 
-    monkeypatch.setattr(program, "LIST_S", 0.2)  # so long it waits for discovery, too
+    monkeypatch.setattr(program, "LIST_S", 0.2)  # it waits so long for discovery too
     asyncio.run(scenario())
 
 
-def test_a_stall_of_its_own_tells_nothing_against_workers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection that came up while the process stood still is not one that the worker refused."""
+def test_stall_of_the_process_ejects_no_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection that came up during the stall was not refused by the worker."""
     stalls = [0.5]
 
     async def slow(host: str, port: int, limit: int) -> Any:
@@ -281,7 +281,7 @@
 
 
 class Load(NamedTuple):
-    """What a process of its own held at most while calls went through it."""
+    """What a process used at most while it served calls."""
 
     descriptors: int
     resident_mb: float
@@ -290,35 +290,35 @@
 
 
 async def play(path: Path, workers: int, clients: int, calls: int, body: bytes, **settings: Any) -> Load:
-    """Start a dispatcher as the deployment does, have clients call, each on a connection that it keeps."""
+    """Start a dispatcher as a deployment does, with clients that each keep one connection."""
     listen = f"127.0.0.1:{free_port()}"
-    fleet, discovery, told = Fleet(listen), Discovery(), document(**settings)
+    fleet, discovery, contents = Fleet(listen), Discovery(), document(**settings)
     await fleet.start()
     await discovery.start()
     fleet.list_at(discovery, workers)
-    told |= {"listen": listen, "mgmt": None, "discovery": discovery.address, "known": discovery.told()}
-    told["settings"]["services"][0] |= {
+    contents |= {"listen": listen, "mgmt": None, "discovery": discovery.address, "known": discovery.told()}
+    contents["settings"]["services"][0] |= {
         "aim_ns": 20 * SECOND,
         "give_up_ns": 30 * SECOND,
-    }  # on a busy machine, too
-    told["limits"] = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
-    path.write_text(json.dumps(told))
+    }  # for a busy machine
+    contents["limits"] = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
+    path.write_text(json.dumps(contents))
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "weldquay"),
         env={**os.environ, "GW_CONFIG": str(path)},
         preexec_fn=partial(resource.setrlimit, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS)),
         stderr=asyncio.subprocess.PIPE,
     )
-    most, answers = 0, Counter[int]()
+    max_descriptors, answers = 0, Counter[int]()
 
     async def client(number: int) -> None:
-        nonlocal most
+        nonlocal max_descriptors
         pool = Pool(listen)
-        for each in range(calls):
-            head = f"X-Correlation-Id: c{number}-{each}", "X-Time-Left-Ms: 30000"
+        for call in range(calls):
+            head = f"X-Correlation-Id: c{number}-{call}", "X-Time-Left-Ms: 30000"
             answer = await pool.ask(write_message("POST /lookup/a HTTP/1.1", body, *head))
             answers[answer.status] += 1
-            most = max(most, len(os.listdir(f"/proc/{process.pid}/fd")))
+            max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
         pool.close()
 
     try:
@@ -337,21 +337,23 @@
         fleet.stop()
         discovery.stop()
     peak_kb = int(next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1])
-    return Load(most, peak_kb / 1024, answers, json.loads(log.rpartition("counters ")[2].splitlines()[0]))
+    return Load(
+        max_descriptors, peak_kb / 1024, answers, json.loads(log.rpartition("counters ")[2].splitlines()[0])
+    )
 
 
 @pytest.mark.parametrize("dispatchers", [3, 410])
-def test_the_program_stays_within_what_a_deployment_gives(tmp_path: Path, dispatchers: int) -> None:
-    """Calls go through one after another, with 1,100 workers; `pytest -s` prints what was held."""
-    told = {"group_size": dispatchers, "me": dispatchers - 1}
-    load = asyncio.run(play(tmp_path / "config.json", 1100, 20, 25, b"x" * 1024, **told))
+def test_process_stays_within_the_limits_of_a_deployment(tmp_path: Path, dispatchers: int) -> None:
+    """20 clients call in a row, with 1,100 workers; `pytest -s` prints what the process used."""
+    fleet_settings = {"group_size": dispatchers, "me": dispatchers - 1}
+    load = asyncio.run(play(tmp_path / "config.json", 1100, 20, 25, b"x" * 1024, **fleet_settings))
     print(dispatchers, load)
     assert load.answers == {200: 500}
     assert load.descriptors <= SOCKETS - SPARE and load.resident_mb < MEMORY_MB
 
 
-def test_a_crowd_with_large_bodies_stays_within_them_too(tmp_path: Path) -> None:
-    """As many clients as there is room for, all at once, and 1,100 workers that keep connections."""
+def test_crowd_with_large_bodies_stays_within_the_limits(tmp_path: Path) -> None:
+    """300 clients call at once, and 1,100 workers keep connections."""
     load = asyncio.run(play(tmp_path / "config.json", 1100, 300, 3, b"x" * 65536, group_size=3, me=2))
     print(load)
     assert load.answers.total() == 900 and load.answers.keys() <= {200, 503}
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from tests.helpers import MS, SECOND, Drive, job_class, sends, settings, started
 from weldquay import interface as api
-from weldquay.interface import Idempotency, Outcome
 from weldquay.estimators.runtime import RuntimeEstimator
-from tests.helpers import MS, SECOND, Drive, job_class, sends, settings, started
+from weldquay.interface import Idempotency, Outcome
 
 
 def test_worker_that_fails_repeatedly_backs_off() -> None:
