--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -13,7 +13,7 @@
 class Outcome(Enum):
     """How an attempt or a probe ended.
 
-    OK: with a result. ERROR: the worker failed. OVERLOADED: the worker had no room and rejected it. TIMEOUT:
+    OK: with a result. ERROR: the worker failed. OVERLOADED: the worker was full and rejected it. TIMEOUT:
     no answer in time. CONNECT_FAILED: no connection was established. RESET: the connection was lost.
     CANCELLED: it was cancelled. ABORTED_BEFORE_SEND: it was not sent. UNKNOWN: not known. UNPROCESSABLE: the
     request itself is invalid, so no other worker could process it.
--- a/weldquay/policy/__init__.py
+++ b/weldquay/policy/__init__.py
@@ -9,9 +9,9 @@
 1. `open_requests.py` accepts it into the queue and sets the deadline of its answer.
 2. `request_queue.py` places the queued requests at the end of each step, highest priority first
    (`priorities.py`, with the running times of `runtime_model.py`).
-3. `weldquay/candidates` lists the workers that reported recently and have room. `eligibility.py` excludes
-   those that the request cannot use. Loads are estimated by `load.py`: own sends since the last report minus
-   the free slots of that report.
+3. `weldquay/candidates` lists the workers that reported recently and have free slots. `eligibility.py`
+   excludes those that the request cannot use. Loads are estimated by `load.py`: own sends since the last
+   report minus the free slots of that report.
 4. Where too few of them have a fresh report, `probing.py` probes a few workers, and the request waits.
 5. `placement.py` converts loads and expected arrivals to shares by the water-fill and draws a worker.
    `sending.py` sends the attempt.
@@ -25,7 +25,8 @@
 apply what workers report, `outlier_ejection.py` and `periodic_check.py` exclude workers that fail or are
 silent, and `slow_start.py` limits what is sent to workers that have just started.
 
-Every part is an object of its own. What a step shares is in `step_context.py`, the common tables are
-`worker_table.py` and `request_table.py`. A module imports only modules that stand before it in the `policy`
-list of `deploy/balancer.toml`.
+Every part is an object of its own. `assembly.py` builds the parts, and `dispatcher.py` routes events to them.
+What a step shares is in `step_context.py`, the common tables are in `worker_table.py` and `request_table.py`,
+and limits that several parts share are in `limits.py`. A module imports only modules that stand before it in
+the `policy` list of `deploy/balancer.toml`.
 """
--- a/weldquay/policy/capacity_reservation.py
+++ b/weldquay/policy/capacity_reservation.py
@@ -1,4 +1,4 @@
-"""Reserving capacity over time for a request of several slots that found no room."""
+"""Reserving capacity over time for a request of several slots that no worker can take now."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, WorkerOffer
 from weldquay.state.records import Job, Worker
 
-RESERVATION_INTERVAL_NS = 10_000_000  # a request asks for a reservation this often at most
+RESERVATION_INTERVAL_NS = 10_000_000  # least time between two tries for one request
 MAX_OFFERS = 16  # least loaded workers that are considered for a reservation
 
 
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -25,7 +25,7 @@
     WorkerStateRestored,
 )
 from weldquay.policy.assembly import DispatcherParts
-from weldquay.policy.endpoint_list import NOT_SCHEDULED
+from weldquay.policy.timers import NOT_SCHEDULED
 from weldquay.state.records import Worker
 
 
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -19,11 +19,10 @@
 )
 from weldquay.policy.retries import RetryRules
 from weldquay.policy.step_context import StepContext
-from weldquay.policy.timers import TimerToken
+from weldquay.policy.timers import NOT_SCHEDULED, TimerToken
 from weldquay.policy.worker_table import WorkerTable
 from weldquay.state.records import Worker
 
-NOT_SCHEDULED = -1  # value of `next_poll_ns` while no poll is due
 UNCONFIRMED_KINDS = (EndpointListKind.CACHED, EndpointListKind.ADDRESS_CHANGED, EndpointListKind.FAILED)
 KINDS_WITHOUT_ENTRIES = (
     EndpointListKind.UNCHANGED,
--- a/weldquay/policy/load.py
+++ b/weldquay/policy/load.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, eq=False)
 class LoadEstimates:
-    """Loads of workers. A load is the number of requests at a worker minus its slots: negative means room.
+    """Loads of workers: slots in use or queued for, minus the capacity. Free slots are a negative load.
 
     Attributes:
         context: the step.
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -28,7 +28,7 @@
         interval: learns how often workers refresh their reports.
         load_estimates: means of loads and capacities.
         runtime_model: slowness of workers, and the usual service time by machine kind.
-        slow_start: tells which workers are warming up.
+        slow_start: which workers are warming up.
     """
 
     context: StepContext
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -105,7 +105,7 @@
     def learn_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Pause sends to the worker, and from the second overload on the request too.
 
-        The pause of a worker doubles, as its reports may show room that it does not give.
+        The pause of a worker doubles, as its reports may show free slots that it does not give.
         """
         job = attempt.job
         self.load_estimates.record_overload(attempt.worker.entry.zone)
--- a/weldquay/policy/periodic_check.py
+++ b/weldquay/policy/periodic_check.py
@@ -8,11 +8,10 @@
 from weldquay.policy.outlier_ejection import OutlierEjection
 from weldquay.policy.request_table import RequestTable
 from weldquay.policy.step_context import StepContext
-from weldquay.policy.timers import TimerToken
+from weldquay.policy.timers import NOT_SCHEDULED, TimerToken
 
 QUEUE_INTERVAL_NS = 100_000_000  # queued requests are placed again this often: below a report interval
 HEALTH_CHECK_INTERVAL_NS = 250_000_000  # attempts are checked this often: well below the silence that ejects
-NOT_SCHEDULED = -1
 
 
 @dataclass(slots=True, eq=False)
--- a/weldquay/policy/placement.py
+++ b/weldquay/policy/placement.py
@@ -89,7 +89,7 @@
         )
 
     def unreported_candidates(self, job: Job) -> list[CandidateGroup]:
-        """Return the workers without a report that may have room, by the mean load of their zone."""
+        """Return the workers without a report that may have free slots, by the mean load of their zone."""
         max_load = MAX_UNPROBED_LOAD if self.context.settings.may_probe else MAX_UNREPORTED_LOAD
         min_zone_load = min(self.load_estimates.mean_zone_load.values(), default=-DEFAULT_SLOTS)
         if min_zone_load + job.request.slots > max_load:
--- a/weldquay/policy/probing.py
+++ b/weldquay/policy/probing.py
@@ -47,7 +47,7 @@
     def probe_candidates(self, job: Job) -> bool:
         """Probe a few workers without fresh reports; return whether the request waits for probe results.
 
-        The first round asks the preferred subset, later ones all ready workers. Where no worker can be
+        The first round probes the preferred subset, later ones all ready workers. Where no worker can be
         probed in the first round, the request waits for the probes that other requests have sent.
         """
         now_ns = self.context.now_ns
--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -50,7 +50,7 @@
     sender: AttemptSender
 
     def place_queued(self) -> None:
-        """Place the queued requests, highest priority first, as far as there is room.
+        """Place the queued requests, highest priority first, as far as there is capacity.
 
         Requests that can only be late, or may not be sent again, get their final answer instead.
         """
--- a/weldquay/policy/timers.py
+++ b/weldquay/policy/timers.py
@@ -1,8 +1,11 @@
-"""Tokens of the timers that the decisions set."""
+"""The timers that the decisions set."""
 
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import Final
+
+NOT_SCHEDULED: Final = -1  # time of a timer that is not set
 
 
 class TimerToken(IntEnum):
