--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -12,6 +12,7 @@
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 from tests.newer_process import newer_process
 from weldquay.lab.site import reserve
+from weldquay.net import readiness
 from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
 
 
