--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -353,7 +353,7 @@
         super().__init__(*args, **more)
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
-        if (client := self.clients[dispatcher].get(action.request_id)) is not None:
+        if (client := self.clients.pending[dispatcher].get(action.request_id)) is not None:
             arrival = client.arrival
             work_ns = arrival.slots * (arrival.hint_ns or arrival.work_ns)
             self.work.append((self.now_ns, action.worker, work_ns))
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -1,6 +1,6 @@
 """The command line: `weldquay config check|explain|rules|schema|show` and `weldquay version`.
 
-`python -m weldquay` without a command is the dispatcher, and loads nothing of this.  Exit status: 0,
+`python -m weldquay` without a command is the dispatcher, which does not import this module.  Exit status: 0,
 1 (findings), 2 (usage, or a file that cannot be read).
 """
 
@@ -8,18 +8,19 @@
 
 import json
 import sys
+from collections.abc import Sequence
 from importlib import metadata
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import click
 import msgspec
 
-from weldquay.config import checking, reading, schema
+from weldquay.config import checking, reading, reference, schema
 from weldquay.config.catalogue import Catalogue, CatalogueError, load
 from weldquay.config.rules import RULES, Finding, Level, Rule
 
-FILE = click.Path(path_type=Path)
+FILE_TYPE = click.Path(path_type=Path)
 catalogue_option = click.option(
     "--catalogue",
     envvar="GW_CATALOGUE",
@@ -28,44 +29,42 @@
 )
 format_option = click.option(
     "--format",
-    "form",
+    "output_format",
     type=click.Choice(["text", "json"]),
     default="text",
     envvar="WELDQUAY_FORMAT",
     show_default=True,
     help="For people, or for machines.",
 )
-LEVELS = {
+LEVEL_TEXTS = {
     Level.ALWAYS: "an error; the program does not start",
     Level.SITE: "an error where a catalogue is named, for the program too; else a warning",
     Level.ADVICE: "a warning",
 }
 
 
-def fail(text: str) -> None:
-    """End with status 2 and one line."""
+def fail(text: str) -> NoReturn:
+    """Print one line on standard error and exit with status 2."""
     click.echo(f"weldquay: {text}", err=True)
     sys.exit(2)
 
 
-def facts(name: str | None) -> Catalogue | None:
-    """The catalogue of an option, where one is named."""
+def load_catalogue(name: str | None) -> Catalogue | None:
+    """Return the catalogue that an option names, if any; exit with status 2 if it cannot be used."""
     try:
         return load(name) if name else None
     except CatalogueError as error:
         fail(str(error))
-        return None
 
 
-def content(path: Path) -> bytes:
-    """A file's bytes, or those of standard input for `-`."""
+def read_input(path: Path) -> bytes:
+    """Return the bytes of a file, or of standard input for `-`; exit with status 2 if it cannot be read."""
     if str(path) == "-":
         return sys.stdin.buffer.read(reading.LARGEST + 1)
     try:
         return reading.read_file(path)
     except reading.ReadingError as error:
         fail(str(error))
-        return b""
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -92,8 +91,8 @@
     """Write, check and explain configurations."""
 
 
-def refusal(before: dict[str, Any], path: Path) -> str:
-    """Why a running dispatcher would take nothing of the newer file; empty where it would."""
+def reload_error(before: dict[str, Any], path: Path) -> str:
+    """Return why a running dispatcher would reject the newer file on a reload; empty where it would not."""
     from weldquay.net.config import ConfigError, read, reload
 
     try:
@@ -106,12 +105,14 @@
 
 
 @config.command()
-@click.argument("files", nargs=-1, type=FILE, required=True)
+@click.argument("files", nargs=-1, type=FILE_TYPE, required=True)
 @catalogue_option
 @format_option
 @click.option("--sidecar", is_flag=True, envvar="WELDQUAY_SIDECAR", help="It runs beside one application.")
 @click.option("--strict", is_flag=True, envvar="WELDQUAY_STRICT", help="Warnings count as findings too.")
-def check(files: tuple[Path, ...], catalogue: str | None, form: str, sidecar: bool, strict: bool) -> None:
+def check(
+    files: tuple[Path, ...], catalogue: str | None, output_format: str, sidecar: bool, strict: bool
+) -> None:
     """Check configurations before they are used.
 
     Tells all that is wrong in one pass: where, why it matters, what to write. With the same catalogue the
@@ -121,53 +122,67 @@
     weldquay config check config.json
     weldquay config check *.json --catalogue sapporo-tm --format json
     """
-    told, wrong = facts(catalogue), False
-    rows: list[dict[str, Any]] = []
+    site = load_catalogue(catalogue)
+    is_json = output_format == "json"
+    has_failed = False
+    objects: list[dict[str, Any]] = []
     for path in files:
-        found = checking.check(content(path), told, sidecar)
-        wrong = wrong or any(each.error or strict for each in found)
-        if form == "json":
-            rows += [plain(each, str(path)) for each in found]
+        findings = checking.check(read_input(path), site, sidecar)
+        has_failed = has_failed or any(finding.error or strict for finding in findings)
+        if is_json:
+            objects += [finding_to_json(finding, path) for finding in findings]
         else:
-            for each in found:
-                click.echo(line(each, str(path)))
-            if not found:
-                click.echo(f"{path}: nothing found")
-    if form == "json":
-        left_out = [rule.id for rule in checking.left_out(told)]
-        click.echo(json.dumps({"findings": rows, "not_applied": left_out}, indent=1))
-    elif missing := checking.left_out(told):
-        ids = ", ".join(rule.id for rule in missing)
+            print_findings(findings, path)
+    not_applied = [rule.id for rule in checking.left_out(site)]
+    if is_json:
+        click.echo(json.dumps({"findings": objects, "not_applied": not_applied}, indent=1))
+    elif not_applied:
+        ids = ", ".join(not_applied)
         click.echo(f"without a catalogue these rules could not be applied: {ids}", err=True)
-    sys.exit(1 if wrong else 0)
+    sys.exit(1 if has_failed else 0)
+
+
+def print_findings(findings: Sequence[Finding], path: Path) -> None:
+    """Print the findings in a file, for people."""
+    for finding in findings:
+        click.echo(format_finding(finding, path))
+    if not findings:
+        click.echo(f"{path}: nothing found")
 
 
-def line(found: Finding, path: str) -> str:
-    """A finding for people: place, kind, id, text, and where to read on."""
-    kind = "error" if found.error else "warning"
-    where = f"{path}:{found.line}:{found.column}"
-    return f"{where}: {kind} {found.rule}: {found.path}: {found.text}"
+def print_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
+    """Print errors in a file on standard error, and exit with status 1."""
+    for finding in errors:
+        click.echo(format_finding(finding, path), err=True)
+    sys.exit(1)
 
 
-def plain(found: Finding, path: str) -> dict[str, Any]:
-    """A finding for machines."""
+def format_finding(finding: Finding, path: Path) -> str:
+    """Return a finding as one line: position, severity, rule id, path of the value, text."""
+    severity = "error" if finding.error else "warning"
+    position = f"{path}:{finding.line}:{finding.column}"
+    return f"{position}: {severity} {finding.rule}: {finding.path}: {finding.text}"
+
+
+def finding_to_json(finding: Finding, path: Path) -> dict[str, Any]:
+    """Return a finding as a JSON object."""
     return {
-        "file": path,
-        "line": found.line,
-        "column": found.column,
-        "rule": found.rule,
-        "path": found.path,
-        "severity": "error" if found.error else "warning",
-        "text": found.text,
+        "file": str(path),
+        "line": finding.line,
+        "column": finding.column,
+        "rule": finding.rule,
+        "path": finding.path,
+        "severity": "error" if finding.error else "warning",
+        "text": finding.text,
     }
 
 
 @config.command()
-@click.argument("output", type=FILE)
+@click.argument("output", type=FILE_TYPE)
 @click.option(
     "--from",
     "source",
-    type=FILE,
+    type=FILE_TYPE,
     envvar="WELDQUAY_DESCRIPTION",
     help="A JSON file that describes the application; the other options come before it.",
 )
@@ -187,15 +202,7 @@
 @click.option("--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="How many at the site.")
 @click.option("--force", is_flag=True, help="Replace a file that is there.")
 @catalogue_option
-def new(
-    output: Path,
-    source: Path | None,
-    kinds: tuple[str, ...],
-    customers: tuple[str, ...],
-    force: bool,
-    catalogue: str | None,
-    **told: Any,
-) -> None:
+def new(output: Path, source: Path | None, force: bool, catalogue: str | None, **options: Any) -> None:
     """Write a whole configuration from a short description of the application.
 
     Asks for what is missing on a terminal. What it writes passes `config check` with the same catalogue.
@@ -206,34 +213,19 @@
     """
     from weldquay.config import writer
 
-    site = facts(catalogue)
-    wishes: dict[str, Any] = {}
+    site = load_catalogue(catalogue)
     try:
-        if source is not None:
-            read = reading.parse(reading.decode(content(source)))
-            wishes = read if isinstance(read, dict) else {}
-        wishes |= {name: value for name, value in told.items() if value is not None}
-        if kinds:
-            wishes["kinds"] = [parsed_kind(each) for each in kinds]
-        if customers:
-            pairs = (each.partition("=") for each in customers)
-            wishes["customers"] = {name: float(share) for name, _, share in pairs}
+        description = describe_application(source, options)
         if sys.stdin.isatty():
-            wishes.setdefault("name", None)
-            wishes["name"] = wishes["name"] or click.prompt("Name of the application")
-            if not wishes.get("kinds"):
-                wishes["kinds"] = [parsed_kind(each) for each in click.prompt("Kinds of job").split()]
-        document = writer.compose(writer.describe(wishes), site)
+            prompt_for_missing(description)
+        document = writer.compose(writer.describe(description), site)
     except (reading.ReadingError, ValueError) as error:
         fail(str(error))
-        return
-    made = writer.text(document)
-    if found := [each for each in checking.check(made.encode(), site) if each.error]:
-        for each in found:
-            click.echo(line(each, str(output)), err=True)
-        sys.exit(1)
+    text = writer.text(document)
+    if errors := [finding for finding in checking.check(text.encode(), site) if finding.error]:
+        print_and_exit(errors, output)
     try:
-        writer.save(output, made, force)
+        writer.save(output, text, force)
     except FileExistsError:
         fail(f"{output} is there already: --force replaces it")
     except OSError as error:
@@ -241,22 +233,55 @@
     click.echo(f"{output} is written; `weldquay config check {output}` says the same of it as the program")
 
 
-def parsed_kind(told: str) -> dict[str, Any]:
-    """NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]] as a description has it."""
-    name, *rest = told.split(":")
+def describe_application(source: Path | None, options: dict[str, Any]) -> dict[str, Any]:
+    """Return the description of an application from a file and from options, which come before it.
+
+    Raises:
+        reading.ReadingError: the file cannot be read.
+        ValueError: an option is malformed.
+    """
+    description: dict[str, Any] = {}
+    if source is not None:
+        decoded = reading.parse(reading.decode(read_input(source)))
+        description = decoded if isinstance(decoded, dict) else {}
+    kinds, customers = options.pop("kinds"), options.pop("customers")
+    description |= {name: value for name, value in options.items() if value is not None}
+    if kinds:
+        description["kinds"] = [parse_kind(text) for text in kinds]
+    if customers:
+        pairs = (text.partition("=") for text in customers)
+        description["customers"] = {name: float(fraction) for name, _, fraction in pairs}
+    return description
+
+
+def prompt_for_missing(description: dict[str, Any]) -> None:
+    """Ask on the terminal for a name and the kinds of job where the description lacks them."""
+    if not description.get("name"):
+        description["name"] = click.prompt("Name of the application")
+    if not description.get("kinds"):
+        description["kinds"] = [parse_kind(text) for text in click.prompt("Kinds of job").split()]
+
+
+def parse_kind(text: str) -> dict[str, Any]:
+    """Return the description of a kind of job from NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]].
+
+    Raises:
+        ValueError: the text is malformed.
+    """
+    name, *fields = text.split(":")
     kind: dict[str, Any] = {"name": name}
-    if rest and rest[0]:
-        if rest[0] not in ("once", "repeat"):
-            raise ValueError(f"{told}: write once or repeat behind the name")
-        kind["repeat_harmless"] = rest[0] == "repeat"
-    for key, figure in zip(("wanted_ms", "give_up_s"), rest[1:], strict=False):
+    if fields and fields[0]:
+        if fields[0] not in ("once", "repeat"):
+            raise ValueError(f"{text}: write once or repeat behind the name")
+        kind["repeat_harmless"] = fields[0] == "repeat"
+    for key, figure in zip(("wanted_ms", "give_up_s"), fields[1:], strict=False):
         kind[key] = float(figure)
     return kind
 
 
 @config.command()
-@click.argument("older", type=FILE)
-@click.argument("newer", type=FILE)
+@click.argument("older", type=FILE_TYPE)
+@click.argument("newer", type=FILE_TYPE)
 def diff(older: Path, newer: Path) -> None:
     """Show what a change means: what a reload takes, what needs a new start.
 
@@ -267,24 +292,27 @@
     """
     from weldquay.config import difference
 
-    told = []
-    for path in (older, newer):
-        try:
-            value = reading.parse(reading.decode(content(path)))
-        except reading.ReadingError as error:
-            fail(f"{path}: {error}")
-        if not isinstance(value, dict):
-            fail(f"{path}: it holds no JSON object")
-        told.append(value)
-    changes = difference.changes(*told)
-    for each in changes:
-        click.echo(each.line())
+    before, after = (read_document(path) for path in (older, newer))
+    changes = difference.changes(before, after)
+    for change in changes:
+        click.echo(change.line())
     if not changes:
         click.echo("no difference")
-    if why := refusal(told[0], newer):
-        click.echo(f"a running dispatcher would take nothing of it: {why}")
+    if error := reload_error(before, newer):
+        click.echo(f"a running dispatcher would take nothing of it: {error}")
         sys.exit(1)
-    sys.exit(any(each.taken is difference.Taken.START for each in changes))
+    sys.exit(any(change.taken is difference.Taken.START for change in changes))
+
+
+def read_document(path: Path) -> dict[str, Any]:
+    """Return the JSON object of a file; exit with status 2 if it cannot be read or holds none."""
+    try:
+        document = reading.parse(reading.decode(read_input(path)))
+    except reading.ReadingError as error:
+        fail(f"{path}: {error}")
+    if not isinstance(document, dict):
+        fail(f"{path}: it holds no JSON object")
+    return document
 
 
 @config.command()
@@ -298,15 +326,14 @@
     rule = RULES.get(rule_id.upper())
     if rule is None:
         fail(f"there is no rule {rule_id}; `weldquay config rules` lists them")
-        return
     click.echo(page(rule))
 
 
 def page(rule: Rule) -> str:
-    """A rule's page."""
+    """Return the explanation of a rule."""
     needs = "\nIt needs a catalogue (--catalogue)." if rule.facts else ""
     return (
-        f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVELS[rule.level]}.{needs}\n\n"
+        f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVEL_TEXTS[rule.level]}.{needs}\n\n"
         f"Bad:   {rule.bad}\nGood:  {rule.good}"
     )
 
@@ -314,49 +341,19 @@
 @config.command()
 def rules() -> None:
     """List all rules."""
-    for rule in sorted(RULES.values(), key=lambda each: each.id):
+    for rule in sorted(RULES.values(), key=lambda rule: rule.id):
         click.echo(f"{rule.id}  {rule.level.value:6}  {rule.title}")
 
 
 @config.command("schema")
-@click.option("--reference", is_flag=True, help="A page for people in place of JSON Schema.")
-def schema_command(reference: bool) -> None:
+@click.option("--reference", "as_page", is_flag=True, help="A page for people in place of JSON Schema.")
+def schema_command(as_page: bool) -> None:
     """Print the JSON Schema of a configuration, for editors."""
-    click.echo(reference_page() if reference else json.dumps(schema.json_schema(), indent=1))
-
-
-def reference_page() -> str:
-    """All keys with what is right for them, their default and meaning, as Markdown."""
-    lines = ["# Configuration keys", "", "Made by `weldquay config schema --reference`.", ""]
-    for title, group in _groups("", schema.Document):
-        lines += [f"## {title or 'The file'}", "", "| key | write | default | meaning |", "|" + " --- |" * 4]
-        for field in msgspec.structs.fields(group):
-            if schema.struct_of(field.type) is None or field.required:
-                default = "required" if field.required else f"`{schema.json_text(_default(field))}`"
-                why = schema.note(field.type, "why")
-                if variable := schema.note(field.type, "variable"):
-                    why = f"{why} ({variable} comes before it)".strip()
-                lines.append(f"| `{field.encode_name}` | {schema.right(field.type)} | {default} | {why} |")
-        lines.append("")
-    return "\n".join(lines)
-
-
-def _default(field: Any) -> Any:
-    return field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
-
-
-def _groups(title: str, group: type[msgspec.Struct]) -> list[tuple[str, type[msgspec.Struct]]]:
-    told = [(title, group)]
-    for name, kind in schema.keys(group).items():
-        inner = schema.struct_of(kind)
-        if inner is not None:
-            rows = "[]" if "list" in str(kind) else ""
-            told += _groups(f"{title}.{name}{rows}".lstrip("."), inner)
-    return told
+    click.echo(reference.page() if as_page else json.dumps(schema.json_schema(), indent=1))
 
 
 @config.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_TYPE)
 @click.option("--path", default="", help="Only what stands at this place, such as settings.caps.")
 def show(file: Path, path: str) -> None:
     """Show a configuration with all defaults filled in.
@@ -364,13 +361,11 @@
     \b
     weldquay config show config.json --path settings.caps
     """
-    found = [each for each in checking.check(content(file)) if each.error]
-    if found:
-        for each in found:
-            click.echo(line(each, str(file)), err=True)
-        sys.exit(1)
-    told = msgspec.convert(reading.parse(reading.decode(content(file))), schema.Document)
-    value: Any = msgspec.to_builtins(told)
+    data = read_input(file)
+    if errors := [finding for finding in checking.check(data) if finding.error]:
+        print_and_exit(errors, file)
+    document = msgspec.convert(reading.parse(reading.decode(data)), schema.Document)
+    value: Any = msgspec.to_builtins(document)
     for step in path.split(".") if path else ():
         try:
             value = value[int(step) if isinstance(value, list) else step]
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -171,7 +171,7 @@
             members.append({**member, "host_port": own[-1]} if own else member)
         return {"revision": self.revision, "complete": True, "members": members}
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
         """Serve a watch: send the whole list at once and after each change."""
         caller = self.caller(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -186,6 +186,7 @@
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
                     await changed.wait()
-                return
             except TimeoutError:
                 write_line(writer, b"")
+            else:
+                return
--- a/weldquay/lab/virtual_time.py
+++ b/weldquay/lab/virtual_time.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import heapq
 import itertools
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -18,14 +17,13 @@
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
+from weldquay.lab.simulated_fleet import Fleet, Timeline
 from weldquay.net.counter_names import ATTEMPT_COUNTERS, RESERVATION_COUNTERS
 from weldquay.policy.dispatcher import Dispatcher
 
 NETWORK_DELAY_NS = 250_000  # one way between any two parties
-BEGIN_NS = 1000 * model.SECOND
 MIN_RETRY_PAUSE_NS = 50 * model.MS  # of a client; the maximum is twice as long
 RUNTIME_NOISE = 0.1  # standard deviation of the logarithm of a running time over its expected one
-KIND_NUMBERS = {"fast": 0, "standard": 1, "old": 2}
 
 
 @dataclass(slots=True)
@@ -59,22 +57,11 @@
     starts_by_job: dict[int, int] = field(default_factory=dict)
 
 
-@dataclass(slots=True, eq=False)
-class _PendingRequest:
-    """A request at a dispatcher, until it is answered."""
-
-    record: loads.RequestRecord
-    arrival: loads.Arrival
-    deadline_ns: int
-    sends: int = 0
-    is_open: bool = True
-
-
 @dataclass(slots=True, eq=False)
 class _Attempt:
     """One send of a request to a worker."""
 
-    client: _PendingRequest
+    client: PendingRequest
     dispatcher: int
     request_id: int
     number: int
@@ -94,134 +81,90 @@
         return f"{arrival.number}-{arrival.retry}-{self.number}"
 
 
-class Timeline:
-    """The virtual clock and the actions that are due later."""
-
-    def __init__(self) -> None:
-        self.now_ns = BEGIN_NS
-        self._actions: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-
-    def schedule_at(self, due_ns: int, action: Callable[[], None]) -> None:
-        """Schedule an action at a time, or now if that is past."""
-        heapq.heappush(self._actions, (max(due_ns, self.now_ns), next(self._order), action))
-
-    def schedule(self, delay_ns: int, action: Callable[[], None]) -> None:
-        """Schedule an action after a delay."""
-        self.schedule_at(self.now_ns + delay_ns, action)
-
-    def has_action_until(self, end_ns: int | None) -> bool:
-        """Return whether an action is due up to a time, or at any time."""
-        return bool(self._actions) and (end_ns is None or self._actions[0][0] <= end_ns)
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A request at a dispatcher, until it is answered."""
 
-    def run_next(self) -> None:
-        """Move the clock to the next action and run it."""
-        self.now_ns, _, action = heapq.heappop(self._actions)
-        action()
+    record: loads.RequestRecord
+    arrival: loads.Arrival
+    deadline_ns: int
+    sends: int = 0
+    is_open: bool = True
 
 
-class Fleet:
-    """The model workers and their endpoint list; worker numbers start at 1."""
+class Clients:
+    """The clients of all dispatchers, which send requests on schedule and retry rejected ones."""
 
     def __init__(
         self,
-        specs: Sequence[model.WorkerSpec],
+        scenario: Scenario,
         timeline: Timeline,
-        on_event: Callable[[model.WorkerEvent], None],
+        random: np.random.Generator,
+        send: Callable[[int, api.Event], None],
     ) -> None:
-        self.specs = list(specs)
-        self.workers = [model.Worker(spec, timeline.now_ns) for spec in specs]
+        self.records: list[loads.RequestRecord] = []
+        self.pending: list[dict[int, PendingRequest]] = [{} for _ in scenario.settings]
+        self._job_classes = scenario.job_classes
+        self._retries = scenario.retries
         self._timeline = timeline
-        self._on_event = on_event
-        self._next_checks_ns = [-1] * len(specs)
-        self._states = [api.WorkerState.READY] * len(specs)
-        self._started_ns = [0] * len(specs)
-
-    def entries(self) -> tuple[api.WorkerEntry, ...]:
-        """Return the endpoint list."""
-        return tuple(
-            api.WorkerEntry(
-                index + 1,
-                self._states[index],
-                kind=KIND_NUMBERS.get(spec.kind, 1),
-                started_ns=self._started_ns[index],
-                start_id=index + 1,
-            )
-            for index, spec in enumerate(self.specs)
-        )
+        self._begun_ns = timeline.now_ns
+        self._random = random
+        self._send = send
+        self._request_ids = itertools.count(1)
+        for arrival in scenario.arrivals:
+            record = loads.RequestRecord(arrival)
+            self.records.append(record)
+            timeline.schedule_at(self._begun_ns + arrival.at_ns, partial(self._send_request, arrival, record))
 
-    def offer(self, worker: int, job: model.Job) -> bool:
-        """Send a job to a worker; return False where it is rejected."""
-        is_accepted = self.workers[worker - 1].offer(self._timeline.now_ns, job)
-        if is_accepted:
-            self.process_events(worker)
-        return is_accepted
-
-    def cancel(self, worker: int, job_id: str) -> None:
-        """Cancel a job at a worker."""
-        self.workers[worker - 1].cancel(self._timeline.now_ns, job_id)
-        self.process_events(worker)
-
-    def report(self, worker: int) -> api.LoadReport:
-        """Return a worker's load report."""
-        report = self.workers[worker - 1].report(self._timeline.now_ns)
-        return api.LoadReport(
-            float(report.free_slots), report.free_memory, queued_requests=float(report.queued)
+    def are_all_answered(self) -> bool:
+        """Return whether every client has the last answer to its request."""
+        return not any(self.pending) and all(
+            record.result is not loads.RequestResult.LOST for record in self.records
         )
 
-    def probe(self, worker: int) -> tuple[api.Outcome, api.LoadReport | None]:
-        """Return the outcome of a probe and the load report that it brought."""
-        if self._states[worker - 1] is api.WorkerState.GONE:
-            return api.Outcome.CONNECT_FAILED, None
-        return api.Outcome.OK, self.report(worker)
-
-    def process_events(self, worker: int) -> None:
-        """Pass on a worker's events up to now, and schedule the next check."""
-        index = worker - 1
-        now_ns = self._timeline.now_ns
-        for event in self.workers[index].advance(now_ns):
-            self._on_event(event)
-        next_ns = self.workers[index].next_event_ns()
-        planned_ns = self._next_checks_ns[index]
-        if next_ns >= 0 and (planned_ns <= now_ns or next_ns < planned_ns):
-            self._next_checks_ns[index] = next_ns
-            self._timeline.schedule_at(next_ns, partial(self._check, worker, next_ns))
-
-    def _check(self, worker: int, due_ns: int) -> None:
-        if self._next_checks_ns[worker - 1] == due_ns:  # else an earlier check has replaced it
-            self._next_checks_ns[worker - 1] = -1
-            self.process_events(worker)
+    def _send_request(self, arrival: loads.Arrival, record: loads.RequestRecord) -> None:
+        timeout_ns = self._job_classes[arrival.job_class].client_timeout_ns
+        request_id = next(self._request_ids)
+        request = PendingRequest(record, arrival, self._timeline.now_ns + timeout_ns)
+        self.pending[arrival.dispatcher][request_id] = request
+        event = api.RequestReceived(
+            request_id,
+            arrival.job_class,
+            timeout_ns,
+            float(arrival.slots),
+            arrival.memory,
+            arrival.hint_ns,
+        )
+        self._send(arrival.dispatcher, event)
 
-    def drain(self, worker: int) -> None:
-        """Have a worker drain."""
-        self.workers[worker - 1].drain(self._timeline.now_ns)
-        self._states[worker - 1] = api.WorkerState.DRAINING
-
-    def restart(self, worker: int) -> list[model.Job]:
-        """Restart a worker and return its lost jobs."""
-        self._states[worker - 1] = api.WorkerState.READY
-        self._started_ns[worker - 1] = self._timeline.now_ns
-        return self.workers[worker - 1].restart(self._timeline.now_ns)
-
-    def mark_gone(self, worker: int) -> None:
-        """List a worker as gone."""
-        self._states[worker - 1] = api.WorkerState.GONE
-
-    def busy_fraction(self, begun_ns: int) -> float:
-        """Return the fraction of all slot time since a time that was used."""
+    def answer(self, dispatcher: int, request_id: int, result: loads.RequestResult, wait_ns: int = 0) -> None:
+        """Answer a request, unless it was answered; the client may send a rejected one again."""
+        request = self.pending[dispatcher].pop(request_id, None)
+        if request is None:
+            return
         now_ns = self._timeline.now_ns
-        for worker in self.workers:
-            worker.advance(now_ns)
-        slots = sum(spec.slots for spec in self.specs)
-        return sum(worker.busy_ns for worker in self.workers) / (slots * max(1, now_ns - begun_ns))
+        record = request.record
+        request.is_open = False
+        record.answered_ns = now_ns
+        record.wait_ns = wait_ns
+        is_rejected = result is loads.RequestResult.REJECTED
+        record.rejections += is_rejected
+        if is_rejected and request.arrival.retry < self._retries:
+            pause_ns = int(MIN_RETRY_PAUSE_NS * (1 + self._random.random()))
+            retry = loads.retry_of(request.arrival, now_ns + pause_ns - self._begun_ns)
+            self._timeline.schedule(pause_ns, partial(self._send_request, retry, record))
+            return
+        record.result = result
+        record.answers += 1
 
-    def starts_by_job(self) -> dict[int, int]:
-        """Return how often each arrival's job was started, retries included."""
-        starts: Counter[int] = Counter()
-        for worker in self.workers:
-            for job_id, times in worker.starts_by_job.items():
-                starts[int(job_id.split("-")[0])] += times
-        return dict(starts)
+    def answer_served(self, dispatcher: int, request_id: int) -> None:
+        """Answer a request whose job was completed; the time counts from the client's first send."""
+        request = self.pending[dispatcher][request_id]
+        work_ns = request.arrival.work_ns
+        elapsed_ns = self._timeline.now_ns - self._begun_ns - request.record.arrival.at_ns
+        job_class = self._job_classes[request.arrival.job_class]
+        result = loads.classify_served(job_class, work_ns, elapsed_ns)
+        self.answer(dispatcher, request_id, result, elapsed_ns - int(work_ns))
 
 
 class Simulation:
@@ -238,20 +181,12 @@
             for index, settings in enumerate(scenario.settings)
         ]
         self.pending_events: list[list[api.Event]] = [[] for _ in self.dispatchers]
-        self.clients: list[dict[int, _PendingRequest]] = [{} for _ in self.dispatchers]
         self.attempts: dict[tuple[int, int, int], _Attempt] = {}
         self.attempts_by_job: dict[str, _Attempt] = {}
-        self.request_ids = itertools.count(1)
         self.counts: Counter[str] = Counter()
-        self.records: list[loads.RequestRecord] = []
         self.sends: list[tuple[int, int]] = []  # time and worker of each
         self._send_list(api.EndpointListKind.CACHED)
-        for arrival in scenario.arrivals:
-            record = loads.RequestRecord(arrival)
-            self.records.append(record)
-            self.timeline.schedule_at(
-                self.begun_ns + arrival.at_ns, partial(self._send_request, arrival, record)
-            )
+        self.clients = Clients(scenario, self.timeline, self.random, self._enqueue_event)
         for fault in scenario.faults:
             self.timeline.schedule_at(self.begun_ns + fault.at_ns, partial(fault.apply, self))
 
@@ -265,57 +200,10 @@
         end_ns = None if until_ns is None else self.begun_ns + until_ns
         while self.timeline.has_action_until(end_ns):
             self.timeline.run_next()
-            if end_ns is None and self._is_finished():
+            if end_ns is None and not self.attempts and self.clients.are_all_answered():
                 break
         busy = self.fleet.busy_fraction(self.begun_ns)
-        return SimulationResult(self.records, self.counts, busy, self.fleet.starts_by_job())
-
-    def _is_finished(self) -> bool:
-        is_lost = loads.RequestResult.LOST
-        return (
-            not any(self.clients)
-            and not self.attempts
-            and all(record.result is not is_lost for record in self.records)
-        )
-
-    # --- clients ---
-
-    def _send_request(self, arrival: loads.Arrival, record: loads.RequestRecord) -> None:
-        timeout_ns = self.scenario.job_classes[arrival.job_class].client_timeout_ns
-        request_id = next(self.request_ids)
-        client = _PendingRequest(record, arrival, self.now_ns + timeout_ns)
-        self.clients[arrival.dispatcher][request_id] = client
-        self._enqueue_event(
-            arrival.dispatcher,
-            api.RequestReceived(
-                request_id,
-                arrival.job_class,
-                timeout_ns,
-                float(arrival.slots),
-                arrival.memory,
-                arrival.hint_ns,
-            ),
-        )
-
-    def _answer(
-        self, dispatcher: int, request_id: int, result: loads.RequestResult, wait_ns: int = 0
-    ) -> None:
-        client = self.clients[dispatcher].pop(request_id, None)
-        if client is None:
-            return
-        record = client.record
-        client.is_open = False
-        record.answered_ns = self.now_ns
-        record.wait_ns = wait_ns
-        is_rejected = result is loads.RequestResult.REJECTED
-        record.rejections += is_rejected
-        if is_rejected and client.arrival.retry < self.scenario.retries:
-            pause_ns = int(MIN_RETRY_PAUSE_NS * (1 + self.random.random()))
-            retry = loads.retry_of(client.arrival, self.now_ns + pause_ns - self.begun_ns)
-            self.timeline.schedule(pause_ns, partial(self._send_request, retry, record))
-            return
-        record.result = result
-        record.answers += 1
+        return SimulationResult(self.clients.records, self.counts, busy, self.fleet.starts_by_job())
 
     # --- dispatchers ---
 
@@ -335,9 +223,9 @@
             case api.Send():
                 self._send(dispatcher, action)
             case api.Reject():
-                self._answer(dispatcher, action.request_id, loads.RequestResult.REJECTED)
+                self.clients.answer(dispatcher, action.request_id, loads.RequestResult.REJECTED)
             case api.Fail():
-                self._answer(dispatcher, action.request_id, loads.RequestResult.FAILED)
+                self.clients.answer(dispatcher, action.request_id, loads.RequestResult.FAILED)
             case api.Cancel():
                 self._cancel(dispatcher, action)
             case api.SetTimer():
@@ -353,7 +241,7 @@
                 self.counts[RESERVATION_COUNTERS[action.reason]] += 1
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
-        client = self.clients[dispatcher].get(action.request_id)
+        client = self.clients.pending[dispatcher].get(action.request_id)
         if client is None or self.now_ns >= client.deadline_ns:
             number = 0 if client is None else client.sends
             aborted = api.AttemptEnded(
@@ -398,7 +286,7 @@
         del self.attempts[attempt.key]
         client = attempt.client
         if outcome is api.Outcome.OK and client.is_open:
-            self._answer_served(attempt)
+            self.clients.answer_served(attempt.dispatcher, attempt.request_id)
         self.counts[ATTEMPT_COUNTERS[outcome]] += 1
         self._enqueue_event(
             attempt.dispatcher,
@@ -413,13 +301,6 @@
             ),
         )
 
-    def _answer_served(self, attempt: _Attempt) -> None:
-        arrival = attempt.client.arrival
-        job_class = self.scenario.job_classes[arrival.job_class]
-        elapsed_ns = self.now_ns - self.begun_ns - attempt.client.record.arrival.at_ns
-        result = loads.classify_served(job_class, arrival.work_ns, elapsed_ns)
-        self._answer(attempt.dispatcher, attempt.request_id, result, elapsed_ns - int(arrival.work_ns))
-
     # --- workers ---
 
     def _receive_job(self, attempt: _Attempt) -> None:
