--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -17,11 +17,11 @@
 from weldquay.candidates.candidate_group import CandidateGroup, worker_count
 from weldquay.candidates.runtime_bounds import RuntimeLowerBounds
 from weldquay.estimators.runtime import RuntimeEstimator
-from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Attempt, Job, Worker
 from weldquay.policy import worker_table
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.policy.limits import SLOW_LOG_RATIO
 from weldquay.policy.water_fill import water_fill
+from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Attempt, Job, Worker
 
 GROUPS = st.lists(
     st.tuples(st.integers(-8, 8), st.sampled_from([0.5, 1.0, 1.7]), st.integers(1, 9)), min_size=1
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -10,8 +10,7 @@
 
 from example.toy import read_message, request, write_message
 from tests.site import job, play, site, until
-from weldquay.net import http_channel
-from weldquay.net import client_server, connection_table
+from weldquay.net import client_server, connection_table, http_channel
 from weldquay.net import dispatcher_process as program
 from weldquay.net.connection_state import ConnectionState
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -7,7 +7,6 @@
 import struct
 import time
 
-
 import pytest
 
 from example.toy import Message, write_message
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -5,7 +5,6 @@
 from typing import get_args
 
 from weldquay import interface as api
-from weldquay.net.requests import Answer
 from weldquay.net.connection_state import ConnectionState
 from weldquay.net.connection_table import EVICTION_COUNTERS
 from weldquay.net.counter_names import (
@@ -14,8 +13,9 @@
     PROBE_COUNTERS,
     RESERVATION_COUNTERS,
 )
-from weldquay.net.request_table import ANSWER_COUNTERS
 from weldquay.net.operators import OPERATION_COUNTERS
+from weldquay.net.request_table import ANSWER_COUNTERS
+from weldquay.net.requests import Answer
 from weldquay.reservations.records import ReservationEndReason
 
 OUTCOMES = [
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from example.toy import request, write_message
-from tests.site import Scripted, document, job
 from tests.failing_discovery import Failing, revision_then_reset
+from tests.site import Scripted, document, job
 from weldquay.lab.site import reserve
 from weldquay.limits import LEAST_SOCKETS
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -11,15 +11,15 @@
 
 import pytest
 
+from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
+from tests.site import SilentDiscovery, list_of_one_worker, site, until
 from weldquay import interface as api
 from weldquay.discovery import backoff as backoff_module
 from weldquay.discovery.backoff import Backoff
-from weldquay.policy.dispatcher import Dispatcher
 from weldquay.net import discovery_client
 from weldquay.net.json_stream import MAX_VALUE, JsonStreamParser
 from weldquay.net.messages import MessageError
-from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
-from tests.site import SilentDiscovery, list_of_one_worker, site, until
+from weldquay.policy.dispatcher import Dispatcher
 
 FLEET = 200
 BUSY, SILENT, UNREACHED = (
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,10 +13,10 @@
 
 import weldquay
 from example.toy import request, write_message
+from tests.site import CONFIG, site
 from weldquay.errors import OperatorError
 from weldquay.net.config import ConfigError, ConfigUnreadable, ConfigUnset, ReloadRefused, load, reload
 from weldquay.net.config import read as config_of
-from tests.site import CONFIG, site
 
 ROOT = Path(weldquay.__file__).parent
 # Roots of errors that are handled inside the program and are never shown to operators.
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -15,13 +15,12 @@
 from example.toy import Message, read_message
 from tests.newer_process import DISPATCHER_NAME, newer_process
 from tests.site import document, job, site, until
-from weldquay.net import readiness
-from weldquay.net import hot_restart
+from weldquay.net import hot_restart, readiness
 from weldquay.net.hot_restart_messages import PROTOCOL_VERSION
 from weldquay.net.hot_restart_packet import Packet
-from weldquay.net.process_link import ProcessLink
-from weldquay.net.persistence import StateFile, state_path
 from weldquay.net.lifecycle import Phase
+from weldquay.net.persistence import StateFile, state_path
+from weldquay.net.process_link import ProcessLink
 
 
 def test_a_newer_process_takes_over_connections_and_open_requests() -> None:
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -21,13 +21,13 @@
     WorkerSnapshot,
     WorkerState,
 )
-from weldquay.state.records import Worker
 from weldquay.net import hot_restart_messages as messages
 from weldquay.net.counters import Counters
 from weldquay.net.hot_restart import HotRestart
 from weldquay.net.hot_restart_codec import MalformedMessage, UnknownMessageKind, decode, encode
 from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.worker_state_codec import decode_worker_state
+from weldquay.state.records import Worker
 
 RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
 DESCRIPTOR = 77  # a descriptor's number; nothing is opened or closed here
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -9,16 +9,16 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
+from tests.helpers import MS, SECOND
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, SEND_MARGIN_NS, ListLease
 from weldquay.net.discovery_client import (
-    RESPONSE_TIMEOUT_S,
-    HEARTBEAT_S,
     CONNECT_TIMEOUT_S,
     HEARTBEAT_GRACE_S,
+    HEARTBEAT_S,
+    RESPONSE_TIMEOUT_S,
 )
-from tests.helpers import MS, SECOND
 
 BEGIN_NS = 1000 * SECOND
 Failure = api.DiscoveryFailure
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -13,7 +13,7 @@
 
 from weldquay import interface as api
 from weldquay.net import messages
-from weldquay.net.messages import Callback, RequestMetadata, MessageError
+from weldquay.net.messages import Callback, MessageError, RequestMetadata
 
 FIELDS = {"svc_ms": "svc_ms", "pending": "pending", "x0": "free_slots"}
 LOAD = {"svc_ms": 12.5, "pending": 2, "x0": 3}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,8 +8,8 @@
 
 from example.toy import read_message, request
 from tests.site import job, site, until
-from weldquay.net import operators, service_control
 from weldquay.net import dispatcher_process as program
+from weldquay.net import operators, service_control
 from weldquay.net.lifecycle import Phase
 from weldquay.net.persistence import BanList
 from weldquay.net.worker_connection import WorkerConnection
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.site import document, site, until
 from tests.newer_process import newer_process
+from tests.site import document, site, until
 from weldquay.net import dispatcher_process as program
 from weldquay.net.config import read
 from weldquay.net.dispatcher_process import DispatcherProcess
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -12,11 +12,11 @@
 from tests.site import site, until
 from weldquay.net import hot_restart
 from weldquay.net.counters import Counters
-from weldquay.net.process_link import MAX_PACKET_BYTES, ProcessLink
 from weldquay.net.hot_restart_messages import PROTOCOL_VERSION, HotRestartMessage, ListenerOffer
 from weldquay.net.hot_restart_packet import Packet
-from weldquay.net.persistence import state_path
 from weldquay.net.lifecycle import Phase
+from weldquay.net.persistence import state_path
+from weldquay.net.process_link import MAX_PACKET_BYTES, ProcessLink
 
 
 @pytest.mark.parametrize("peer", ["stale", "file", "silent", "nonsense"])
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -10,6 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.helpers import MS, SECOND
 from weldquay.reservations import settings as reservation_settings
 from weldquay.reservations.records import CapacityRequest, WorkerOffer
 from weldquay.reservations.scheduler import BackfillScheduler
@@ -22,7 +23,6 @@
     estimate_timetable,
     remaining_ns,
 )
-from tests.helpers import MS, SECOND
 
 TIMES = st.integers(1, 5000).map(lambda ms: float(ms * MS))
 JOBS = st.tuples(TIMES, st.sampled_from([1.0, 2.0, 4.0]), st.floats(0.05, 4.0))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -13,8 +13,8 @@
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.virtual_time import Fault, Scenario, Simulation, SimulationResult
 from weldquay.lab.reservation_experiment import FLEET
+from weldquay.lab.virtual_time import Fault, Scenario, Simulation, SimulationResult
 from weldquay.reservations.settings import ReservationSettings
 from weldquay.settings import FlatSettings, decode_settings
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,12 +12,11 @@
 
 from example.toy import Message, write_message
 from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
-from weldquay.policy import worker_table
-from weldquay.net import attempt_runner
-from weldquay.net import endpoint_list_adapter
+from weldquay.net import attempt_runner, endpoint_list_adapter
+from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
-from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
+from weldquay.policy import worker_table
 
 
 async def reset_connection(_message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -19,16 +19,15 @@
 
 from example.toy import NO_LOAD, Discovery, Message, Server, write_message
 from tests.helpers import MS, SECOND, Drive, sends, settings
-from tests.site import ACCEPTED, Scripted, document, site, until
-from tests.test_descriptors import wait_until_serving, free_port
 from tests.newer_process import newer_process
+from tests.site import ACCEPTED, Scripted, document, site, until
+from tests.test_descriptors import free_port, wait_until_serving
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
-from weldquay.lab.servers import MAX_CALLBACK_ATTEMPTS, CALLBACK_RETRY_S
+from weldquay.lab.servers import CALLBACK_RETRY_S, MAX_CALLBACK_ATTEMPTS
+from weldquay.net import connection_pool, readiness
 from weldquay.net.config import read
-from weldquay.net import connection_pool
-from weldquay.net import readiness
 from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
 from weldquay.policy.worker_table import MAX_DEPARTED
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,14 +13,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.helpers import MS, SECOND
 from weldquay import interface as api
-from weldquay.fleet.slow_start import WarmingWorker, SlowStartPolicy, rank, remaining_budget_ns
+from weldquay.estimators.runtime import RuntimeEstimator
+from weldquay.fleet.slow_start import SlowStartPolicy, WarmingWorker, rank, remaining_budget_ns
 from weldquay.lab import load as loads
 from weldquay.lab import model
 from weldquay.lab.virtual_time import Fault, Scenario, Simulation
-from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.settings import FlatSettings, decode_settings
-from tests.helpers import MS, SECOND
 
 POLICY = SlowStartPolicy(
     initial_capacity_fraction=0.34, slow_start_ns=8900 * MS, overload_multiple=2.5, window_ns=2 * SECOND
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,11 +9,11 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
+from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
 from tests.newer_process import newer_process
+from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 from weldquay.lab.site import reserve
 from weldquay.net import readiness
-from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
 
 
 class DelayedDiscovery(Server):
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -10,7 +10,6 @@
 from tests.site import play, site, until
 from weldquay.net import discovery_client
 
-
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
 SHORT = {"HEARTBEAT_S": 0.05, "HEARTBEAT_GRACE_S": 0.05, "RESPONSE_TIMEOUT_S": 0.05}
 
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -10,10 +10,9 @@
 import sys
 
 from weldquay.net.config import Config, ConfigError, load, load_kept
+from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.hot_restart import is_peer_listening
 from weldquay.net.persistence import StateFile
-from weldquay.net.dispatcher_process import DispatcherProcess
-
 
 log = logging.getLogger("weldquay")
 
--- a/weldquay/net/hot_restart_messages.py
+++ b/weldquay/net/hot_restart_messages.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from weldquay.net.hot_restart_packet import NO_DESCRIPTOR as NO_DESCRIPTOR  # part of this module's interface
 from weldquay.interface import NO_LEASE, UNKNOWN_WORKER, LeaseState, WorkerSnapshot
+from weldquay.net.hot_restart_packet import NO_DESCRIPTOR as NO_DESCRIPTOR  # part of this module's interface
 
 PROTOCOL_VERSION = 1  # a process with another version starts without a hot restart
 
