--- a/tests/site.py
+++ b/tests/site.py
@@ -180,8 +180,10 @@
             await part.stop()
         for server in (listing, *fleet, *([discovery] if discovery else [])):
             server.stop()
-    assert not failures and not program.counters.counts["connections_broken"]
-    assert not program.counters.counts["steps_failed"] and not program.counters.counts["calls_overdue"]
+    assert not failures and not program.counters.counts["client_connections_failed"]
+    assert (
+        not program.counters.counts["steps_failed"] and not program.counters.counts["requests_past_deadline"]
+    )
 
 
 def play(scenario: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -102,7 +102,7 @@
             assert (await here.post("c1")).body == b"one"
             assert (await here.post("c2")).body == b"TEXT"
             counts = here.program.counters.counts
-            assert worker.methods() == ["POST", "POST"] and not counts["attempts_full"]
+            assert worker.methods() == ["POST", "POST"] and not counts["attempts_overloaded"]
             assert counts["attempts_ok"] == 2
 
     asyncio.run(scenario())
@@ -190,6 +190,6 @@
             sock.close()
             await until(lambda: not here.program.server.connections)
             assert worker.methods() == ["POST"] and not here.program.coordinator.requests
-            assert here.program.counters.counts["answers_served"] == 1
+            assert here.program.counters.counts["requests_completed"] == 1
 
     asyncio.run(scenario())
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -91,7 +91,7 @@
             assert [(await read_message(reader)).start.split()[1] for _ in statuses] == statuses
             assert await reader.read() == b""
             assert here.workers[0].methods() == ["POST"] * statuses.count("200")
-            assert here.program.counters.counts["calls"] == statuses.count("200")
+            assert here.program.counters.counts["requests"] == statuses.count("200")
             writer.close()
 
     play(scenario())
@@ -164,7 +164,7 @@
                     others[-1][1].write(b"GET /_he")
                 assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
                 assert len(here.program.server.connections) <= 10
-            assert here.program.counters.counts["evicted_reading"] >= 80
+            assert here.program.counters.counts["client_connections_evicted_reading"] >= 80
             for _, other_writer in [*others, (reader, writer)]:
                 other_writer.close()
 
@@ -186,7 +186,7 @@
                 others.extend([await asyncio.open_connection(*address) for _ in range(5)])
                 await until(lambda: counts["client_connections"] > len(others))
             assert (await read_message(reader)).body == b"TEXT"
-            assert counts["evicted_reading"] > 10
+            assert counts["client_connections_evicted_reading"] > 10
             for _, other_writer in [*others, (reader, writer)]:
                 other_writer.close()
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -45,7 +45,7 @@
 async def clients_disconnected(here: Site, count: int = 1) -> float:
     """Wait until so many clients are counted as disconnected; return the time that took (s)."""
     begun = time.monotonic()
-    await until(lambda: here.program.counters.counts["clients_gone"] == count)
+    await until(lambda: here.program.counters.counts["clients_disconnected"] == count)
     return time.monotonic() - begun
 
 
--- a/tests/test_connection_table.py
+++ b/tests/test_connection_table.py
@@ -70,7 +70,11 @@
     for expected in (lingering, reading, later, idle):
         assert table.evict_one() and expected.is_aborted and expected not in table.connections
     assert not table.evict_one() and not waiting.is_aborted and list(table.connections) == [waiting]
-    assert table.counters.counts == {"evicted_leaving": 1, "evicted_reading": 2, "evicted_resting": 1}
+    assert table.counters.counts == {
+        "client_connections_evicted_lingering": 1,
+        "client_connections_evicted_reading": 2,
+        "client_connections_evicted_idle": 1,
+    }
 
 
 def test_an_active_connection_is_evicted_after_a_silent_one() -> None:
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -21,14 +21,14 @@
 OUTCOMES = [
     "ok",
     "error",
-    "full",
+    "overloaded",
     "timeout",
     "connect_failed",
     "reset",
     "cancelled",
-    "moot",
+    "aborted_before_send",
     "unknown",
-    "rejected",
+    "unprocessable",
 ]
 
 
@@ -43,22 +43,39 @@
 def test_answers_and_lists() -> None:
     """Each answer to a client, and each kind of endpoint list update."""
     assert set(ANSWER_COUNTERS) == set(get_args(Answer))
-    assert sorted(ANSWER_COUNTERS.values()) == ["answers_failed", "answers_overload", "answers_served"]
+    assert sorted(ANSWER_COUNTERS.values()) == ["requests_completed", "requests_failed", "requests_rejected"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
-    kinds = ["cached", "current", "delta", "failed", "full", "moved"]
-    assert sorted(LIST_COUNTERS.values()) == [f"lists_{kind}" for kind in kinds]
+    assert sorted(LIST_COUNTERS.values()) == [
+        "discovery_address_changes",
+        "discovery_failures",
+        "endpoint_lists_cached",
+        "endpoint_lists_delta",
+        "endpoint_lists_full",
+        "endpoint_lists_unchanged",
+    ]
 
 
 def test_reservations() -> None:
     """Each reason that a reservation ends for."""
     reasons = {reason.value for reason in ReservationEndReason}
     assert len(reasons) == 12 and reasons == set(RESERVATION_COUNTERS)
-    assert all(counter == f"holds_{reason}" for reason, counter in RESERVATION_COUNTERS.items())
+    renamed = {
+        "slipped": "delayed",
+        "outbid": "preempted",
+        "worker_out": "worker_unavailable",
+        "job_over": "request_ended",
+    }
+    for reason, counter in RESERVATION_COUNTERS.items():
+        assert counter == f"reservations_{renamed.get(reason, reason)}"
 
 
 def test_evictions_and_operators() -> None:
     """Connections with a call are never evicted; the other states have a counter."""
     assert set(EVICTION_COUNTERS) == set(ConnectionState) - {ConnectionState.WAITING}
-    assert sorted(EVICTION_COUNTERS.values()) == ["evicted_leaving", "evicted_reading", "evicted_resting"]
+    assert sorted(EVICTION_COUNTERS.values()) == [
+        "client_connections_evicted_idle",
+        "client_connections_evicted_lingering",
+        "client_connections_evicted_reading",
+    ]
     verbs = ["in-service", "offline", "online", "out-of-service", "ready"]
     assert sorted(OPERATION_COUNTERS.values()) == [f"operators_{verb}" for verb in verbs]
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -162,7 +162,7 @@
             await until(lambda: here.program.discovery.revision == 8)
             (first, first_s), (second, second_s) = discovery.polls[-2:]
             assert (first[-1], second[-1]) == ("1", "7") and second_s - first_s < 2  # 0.5 s unless it stalls
-            assert here.program.counters.counts["lists_silent"] == 1
+            assert here.program.counters.counts["discovery_heartbeat_timeouts"] == 1
             assert (await here.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
@@ -187,7 +187,7 @@
             await until(lambda: here.program.discovery.revision == 8)
             times = [at_s for _, at_s in discovery.polls[-5:]]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.5 s unless it stalls
-            assert here.program.counters.counts["lists_silent"] == 4
+            assert here.program.counters.counts["discovery_heartbeat_timeouts"] == 4
 
     asyncio.run(scenario())
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -52,15 +52,18 @@
                     writer.write(job(f"d{number}"))
                     assert (await read_message(reader)).body == b"TEXT"
                 ending = asyncio.create_task(older.shut_down())
-                await until(lambda: newer.counters.counts["calls_adopted"])
+                await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await worker.tell("c1", state="done", result="kept")
                 assert (await read_message(job_reader)).body == b"kept"
                 assert older.counters.counts["attempts_ok"] == 1
                 job_writer.write(job("d9"))
                 assert (await read_message(job_reader)).body == b"TEXT"
                 await ending
-                assert (older.counters.counts["calls"], newer.counters.counts["calls"]) == (2, 3)
-                assert here.workers[0].methods() == [] and newer.counters.counts["handover_worker"] == 2
+                assert (older.counters.counts["requests"], newer.counters.counts["requests"]) == (2, 3)
+                assert (
+                    here.workers[0].methods() == []
+                    and newer.counters.counts["hot_restart_worker_states"] == 2
+                )
                 await until(lambda: newer.hot_restart.link is None)
                 assert newer.server.table.max_connections == newer.server.table.connection_limit
                 assert not newer.server.context.peer_request_ids
@@ -90,11 +93,11 @@
                 assert (await answers[0]).body == b"early"
                 assert older.counters.counts["attempts_ok"] == 1
                 gate.set()
-                await until(lambda: newer.counters.counts["calls_adopted"])
+                await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await worker.tell("c1", state="done", result="late")
                 assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
                 # A callback that matches at neither process comes back once, after the earlier messages.
-                assert newer.counters.counts["handover_call-back"] == 1
+                assert newer.counters.counts["hot_restart_callbacks"] == 1
 
     asyncio.run(scenario())
 
@@ -112,7 +115,7 @@
                 lambda: next((worker for worker in here.workers if worker.methods()), None)
             )
             async with newer_process(here) as newer:
-                await until(lambda: newer.counters.counts["calls_adopted"])
+                await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await first_worker.tell("c1", state="lost")
                 await until(lambda: sum(len(worker.methods()) for worker in here.workers) == 2)
                 last_worker = next(
@@ -122,7 +125,7 @@
                 )
                 writer.close()
                 await until(lambda: last_worker.methods()[-1] == "DELETE")
-                assert newer.counters.counts["clients_gone"] == 1 and not newer.coordinator.requests
+                assert newer.counters.counts["clients_disconnected"] == 1 and not newer.coordinator.requests
 
     asyncio.run(scenario())
 
@@ -165,7 +168,7 @@
                 for reader, writer in waiting:
                     assert (await read_message(reader)).body == b"TEXT"
                     writer.close()
-                assert newer.counters.counts["calls"] == 9
+                assert newer.counters.counts["requests"] == 9
 
     monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -278,7 +278,7 @@
         hot_restart._receive(Packet(kind, {}, descriptor=descriptor))
         with pytest.raises(OSError, match="Bad file descriptor"):
             os.fstat(descriptor)
-    assert not process.method_calls and dict(counters.counts) == {"handover_unknown": 1}
+    assert not process.method_calls and dict(counters.counts) == {"hot_restart_unknown_messages": 1}
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -158,7 +158,7 @@
             begun = time.monotonic()
             await drain_applied(here)
             assert time.monotonic() - begun < 2  # 0.3 s by the page's table
-            assert here.program.counters.counts["lists_unanswered"] == 1
+            assert here.program.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
 
@@ -175,7 +175,7 @@
             failing.stop()
             down, _ = reserve(address)
             here.program.discovery.watch()
-            await until(lambda: here.program.counters.counts["lists_failed"] >= 4)
+            await until(lambda: here.program.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(down)
             begun = time.monotonic()
             await drain_applied(here)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -94,7 +94,7 @@
 def test_every_request_has_one_answer_with_any_hints(dispatchers: int, hints: loads.Hints) -> None:
     """Several dispatchers reserve at the same workers, with hints four times too long or short, or none."""
     _, result = play(1.1, dispatchers, ReservationSettings(), hints=hints)
-    assert any(name.startswith("holds_") for name in result.counts) or hints.wrong_fraction
+    assert any(name.startswith("reservations_") for name in result.counts) or hints.wrong_fraction
 
 
 def count_on_time(result: SimulationResult, slots: int) -> tuple[int, int]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -150,7 +150,7 @@
                 answers = [await here.post(f"c{number}", "/import") for number in range(4)]
             assert {answer.start.split()[1] for answer in answers} == {"200"}
             assert here.workers[1].methods() == ["POST"] * 4
-            assert here.program.counters.counts["connections_failed"] >= 1
+            assert here.program.counters.counts["worker_connections_failed"] >= 1
 
     play(scenario())
 
@@ -205,7 +205,7 @@
             writer.close()
             await here.workers[0].until("POST", "DELETE")
             assert here.workers[0].seen[-1].target == "/jobs/c1"
-            assert here.program.counters.counts["clients_gone"] == 1
+            assert here.program.counters.counts["clients_disconnected"] == 1
 
     play(scenario())
 
@@ -228,7 +228,7 @@
                 call = message.headers["x-correlation-id"]
                 if begun:
                     await worker.tell(call, state="started")
-                    await until(lambda: here.program.counters.counts["answers_missing"])
+                    await until(lambda: here.program.counters.counts["worker_responses_missing"])
                     await worker.tell(call, state="done", result="late")
                 await asyncio.sleep(3600)
 
@@ -252,7 +252,7 @@
             await here.workers[0].until("POST")
             stall(0.5)
             assert (await answer).start.split()[1] == "503"
-            assert not here.program.counters.counts["calls_overdue"]
+            assert not here.program.counters.counts["requests_past_deadline"]
 
     play(scenario())
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -148,7 +148,7 @@
             for number in range(24):
                 assert (await here.post(f"c{number}")).body == b"TEXT"
                 assert pool.open_connections <= 2 and len(pool.idle) <= 2
-            assert counts["connections_evicted"] > 2 and not counts["connections_over_limit"]
+            assert counts["worker_connections_evicted"] > 2 and not counts["worker_connections_over_limit"]
             accepted: list[Message] = []
             answer = asyncio.Event()
 
@@ -219,7 +219,7 @@
                 await until(lambda: len(decisions.ready_workers) == ready)  # noqa: B023
                 assert len(side.listed_endpoints()) == listed
             assert len(side.workers) == len(decisions.workers) == 1100
-            assert here.program.counters.counts["lists_failed"] == 0
+            assert here.program.counters.counts["discovery_failures"] == 0
 
     asyncio.run(scenario())
 
@@ -251,7 +251,7 @@
             async with newer_process(here) as second:
                 assert {worker.id for worker in second.workers.listed_endpoints()} == named
                 assert len(second.coordinator.dispatcher.ready_workers) == len(named) == 1101
-                assert second.counters.counts["handover_worker"] == 1101
+                assert second.counters.counts["hot_restart_worker_states"] == 1101
                 assert second.phase is Phase.SERVING and here.program.phase is Phase.MIGRATING
             fleet.stop()
 
@@ -271,8 +271,8 @@
     async def scenario() -> None:
         async with site(workers=2) as here:
             counts = here.program.counters.counts
-            assert (await here.post()).body == b"TEXT" and counts["connections_stalled"] == 1
-            assert not counts["connections_failed"] and not counts["attempts_connect_failed"]
+            assert (await here.post()).body == b"TEXT" and counts["worker_connections_stalled"] == 1
+            assert not counts["worker_connections_failed"] and not counts["attempts_connect_failed"]
             assert not any(
                 worker.is_ejected for worker in here.program.coordinator.dispatcher.workers.values()
             )
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -106,7 +106,7 @@
             await wait_for_lease_and_its_end(here, failing)
             assert (await here.post("after", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
-            assert here.program.counters.counts["list_leases_expired"] == 1
+            assert here.program.counters.counts["endpoint_list_leases_expired"] == 1
             failing.left = 0
             await until(lambda: here.program.discovery.revision == 9)
             assert (await here.post("drained", left_ms=200)).status == 503
@@ -136,7 +136,7 @@
             monkeypatch.setattr(connections, "connect", slow)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
-            assert here.program.counters.counts["attempts_not_begun"] == 1
+            assert here.program.counters.counts["attempts_not_started"] == 1
 
     asyncio.run(scenario())
 
@@ -181,7 +181,7 @@
                 lambda: len(down.asked) > 8 and time.monotonic() - begun > 1.5
             )  # more than two clocks
             assert (await here.post()).body == b"TEXT"
-            assert here.program.counters.counts["list_leases_expired"] == 0
+            assert here.program.counters.counts["endpoint_list_leases_expired"] == 0
 
     asyncio.run(scenario())
 
@@ -198,7 +198,7 @@
             address = here.discovery.address
             here.discovery.stop()
             down, _ = reserve(address)
-            await until(lambda: here.program.counters.counts["lists_failed"])
+            await until(lambda: here.program.counters.counts["discovery_failures"])
             if has_expired:  # it was reached meanwhile, and brought no news
                 lease.poll_missed, lease.expiry_ns = True, time.monotonic_ns()
             else:
@@ -209,7 +209,7 @@
                 assert lease.until_ns >= until_ns and lease.poll_missed == has_expired
                 assert (await here.post(left_ms=300)).status == (503 if has_expired else 200)
                 assert here.workers[0].methods() == ([] if has_expired else ["POST"])
-                assert second.counters.counts["calls"] == 1
+                assert second.counters.counts["requests"] == 1
         down.close()
 
     asyncio.run(scenario())
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -49,7 +49,7 @@
         async with site(discovery=failing) as here:
             waiting = asyncio.create_task(here.post())
             await until(lambda: failing.polls >= 2)
-            assert here.program.counters.counts["lists_failed"] >= 1 and not here.workers[0].methods()
+            assert here.program.counters.counts["discovery_failures"] >= 1 and not here.workers[0].methods()
             failing.is_healthy = True
             assert (await waiting).body == b"TEXT"
             failing.is_healthy = False
--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -104,7 +104,7 @@
                 connection = await self._acquire(worker, attempt)
                 response = await self._connections.send(worker, connection, message, job.body)
         except AttemptAborted:
-            self._counters.add("attempts_not_begun")
+            self._counters.add("attempts_not_started")
             self._coordinator.attempt_ended(attempt, api.Outcome.ABORTED_BEFORE_SEND)
         except RequestNotSent:
             self._coordinator.attempt_ended(attempt, api.Outcome.CONNECT_FAILED)
@@ -162,7 +162,7 @@
                 attempt, api.Outcome.ABORTED_BEFORE_SEND if has_stalled else api.Outcome.CONNECT_FAILED
             )
             return
-        self._counters.add("answers_missing")
+        self._counters.add("worker_responses_missing")
         # A connection may fail silently: an idempotent request is retried well before its deadline.
         if attempt.request.is_idempotent and not attempt.started_ns:
             self._reset(attempt)
--- a/weldquay/net/cancellation.py
+++ b/weldquay/net/cancellation.py
@@ -84,7 +84,7 @@
             async with asyncio.timeout(CANCEL_TIMEOUT_S):
                 await self._connections.request(worker, b"DELETE", f"/jobs/{request_id}".encode())
         except (WorkerRequestError, TimeoutError) as error:
-            self._counters.add("give_ups_failed")
+            self._counters.add("cancellations_failed")
             return isinstance(error.__cause__, ConnectionRefusedError)
-        self._counters.add("given_up")
+        self._counters.add("cancellations")
         return True
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -136,7 +136,7 @@
         """Serve a connection until it ends."""
         counters = self.context.counters
         if not self.table.make_room():
-            counters.add("clients_over_limit")
+            counters.add("client_connections_over_limit")
             writer.transport.abort()
             self._disconnect(adopted)
             return
@@ -148,7 +148,7 @@
             pass  # the connection is lost: no answer can be delivered
         except Exception:
             log.exception("client connection failed")
-            counters.add("connections_broken")
+            counters.add("client_connections_failed")
         finally:
             connection.connection_lost()
             writer.transport.abort()
--- a/weldquay/net/config_reload.py
+++ b/weldquay/net/config_reload.py
@@ -54,5 +54,5 @@
             )
 
     def _report_failure(self, error: ConfigError) -> None:
-        self.parts.counters.add("reloads_refused")
+        self.parts.counters.add("reloads_rejected")
         log.error("configuration reload failed, the configuration stays as it is: %s", error.advice())
--- a/weldquay/net/connection_migration.py
+++ b/weldquay/net/connection_migration.py
@@ -82,12 +82,12 @@
         unparsed = connection.channel.trailing + data
         request = None
         if (open_request := connection.requests.open_request) is not None:
-            self.context.counters.add("calls_passed_on")
+            self.context.counters.add("requests_migrated")
             unparsed = self._serialize(open_request) + unparsed
             request = self.context.coordinator.migrate_request(open_request)
             self.context.open_request_ids.discard(open_request.id)
             connection.requests.open_request = None
-        self.context.counters.add("clients_passed_on")
+        self.context.counters.add("connections_migrated")
         return MigratedConnection(
             # A duplicate, so that closing this process's descriptor does not end the connection.
             os.dup(connection.writer.get_extra_info("socket").fileno()),
--- a/weldquay/net/connection_pool.py
+++ b/weldquay/net/connection_pool.py
@@ -120,12 +120,12 @@
             self._on_closed()
             if isinstance(error, TimeoutError) and self.has_stalled(due_s):
                 raise AttemptAborted("this process stalled while it connected") from error
-            self._counters.add("connections_failed")
+            self._counters.add("worker_connections_failed")
             raise RequestNotSent(f"connecting failed: {error}") from error
         except BaseException:
             self._on_closed()
             raise
-        self._counters.add("connections")
+        self._counters.add("worker_connections")
         self._tasks.start(self._count_out(writer), "a connection's end")
         return WorkerConnection(reader, writer)
 
@@ -133,7 +133,7 @@
         """True if a timeout due at due_s (s, monotonic clock) fires so late that this process has stalled."""
         has_stalled = time.monotonic() > due_s + STALL_S
         if has_stalled:
-            self._counters.add("connections_stalled")
+            self._counters.add("worker_connections_stalled")
         return has_stalled
 
     def close_idle(self, worker: WorkerEndpoint) -> None:
@@ -161,11 +161,11 @@
             async with asyncio.timeout(CONNECTION_WAIT_S):
                 while self.open_connections >= self.max_connections:
                     if self.idle:
-                        self._counters.add("connections_evicted")
+                        self._counters.add("worker_connections_evicted")
                         self._close_idle_connection(next(iter(self.idle)))
                     await self._wait_for_turn()
         except TimeoutError:
-            self._counters.add("connections_over_limit")
+            self._counters.add("worker_connections_over_limit")
             raise AttemptAborted("no connection came free below the limit") from None
 
     async def _wait_for_turn(self) -> None:
--- a/weldquay/net/connection_table.py
+++ b/weldquay/net/connection_table.py
@@ -13,9 +13,9 @@
 REQUEST_TIMEOUT_S = 2.6
 LINGER_TIMEOUT_S = 1.0  # of a lingering close, for a client that reads nothing
 EVICTION_COUNTERS: dict[ConnectionState, str] = {
-    ConnectionState.READING: "evicted_reading",
-    ConnectionState.IDLE: "evicted_resting",
-    ConnectionState.LINGERING: "evicted_leaving",
+    ConnectionState.READING: "client_connections_evicted_reading",
+    ConnectionState.IDLE: "client_connections_evicted_idle",
+    ConnectionState.LINGERING: "client_connections_evicted_lingering",
 }
 EVICTION_ORDER = (ConnectionState.LINGERING, ConnectionState.READING, ConnectionState.IDLE)
 
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -127,7 +127,9 @@
     def _log_failure(self, error: Exception) -> None:
         """Count a failure; only the first one in a row is logged."""
         if isinstance(error, DiscoveryTimeout):
-            self._counters.add("lists_silent" if error.has_response else "lists_unanswered")
+            self._counters.add(
+                "discovery_heartbeat_timeouts" if error.has_response else "discovery_response_timeouts"
+            )
         if not self._consecutive_failures:
             text = error.advice() if isinstance(error, OperatorError) else str(error)
             log.warning("discovery watch failed, retrying: %s", text or type(error).__name__)
@@ -247,7 +249,7 @@
             log.info("discovery responds again after %d failed polls", self._consecutive_failures)
             self._consecutive_failures = 0
         if not self._has_value:
-            self._counters.peak("longest_list_ms", (time.monotonic() - self._polled_at) * 1000)
+            self._counters.peak("longest_discovery_response_ms", (time.monotonic() - self._polled_at) * 1000)
             self._has_value = True
         if not value:
             self._endpoint_list.on_unchanged()
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -123,7 +123,7 @@
         has_expired = now_ns >= self._dispatcher.lease.until_ns
         if has_expired and has_requests and not self._has_lease_expired:
             self._has_lease_expired = True
-            self._counters.add("list_leases_expired")
+            self._counters.add("endpoint_list_leases_expired")
             log.warning("requests wait: the endpoint list may be out of date until discovery answers")
         elif self._has_lease_expired and not has_expired:
             self._has_lease_expired = False
--- a/weldquay/net/hot_restart.py
+++ b/weldquay/net/hot_restart.py
@@ -44,15 +44,15 @@
 CONFIRMATION_TIMEOUT_S = 1.5  # then a process goes on without the other one's confirmation
 
 RECEIVED_COUNTERS: dict[type[HotRestartMessage], str] = {
-    WorkerStateMessage: "handover_worker",
-    EndpointListChunk: "handover_members",
-    OpenRequests: "handover_open",
-    MigratedConnection: "handover_client",
-    ClientConnectionCount: "handover_held",
-    BanChange: "handover_ban",
-    ForwardedCallback: "handover_call-back",
+    WorkerStateMessage: "hot_restart_worker_states",
+    EndpointListChunk: "hot_restart_endpoint_lists",
+    OpenRequests: "hot_restart_open_requests",
+    MigratedConnection: "hot_restart_connections",
+    ClientConnectionCount: "hot_restart_connection_counts",
+    BanChange: "hot_restart_ban_changes",
+    ForwardedCallback: "hot_restart_callbacks",
 }
-UNKNOWN_KIND_COUNTER = "handover_unknown"
+UNKNOWN_KIND_COUNTER = "hot_restart_unknown_messages"
 
 
 def is_peer_listening(name: str) -> bool:
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -123,7 +123,7 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection; above the limit the oldest one is closed for it."""
         if len(self.connections) >= MAX_CONNECTIONS:
-            self.counters.add("operators_evicted")
+            self.counters.add("operator_connections_evicted")
             oldest = next(iter(self.connections))
             del self.connections[oldest]
             oldest.transport.abort()
@@ -143,7 +143,7 @@
             pass
         except Exception:
             log.exception("operator request failed")
-            self.counters.add("connections_broken")
+            self.counters.add("client_connections_failed")
         finally:
             self.connections.pop(writer, None)
             writer.transport.abort()
@@ -162,7 +162,7 @@
     def _perform(self, operation: Operation, worker_id: str) -> bytes:
         """Perform an operation and return the answer; worker_id: empty for one that names no worker."""
         is_done = self.handlers[operation](worker_id)
-        self.counters.add(OPERATION_COUNTERS[operation] if is_done else "operators_refused")
+        self.counters.add(OPERATION_COUNTERS[operation] if is_done else "operators_rejected")
         if operation is not Operation.READY:
             subject = f"{operation.value} {worker_id}".strip()
             log.info("operator request %s: %s", subject, "done" if is_done else "refused")
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -166,7 +166,7 @@
 
     def _accept_connection(self, connection: MigratedConnection) -> None:
         if connection.descriptor == NO_DESCRIPTOR:  # this process had none left for it
-            self.parts.counters.add("handover_without_descriptor")
+            self.parts.counters.add("hot_restart_connections_without_descriptor")
             return
         if self.peer_connections:
             self._reserve_for_peer(self.peer_connections - 1)
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -97,9 +97,9 @@
         """Accept a client's request; None if the limit of open requests is reached."""
         config = self.config
         if len(self.requests.by_number) >= config.max_open:
-            self.counters.add("calls_over_limit")
+            self.counters.add("requests_over_limit")
             return None
-        self.counters.add("calls")
+        self.counters.add("requests")
         settings = config.settings
         class_settings = settings.classes[job_class]
         time_left_ns = metadata.time_left_ns
@@ -211,7 +211,7 @@
         on_answer: Callable[[Answer], None],
     ) -> ClientRequest:
         """Continue a request of an earlier process."""
-        self.counters.add("calls_adopted")
+        self.counters.add("migrated_requests_accepted")
         return self.migration.accept_migrated(migrated, metadata, payload, on_answer, self.config)
 
     def _step(self) -> None:
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -116,7 +116,7 @@
         context = self.context
         metadata = parse_request_metadata(request.headers)
         if context.is_rejecting:
-            context.counters.add("calls_out_of_service")
+            context.counters.add("requests_out_of_service")
             self._respond_overload(context.config.settings.max_retry_after_ns)
             return
         if context.has_request(metadata.id):
@@ -167,7 +167,7 @@
 
     def reject(self, status: int, reason: str) -> None:
         """Answer a bad request and close the connection."""
-        self.context.counters.add(f"rejected_{status}")
+        self.context.counters.add(f"http_errors_{status}")
         self._respond_and_close(status, reason.encode())
 
     def _respond_and_close(self, status: int, body: bytes) -> None:
--- a/weldquay/net/request_table.py
+++ b/weldquay/net/request_table.py
@@ -17,9 +17,9 @@
 MAX_REQUEST_NUMBERS = 2**32
 
 ANSWER_COUNTERS: dict[type[Answer], str] = {
-    Completed: "answers_served",
-    Rejected: "answers_overload",
-    Failed: "answers_failed",
+    Completed: "requests_completed",
+    Rejected: "requests_rejected",
+    Failed: "requests_failed",
 }
 
 
@@ -60,7 +60,7 @@
     def disconnect(self, request: ClientRequest) -> None:
         """End a request whose client left before the answer."""
         if request.is_open:
-            self._counters.add("clients_gone")
+            self._counters.add("clients_disconnected")
             self.close(request)
             self._events.enqueue(api.ClientDisconnected(request.number))
 
@@ -76,6 +76,6 @@
         """Fail a request that the decision module has not answered by its deadline."""
         if request.is_open:
             log.error("request %s had no answer by its deadline: failed", request.id)
-            self._counters.add("calls_overdue")
+            self._counters.add("requests_past_deadline")
             self.answer(request, Failed())
             self._events.enqueue(api.ClientDisconnected(request.number))
