--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -60,7 +60,7 @@
 def read_input(path: Path) -> bytes:
     """Return the bytes of a file, or of standard input for `-`; exit with status 2 if it cannot be read."""
     if str(path) == "-":
-        return sys.stdin.buffer.read(reading.LARGEST + 1)
+        return sys.stdin.buffer.read(reading.MAX_BYTES + 1)
     try:
         return reading.read_file(path)
     except reading.ReadingError as error:
--- a/weldquay/config/catalogue.py
+++ b/weldquay/config/catalogue.py
@@ -1,4 +1,4 @@
-"""The site catalogue: facts that no single configuration can prove, as data beside the tool."""
+"""The site catalogue: facts about a site that a configuration does not contain."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from weldquay.errors import OperatorError
 
 Time = Annotated[int, Meta(gt=0)]
-OWN = "catalogues"
-NEAR = 0.82  # likeness from which two names are taken for a slip of the pen
+SHIPPED_FOLDER = "catalogues"
+MIN_SIMILARITY = 0.82  # of two names, from which one counts as a misspelling of the other
 
 
 class CatalogueError(OperatorError, ValueError):
@@ -26,7 +26,7 @@
 
 
 class Kind(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A kind of job: what it is by its nature, and how long its clients wait."""
+    """A kind of job: whether it may run twice, and how long its clients wait."""
 
     name: str
     never_twice: bool
@@ -44,7 +44,7 @@
 
 
 class Limits(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What the platform's rules allow; a limit that is absent is not checked."""
+    """The limits of the platform; one that is absent is not checked."""
 
     max_attempts: int | None = None
     may_duplicate: bool | None = None
@@ -69,29 +69,33 @@
     networks: list[str] = []  # that addresses may lie in; none: any
 
     def kind(self, name: str) -> Kind | None:
-        """The kind that a class of this name is, whatever its spelling."""
+        """Return the kind with this name, whatever its spelling, or None."""
         return next((kind for kind in self.kinds if fold(kind.name) == fold(name)), None)
 
 
 def fold(name: str) -> str:
-    """A name without what people take for the same: case, `_` for `-`, spaces and dots."""
-    return "".join("-" if each in "_-. " else each for each in name.casefold()).strip("-")
+    """Return a name in lower case, with `-` for `_`, spaces and dots, to compare it with others."""
+    return "".join("-" if entry in "_-. " else entry for entry in name.casefold()).strip("-")
 
 
 def near(name: str, names: list[str]) -> str:
-    """The name that this one is probably meant to be, though it is another after folding; empty: none."""
-    folded = {fold(each): each for each in names}
+    """Return the name that a misspelt one probably means; empty if there is none or both fold alike."""
+    folded = {fold(entry): entry for entry in names}
     if fold(name) in folded:
         return ""
-    found = difflib.get_close_matches(fold(name), list(folded), 1, NEAR)
+    found = difflib.get_close_matches(fold(name), list(folded), 1, MIN_SIMILARITY)
     return folded[found[0]] if found else ""
 
 
 def load(name: str) -> Catalogue:
-    """A catalogue from a file, or one that ships with the project, by its site's name."""
-    own = resources.files("weldquay.config").joinpath(OWN, f"{name}.json")
-    if "/" not in name and own.is_file():
-        data = own.read_bytes()
+    """Return a catalogue from a file, or one that ships with the project, by its site's name.
+
+    Raises:
+        CatalogueError: it cannot be read, or is not valid.
+    """
+    shipped_file = resources.files("weldquay.config").joinpath(SHIPPED_FOLDER, f"{name}.json")
+    if "/" not in name and shipped_file.is_file():
+        data = shipped_file.read_bytes()
     else:
         try:
             data = reading.read_file(Path(name))
@@ -104,7 +108,7 @@
 
 
 def shipped() -> list[str]:
-    """The sites whose catalogues ship with the project."""
-    folder = resources.files("weldquay.config").joinpath(OWN)
-    names = (each.name for each in folder.iterdir())
+    """Return the sites whose catalogues ship with the project."""
+    folder = resources.files("weldquay.config").joinpath(SHIPPED_FOLDER)
+    names = (entry.name for entry in folder.iterdir())
     return sorted(name.removesuffix(".json") for name in names if name.endswith(".json"))
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -1,6 +1,6 @@
-"""The checker: all findings of a configuration in one pass, by the table of rules.
+"""The checker: all findings in a configuration in one pass, by the table of rules.
 
-The program asks `errors` at its start and at a reload; the tool asks `check`.  Both run the same rules.
+The program calls `errors` at its start and at a reload; the tool calls `check`.  Both run the same rules.
 """
 
 from __future__ import annotations
@@ -12,51 +12,53 @@
 
 from weldquay.config import reading
 from weldquay.config.catalogue import Catalogue
-from weldquay.config.rules import RULES, Finding, Level, Rule, Where
+from weldquay.config.rules import RULES, Finding, Level, Rule, CheckContext
 
-MOST = 1000  # findings of one rule that are told; guards against a list of a million that are all alike
+MAX_FINDINGS_PER_RULE = 1000  # a long list may have the same error in every entry
 
 
 def check(data: bytes, catalogue: Catalogue | None = None, sidecar: bool = False) -> list[Finding]:
-    """All findings in a file's bytes, errors first, then by their place."""
+    """Return all findings in a file's bytes, errors first, then by their position."""
     try:
         text = reading.decode(data)
-        told = reading.parse(text)
+        document = reading.parse(text)
     except reading.ReadingError as error:
         return [Finding("WQ002", True, (), str(error), error.line, error.column)]
-    if not isinstance(told, dict):
-        return [Finding("WQ002", True, (), f"it holds {_kind(told)}, not one JSON object", 1, 1)]
-    found = look(Where(told, catalogue, sidecar))
-    placed = _place(text, found)
-    return sorted(placed, key=lambda each: (not each.error, each.line, each.column, each.rule))
+    if not isinstance(document, dict):
+        return [Finding("WQ002", True, (), f"it holds {_kind(document)}, not one JSON object", 1, 1)]
+    findings = run_rules(CheckContext(document, catalogue, sidecar))
+    located = _locate(text, findings)
+    return sorted(
+        located, key=lambda finding: (not finding.error, finding.line, finding.column, finding.rule)
+    )
 
 
 def errors(document: dict[str, Any], catalogue: Catalogue | None = None) -> list[Finding]:
-    """What stops a start: the findings of all rules that bind the program."""
-    return [each for each in look(Where(document, catalogue)) if each.error]
+    """Return the findings that prevent a start."""
+    return [finding for finding in run_rules(CheckContext(document, catalogue)) if finding.error]
 
 
-def look(where: Where) -> list[Finding]:
-    """The findings of a decoded document, without their lines."""
-    found = []
-    for rule in applied(where.catalogue):
-        if rule.look is None:
+def run_rules(context: CheckContext) -> list[Finding]:
+    """Return the findings in a decoded document, without their positions."""
+    findings = []
+    for rule in applicable_rules(context.catalogue):
+        if rule.check is None:
             continue
-        error = rule.level is Level.ALWAYS or (rule.level is Level.SITE and where.catalogue is not None)
-        for number, (steps, text) in enumerate(rule.look(where)):
-            if number >= MOST:
+        error = rule.level is Level.ALWAYS or (rule.level is Level.SITE and context.catalogue is not None)
+        for number, (steps, text) in enumerate(rule.check(context)):
+            if number >= MAX_FINDINGS_PER_RULE:
                 break
-            found.append(Finding(rule.id, error, steps, text))
-    return found
+            findings.append(Finding(rule.id, error, steps, text))
+    return findings
 
 
-def applied(catalogue: Catalogue | None) -> list[Rule]:
-    """The rules that can be applied with what is known, in the order of their ids."""
+def applicable_rules(catalogue: Catalogue | None) -> list[Rule]:
+    """Return the rules that can be applied with or without a catalogue, in the order of their ids."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
 
 
 def left_out(catalogue: Catalogue | None) -> list[Rule]:
-    """The rules that need a catalogue."""
+    """Return the rules that cannot be applied for want of a catalogue."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.facts]
 
 
@@ -65,31 +67,31 @@
     return names.get(type(value), "a number")
 
 
-def _place(text: str, found: Sequence[Finding]) -> list[Finding]:
-    """The findings with line and column of the value, or of the object that lacks it; one scan for all."""
-    if not found:
+def _locate(text: str, findings: Sequence[Finding]) -> list[Finding]:
+    """Return the findings with line and column of the value, or of the object that lacks it."""
+    if not findings:
         return []
     offsets: dict[reading.Steps, int] = {}
-    wanted = {each.steps[:n] for each in found for n in range(len(each.steps) + 1)}
-    for steps, at in reading.places(text):
+    wanted = {finding.steps[:n] for finding in findings for n in range(len(finding.steps) + 1)}
+    for steps, offset in reading.places(text):
         if steps in wanted:
-            offsets.setdefault(steps, at)
-    placed = []
+            offsets.setdefault(steps, offset)
+    located = []
     lines = _Lines(text)
-    for each in found:
-        ways = (each.steps[:n] for n in range(len(each.steps), -1, -1))
-        at = next(offsets[way] for way in ways if way in offsets)
-        line, column = lines.position(at)
-        placed.append(replace(each, line=line, column=column))
-    return placed
+    for finding in findings:
+        ways = (finding.steps[:n] for n in range(len(finding.steps), -1, -1))
+        offset = next(offsets[way] for way in ways if way in offsets)
+        line, column = lines.position(offset)
+        located.append(replace(finding, line=line, column=column))
+    return located
 
 
 class _Lines:
-    """Line and column of many offsets of one text."""
+    """Converts offsets of one text to lines and columns."""
 
     def __init__(self, text: str) -> None:
-        self.starts = [0, *(n + 1 for n, each in enumerate(text) if each == "\n")]
+        self.starts = [0, *(n + 1 for n, finding in enumerate(text) if finding == "\n")]
 
-    def position(self, at: int) -> tuple[int, int]:
-        line = bisect.bisect_right(self.starts, at)
-        return line, at - self.starts[line - 1] + 1
+    def position(self, offset: int) -> tuple[int, int]:
+        line = bisect.bisect_right(self.starts, offset)
+        return line, offset - self.starts[line - 1] + 1
--- a/weldquay/config/difference.py
+++ b/weldquay/config/difference.py
@@ -1,4 +1,4 @@
-"""What a change of a configuration means: what a reload takes, what needs a new start, what is refused."""
+"""The differences of two configurations: which a reload applies, and which need a new start."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MISSING = object()
 START_ONLY = {"seed": "used at a start only", "known": "used at a start only"}
 UNREAD = {"origin": "not read by the program"}
-BY_NAME = {("settings", "services"), ("settings", "customers")}  # lists whose entries go by their names
+LISTS_BY_NAME = {("settings", "services"), ("settings", "customers")}  # lists whose entries go by their names
 
 
 class Taken(Enum):
@@ -34,7 +34,7 @@
     remark: str = ""
 
     def line(self) -> str:
-        """As people read it."""
+        """Return the change as one line of text."""
         remark = f" ({self.remark})" if self.remark else ""
         if self.before is None:
             what = f"added: {self.after}"
@@ -46,20 +46,20 @@
 
 
 def changes(before: dict[str, Any], after: dict[str, Any]) -> list[Change]:
-    """All values that differ, in the order of the older file, then of the newer."""
-    told = []
+    """Return all values that differ, in the order of the older file, then of the newer."""
+    found = []
     for steps, old, new in _differ((), before, after):
-        taken, remark = _when(steps, old, new)
+        taken, remark = _effect(steps, new)
         path = ".".join(str(step) for step in steps)
-        told.append(Change(path, _text(old), _text(new), taken, remark))
-    return told
+        found.append(Change(path, _text(old), _text(new), taken, remark))
+    return found
 
 
 def _text(value: Any) -> str | None:
     return None if value is MISSING else json_text(value)
 
 
-def _when(steps: tuple[str | int, ...], old: Any, new: Any) -> tuple[Taken, str]:
+def _effect(steps: tuple[str | int, ...], new: Any) -> tuple[Taken, str]:
     first = str(steps[0])
     if first in UNREAD:
         return Taken.NEVER, UNREAD[first]
@@ -86,8 +86,8 @@
     if isinstance(old, dict) and isinstance(new, dict):
         for key in (*old, *(key for key in new if key not in old)):
             yield from _differ((*steps, key), old.get(key, MISSING), new.get(key, MISSING))
-    elif steps in BY_NAME and _named(old) and _named(new):
-        rows, others = ({str(row["name"]): row for row in each} for each in (old, new))
+    elif steps in LISTS_BY_NAME and _named(old) and _named(new):
+        rows, others = ({str(row["name"]): row for row in entry} for entry in (old, new))
         yield from _differ(steps, rows, others)
     elif (type(old) is not type(new) or old != new) and not _same_number(old, new):
         yield steps, old, new
@@ -98,5 +98,5 @@
 
 
 def _same_number(old: Any, new: Any) -> bool:
-    numbers = all(isinstance(each, int | float) and not isinstance(each, bool) for each in (old, new))
+    numbers = all(isinstance(entry, int | float) and not isinstance(entry, bool) for entry in (old, new))
     return numbers and old == new
--- a/weldquay/config/reading.py
+++ b/weldquay/config/reading.py
@@ -1,6 +1,6 @@
-"""Strict reading of JSON, and where in the text each value stands.
+"""Strict reading of JSON, and the position of each value in the text.
 
-What two readers could understand in two ways is refused: duplicated keys, NaN and infinities, text behind the
+Text that two parsers could read in two ways is an error: duplicate keys, NaN and infinities, text behind the
 end, bytes that are no UTF-8.  A byte order mark and CRLF are harmless and pass.
 """
 
@@ -17,8 +17,8 @@
 
 from weldquay.errors import OperatorError
 
-LARGEST = 16 * 1024 * 1024  # bytes: a list of 100,000 workers; a larger file is a mistake
-DEEPEST = 64  # levels of nesting; the configuration itself has five
+MAX_BYTES = 16 * 1024 * 1024  # bytes: a list of 100,000 workers; a larger file is a mistake
+MAX_DEPTH = 64  # levels of nesting; the configuration itself has five
 READ_SIZE = 1 << 20
 Steps = tuple[str | int, ...]  # the way to a value: keys and positions
 
@@ -35,10 +35,13 @@
 
 
 def read_file(path: Path) -> bytes:
-    """All of a regular file, within bounds.
+    """Return the bytes of a regular file.
 
-    Guards against a FIFO or a device in its place, which would block a start, and against a file that is
-    replaced in the midst of a reading: the bytes come from one open file.
+    A FIFO or device is an error, since it would block a start.  The bytes come from one open file, so that a
+    replacement meanwhile has no effect.
+
+    Raises:
+        ReadingError: it is no regular file, cannot be read, or is larger than MAX_BYTES.
     """
     try:
         file = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
@@ -53,8 +56,8 @@
         while part := os.read(file, READ_SIZE):
             parts.append(part)
             size += len(part)
-            if size > LARGEST:
-                raise ReadingError(f"{path}: larger than {LARGEST} bytes")
+            if size > MAX_BYTES:
+                raise ReadingError(f"{path}: larger than {MAX_BYTES} bytes")
         return b"".join(parts)
     except OSError as error:
         text = os.strerror(error.errno or errno.EIO)
@@ -64,7 +67,11 @@
 
 
 def decode(data: bytes) -> str:
-    """The text of a file; ReadingError names the first byte that is no UTF-8."""
+    """Return the text of a file.
+
+    Raises:
+        ReadingError: it is not UTF-8.
+    """
     try:
         return data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
@@ -73,14 +80,18 @@
 
 
 def parse(text: str) -> Any:
-    """The value that a text holds; ReadingError where it is no JSON, or more than one reading is possible."""
+    """Return the value of a JSON text.
+
+    Raises:
+        ReadingError: it is not JSON, or can be read in more than one way.
+    """
     _check_depth(text)
     try:
         return json.loads(text, object_pairs_hook=_object, parse_constant=_constant)
     except json.JSONDecodeError as error:
         raise ReadingError(error.msg[0].lower() + error.msg[1:], error.lineno, error.colno) from None
-    except _Doubled as error:
-        key, place = str(error), _second(text, str(error))
+    except _DuplicateKey as error:
+        key, place = str(error), _second_position(text, str(error))
         raise ReadingError(f"the key {json.dumps(key)} stands twice in one object", *place) from None
     except _NotFinite as error:
         raise ReadingError(f"{error} is no JSON number", *position(text, text.find(str(error)))) from None
@@ -88,7 +99,7 @@
         raise ReadingError(str(error).split(";")[0].lower()) from None
 
 
-class _Doubled(Exception):
+class _DuplicateKey(Exception):
     pass
 
 
@@ -97,14 +108,14 @@
 
 
 def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    told = dict(pairs)
-    if len(told) < len(pairs):
+    value = dict(pairs)
+    if len(value) < len(pairs):
         seen: set[str] = set()
         for key, _ in pairs:
             if key in seen:
-                raise _Doubled(key)
+                raise _DuplicateKey(key)
             seen.add(key)
-    return told
+    return value
 
 
 def _constant(name: str) -> Any:
@@ -115,40 +126,40 @@
 
 
 def _check_depth(text: str) -> None:
-    """Guard against nesting that would exhaust the stack."""
-    if text.count("[") + text.count("{") <= DEEPEST:
+    """Reject nesting that would exhaust the stack."""
+    if text.count("[") + text.count("{") <= MAX_DEPTH:
         return
     depth = 0
     for token in _TOKEN.finditer(text):
         mark = token.group(2)
         depth += (mark in ("[", "{")) - (mark in ("]", "}")) if mark else 0
-        if depth > DEEPEST:
-            raise ReadingError(f"nested more than {DEEPEST} levels deep", *position(text, token.start(2)))
+        if depth > MAX_DEPTH:
+            raise ReadingError(f"nested more than {MAX_DEPTH} levels deep", *position(text, token.start(2)))
 
 
-def _second(text: str, key: str) -> tuple[int, int]:
-    """Where a doubled key stands for the second time in one object."""
+def _second_position(text: str, key: str) -> tuple[int, int]:
+    """Return line and column of the second occurrence of a key in one object."""
     seen: set[Steps] = set()
-    for steps, at in places(text):
+    for steps, offset in places(text):
         if steps in seen and steps and steps[-1] == key:
-            return position(text, at)
+            return position(text, offset)
         seen.add(steps)
     return 0, 0
 
 
-def position(text: str, at: int) -> tuple[int, int]:
-    """Line and column of an offset, both from 1."""
-    before = text[: max(0, at)]
+def position(text: str, offset: int) -> tuple[int, int]:
+    """Return line and column of an offset, both from 1."""
+    before = text[: max(0, offset)]
     return before.count("\n") + 1, len(before) - (before.rfind("\n") + 1) + 1
 
 
 def places(text: str) -> Iterator[tuple[Steps, int]]:
-    """The way to each value and its offset (of its key, in an object), in the order of the text.
+    """Yield the path of each value and its offset (of its key, in an object), in the order of the text.
 
-    The text must be JSON; keys that stand twice come twice.
+    The text must be JSON; duplicate keys come twice.
     """
-    way: list[str | int] = []
-    way_index: list[int] = []
+    steps: list[str | int] = []
+    indexes: list[int] = []
     kinds: list[str] = []
     key: str | None = None
     awaiting_key = False
@@ -156,24 +167,24 @@
         string, mark, plain = token.groups()
         if string is not None and awaiting_key:
             key, awaiting_key = json.loads(string), False
-            yield (*way, key), token.start(1)
+            yield (*steps, key), token.start(1)
         elif string is not None or plain is not None or mark in ("[", "{"):
             if kinds and kinds[-1] == "[":
-                yield (*way, way_index[-1]), token.start(token.lastindex or 0)
+                yield (*steps, indexes[-1]), token.start(token.lastindex or 0)
             elif not kinds:
                 yield (), token.start(token.lastindex or 0)
             if mark in ("[", "{"):
                 if kinds:
-                    way.append(way_index[-1] if kinds[-1] == "[" else key or "")
+                    steps.append(indexes[-1] if kinds[-1] == "[" else key or "")
                 kinds.append(mark)
-                way_index.append(0)
+                indexes.append(0)
                 awaiting_key = mark == "{"
         elif mark in ("]", "}"):
             kinds.pop()
-            way_index.pop()
-            if way:
-                way.pop()
+            indexes.pop()
+            if steps:
+                steps.pop()
             awaiting_key = False
         elif mark == ",":
-            way_index[-1] += 1
+            indexes[-1] += 1
             awaiting_key = bool(kinds) and kinds[-1] == "{"
--- a/weldquay/config/rules/__init__.py
+++ b/weldquay/config/rules/__init__.py
@@ -1,20 +1,21 @@
-"""The rules that a configuration is checked by, each with a stable id.
+"""The rules for configurations, each with a stable id.
 
-A rule is a function that yields what it finds.  `always` rules bind the program too; `site` rules bind it
-where it is told a catalogue, and are warnings without one; `advice` never stops a start.
+A rule is a function that yields its findings.  A violation of an `always` rule prevents a start of the
+program; one of a `site` rule does so where a catalogue is named, else it is a warning; one of an `advice`
+rule is a warning.
 """
 
 from __future__ import annotations
 
 from weldquay.config.rules import customers, jobs, keys, limits, times, whole
-from weldquay.config.rules.base import RULES, Finding, Level, Rule, Where
+from weldquay.config.rules.base import RULES, Finding, Level, Rule, CheckContext
 
 __all__ = [
     "RULES",
+    "CheckContext",
     "Finding",
     "Level",
     "Rule",
-    "Where",
     "customers",
     "jobs",
     "keys",
--- a/weldquay/config/rules/base.py
+++ b/weldquay/config/rules/base.py
@@ -1,4 +1,4 @@
-"""What a rule is, and the table of all of them."""
+"""The type of a rule, the table of all rules, and the document that they check."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Level(Enum):
-    """Whom a rule binds."""
+    """Whether a violation of a rule is an error."""
 
     ALWAYS = "always"  # an error, and the program refuses it
     SITE = "site"  # an error where a catalogue is named, for the program as well; else a warning
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Where:
-    """A document under check: the decoded object, and the site's facts where there are any."""
+class CheckContext:
+    """The document that is checked: the decoded object, and the site's catalogue if there is one."""
 
     document: dict[str, Any]
     catalogue: Catalogue | None = None
@@ -51,8 +51,8 @@
 
     def figures(self, name: str, key: str) -> list[float]:
         """The figures under one key in a list of the settings; rows without one are left out."""
-        told = (figure(row.get(key)) for _, row in self.rows(name))
-        return [each for each in told if each is not None]
+        value = (figure(row.get(key)) for _, row in self.rows(name))
+        return [entry for entry in value if entry is not None]
 
     def jobs(self) -> Iterator[tuple[int, dict[str, Any], Kind]]:
         """The classes that the catalogue knows, with their positions and what it says of them."""
@@ -62,11 +62,11 @@
                 yield number, row, kind
 
     def misspelt(self, name: str, known: list[str]) -> Iterator[tuple[int, str, str]]:
-        """The names in a list of the settings that stand for a known one: position, name, the known name."""
+        """Yield misspelt names in a list of the settings: position, name, the known name."""
         for number, row in self.rows(name):
-            told = str(row.get("name", ""))
-            if other := meant(told, known):
-                yield number, told, other
+            value = str(row.get("name", ""))
+            if other := meant(value, known):
+                yield number, value, other
 
     def number(self, *steps: str, default: float | None = None) -> float | None:
         """A figure at a place; the default where there is none, or no figure."""
@@ -75,13 +75,13 @@
 
 
 def figure(value: Any, default: float | None = None) -> float | None:
-    """A number, or the default."""
+    """Return a number as a float, or the default where the value is none."""
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else default
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What is wrong, where, why, and what to write."""
+    """A violation of a rule: where it is, why it matters, and what to write."""
 
     rule: str
     error: bool
@@ -92,11 +92,11 @@
 
     @property
     def path(self) -> str:
-        """The place as people write it."""
+        """The path of the value as text."""
         return ".".join(str(step) for step in self.steps) or "(file)"
 
 
-Found = Iterator[tuple[Steps, str]]
+Findings = Iterator[tuple[Steps, str]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,8 +109,8 @@
     why: str
     bad: str
     good: str
-    look: Callable[[Where], Found] | None  # None: found while the file is read
-    facts: bool = False  # it can be applied only with a catalogue
+    check: Callable[[CheckContext], Findings] | None  # None: found while the file is read
+    facts: bool = False  # it needs a catalogue
 
 
 RULES: dict[str, Rule] = {}
@@ -125,29 +125,33 @@
     bad: str,
     good: str,
     facts: bool = False,
-) -> Callable[[Callable[[Where], Found]], Callable[[Where], Found]]:
-    """Enter a rule in the table."""
+) -> Callable[[Callable[[CheckContext], Findings]], Callable[[CheckContext], Findings]]:
+    """Return a decorator that adds the function to the table of rules."""
 
-    def enter(look: Callable[[Where], Found]) -> Callable[[Where], Found]:
-        add(Rule(number, level, title, why, bad, good, look, facts))
-        return look
+    def register(check: Callable[[CheckContext], Findings]) -> Callable[[CheckContext], Findings]:
+        add(Rule(number, level, title, why, bad, good, check, facts))
+        return check
 
-    return enter
+    return register
 
 
-def add(made: Rule) -> None:
-    """Enter a rule; ids are given once and for good."""
-    if made.id in RULES:
-        raise ValueError(f"two rules have the id {made.id}")
-    RULES[made.id] = made
+def add(new_rule: Rule) -> None:
+    """Add a rule to the table.
+
+    Raises:
+        ValueError: another rule has this id.
+    """
+    if new_rule.id in RULES:
+        raise ValueError(f"two rules have the id {new_rule.id}")
+    RULES[new_rule.id] = new_rule
 
 
 def meant(name: str, known: list[str]) -> str:
-    """The known name that another spelling, or a slip of the pen, stands for; empty: none."""
-    same = (each for each in known if fold(each) == fold(name) and each != name)
+    """Return the known name that a misspelt name probably means; empty if there is none."""
+    same = (entry for entry in known if fold(entry) == fold(name) and entry != name)
     return next(same, "") or near(name, known)
 
 
 def seconds(ns: float) -> str:
-    """A time in words."""
+    """Return a time as text with its unit."""
     return f"{ns / 1e9:g} s" if ns >= 1e9 else f"{ns / 1e6:g} ms"
--- a/weldquay/config/rules/customers.py
+++ b/weldquay/config/rules/customers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import Found, Level, Where, figure, rule
+from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule
 
 ROUNDING = 0.005  # shares in whole hundredths
 
@@ -17,16 +17,17 @@
     bad="customers without wakkanai-dev",
     good='{"name": "wakkanai-dev", "fraction": 0.05}',
 )
-def _missing(where: Where) -> Found:
-    assert where.catalogue is not None
-    told = {fold(str(row.get("name", ""))) for _, row in where.rows("customers")}
-    for customer in where.catalogue.customers:
-        if fold(customer.name) not in told:
+def _missing_customer(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    value = {fold(str(row.get("name", ""))) for _, row in context.rows("customers")}
+    for customer in context.catalogue.customers:
+        if fold(customer.name) not in value:
             yield (
                 ("settings", "customers"),
                 (
-                    f"{customer.name} has a share of {customer.fraction:g} at {where.catalogue.site}, but is "
-                    f'not in customers: add {{"name": "{customer.name}", "fraction": {customer.fraction:g}}}'
+                    f"{customer.name} has a share of {customer.fraction:g} at {context.catalogue.site}, but "
+                    "is not in customers: "
+                    f'add {{"name": "{customer.name}", "fraction": {customer.fraction:g}}}'
                 ),
             )
 
@@ -39,8 +40,8 @@
     bad='[{"fraction": 0.7}, {"fraction": 0.6}]',
     good='[{"fraction": 0.7}, {"fraction": 0.3}]',
 )
-def _sum(where: Where) -> Found:
-    shares = where.figures("customers", "fraction")
+def _sum_of_shares(context: CheckContext) -> Findings:
+    shares = context.figures("customers", "fraction")
     if sum(shares) > 1 + ROUNDING:
         yield ("settings", "customers"), f"the shares add up to {sum(shares):g}: they may be 1 together"
 
@@ -54,15 +55,15 @@
     bad='{"name": "kushiro-soft", "fraction": 0.5}',
     good='{"name": "kushiro-soft", "fraction": 0.17}',
 )
-def _other(where: Where) -> Found:
-    assert where.catalogue is not None
-    shares = {fold(each.name): each for each in where.catalogue.customers}
-    for number, row in where.rows("customers"):
-        customer, told = shares.get(fold(str(row.get("name", "")))), figure(row.get("fraction"))
-        if customer is not None and told is not None and abs(told - customer.fraction) > ROUNDING:
+def _share_of_site(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    shares = {fold(entry.name): entry for entry in context.catalogue.customers}
+    for number, row in context.rows("customers"):
+        customer, value = shares.get(fold(str(row.get("name", "")))), figure(row.get("fraction"))
+        if customer is not None and value is not None and abs(value - customer.fraction) > ROUNDING:
             yield (
                 ("settings", "customers", number, "fraction"),
-                (f"the share of {customer.name} is {customer.fraction:g}, not {told:g}"),
+                (f"the share of {customer.name} is {customer.fraction:g}, not {value:g}"),
             )
 
 
@@ -74,9 +75,9 @@
     bad='[{"name": "a"}, {"name": "A"}]',
     good='[{"name": "a"}]',
 )
-def _doubled(where: Where) -> Found:
+def _duplicate_customer(context: CheckContext) -> Findings:
     seen: dict[str, str] = {}
-    for number, name in where.named("customers"):
+    for number, name in context.named("customers"):
         if fold(name) in seen:
             yield (
                 ("settings", "customers", number, "name"),
@@ -94,10 +95,10 @@
     bad='{"name": "kushiro-sofft"}',
     good='{"name": "kushiro-soft"}',
 )
-def _nearly(where: Where) -> Found:
-    assert where.catalogue is not None
-    known = [customer.name for customer in where.catalogue.customers]
-    for number, name, other in where.misspelt("customers", known):
+def _misspelt_customer(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    known = [customer.name for customer in context.catalogue.customers]
+    for number, name, other in context.misspelt("customers", known):
         yield ("settings", "customers", number, "name"), f"{name} is not {other}: write {other}"
 
 
@@ -110,13 +111,13 @@
     bad='{"name": "nobody-we-know"}',
     good="enter it in the catalogue",
 )
-def _strange(where: Where) -> Found:
-    assert where.catalogue is not None
-    known = [customer.name for customer in where.catalogue.customers]
-    for number, row in where.rows("customers"):
+def _unknown_customer(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    known = [customer.name for customer in context.catalogue.customers]
+    for number, row in context.rows("customers"):
         name = str(row.get("name", ""))
-        if known and name and not near(name, known) and fold(name) not in {fold(each) for each in known}:
+        if known and name and not near(name, known) and fold(name) not in {fold(entry) for entry in known}:
             yield (
                 ("settings", "customers", number, "name"),
-                (f"the catalogue of {where.catalogue.site} has no customer {name}"),
+                (f"the catalogue of {context.catalogue.site} has no customer {name}"),
             )
--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import Found, Level, Where, rule
+from weldquay.config.rules.base import Findings, Level, CheckContext, rule
 
 
 @rule(
@@ -16,8 +16,8 @@
     bad='{"name": "segment-commit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _repeatable(where: Where) -> Found:
-    for number, row, kind in where.jobs():
+def _repeatable(context: CheckContext) -> Findings:
+    for number, row, kind in context.jobs():
         if kind.never_twice and row.get("effect") in ("retryable", "dedup"):
             yield (
                 ("settings", "services", number, "effect"),
@@ -35,10 +35,10 @@
     bad='{"name": "segment_comit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _nearly(where: Where) -> Found:
-    assert where.catalogue is not None
-    known = [kind.name for kind in where.catalogue.kinds]
-    for number, name, other in where.misspelt("services", known):
+def _misspelt_kind(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    known = [kind.name for kind in context.catalogue.kinds]
+    for number, name, other in context.misspelt("services", known):
         yield (
             ("settings", "services", number, "name"),
             (
@@ -56,9 +56,9 @@
     bad='[{"name": "a", "effect": "fragile"}, {"name": "a", "effect": "retryable"}]',
     good='[{"name": "a", "effect": "fragile"}, {"name": "b", "effect": "retryable"}]',
 )
-def _doubled(where: Where) -> Found:
+def _duplicate_name(context: CheckContext) -> Findings:
     seen: dict[str, int] = {}
-    for number, name in where.named("services"):
+    for number, name in context.named("services"):
         if name in seen:
             yield (
                 ("settings", "services", number, "name"),
@@ -75,9 +75,9 @@
     bad='["segment-commit", "Segment_Commit"]',
     good='["segment-commit"]',
 )
-def _alias(where: Where) -> Found:
+def _alias(context: CheckContext) -> Findings:
     seen: dict[str, str] = {}
-    for number, name in where.named("services"):
+    for number, name in context.named("services"):
         other = seen.setdefault(fold(name), name)
         if other != name:
             yield (
@@ -95,15 +95,18 @@
     bad='{"name": "mystery", "effect": "retryable"}',
     good="enter it in the catalogue",
 )
-def _strange(where: Where) -> Found:
-    assert where.catalogue is not None
-    known = [kind.name for kind in where.catalogue.kinds]
-    for number, row in where.rows("services"):
+def _unknown_kind(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    known = [kind.name for kind in context.catalogue.kinds]
+    for number, row in context.rows("services"):
         name = str(row.get("name", ""))
-        if name and where.catalogue.kind(name) is None and not near(name, known):
+        if name and context.catalogue.kind(name) is None and not near(name, known):
             yield (
                 ("settings", "services", number, "name"),
-                (f"the catalogue of {where.catalogue.site} has no kind {name}: it knows {', '.join(known)}"),
+                (
+                    f"the catalogue of {context.catalogue.site} has no kind {name}: "
+                    f"it knows {', '.join(known)}"
+                ),
             )
 
 
@@ -115,10 +118,10 @@
     bad='"clients": {"retries_fragile": true}',
     good='"clients": {"retries_fragile": false}',
 )
-def _clients(where: Where) -> Found:
-    rows = [row for _, row in where.rows("services")]
+def _client_retries(context: CheckContext) -> Findings:
+    rows = [row for _, row in context.rows("services")]
     fragile = [str(row.get("name")) for row in rows if row.get("effect") == "fragile"]
-    if where.group("settings", "clients").get("retries_fragile") is True and fragile:
+    if context.group("settings", "clients").get("retries_fragile") is True and fragile:
         yield (
             ("settings", "clients", "retries_fragile"),
             (f"clients would send {', '.join(fragile)} again after a failure, for a second run: write false"),
@@ -133,8 +136,8 @@
     bad='{"effect": "dedup"}',
     good='{"effect": "dedup", "window_ns": 5000000000}',
 )
-def _window(where: Where) -> Found:
-    for number, row in where.rows("services"):
+def _deduplication_window(context: CheckContext) -> Findings:
+    for number, row in context.rows("services"):
         if row.get("effect") == "dedup" and not row.get("window_ns"):
             yield (
                 ("settings", "services", number, "window_ns"),
@@ -151,11 +154,14 @@
     bad='"max_attempts": 9',
     good='"max_attempts": 5',
 )
-def _attempts(where: Where) -> Found:
-    assert where.catalogue is not None
-    most, told = where.catalogue.limits.max_attempts, where.number("settings", "caps", "max_attempts")
-    if most is not None and told is not None and told > most:
-        yield ("settings", "caps", "max_attempts"), f"max_attempts is {told:g}: the platform allows {most}"
+def _max_attempts(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    maximum, value = context.catalogue.limits.max_attempts, context.number("settings", "caps", "max_attempts")
+    if maximum is not None and value is not None and value > maximum:
+        yield (
+            ("settings", "caps", "max_attempts"),
+            f"max_attempts is {value:g}: the platform allows {maximum}",
+        )
 
 
 @rule(
@@ -167,10 +173,10 @@
     bad='"may_duplicate": true',
     good='"may_duplicate": false',
 )
-def _copies(where: Where) -> Found:
-    assert where.catalogue is not None
-    if where.catalogue.limits.may_duplicate is False and (
-        where.group("settings", "caps").get("may_duplicate") is True
+def _hedged_requests(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    if context.catalogue.limits.may_duplicate is False and (
+        context.group("settings", "caps").get("may_duplicate") is True
     ):
         yield ("settings", "caps", "may_duplicate"), "the platform allows no second copies: write false"
 
@@ -183,8 +189,8 @@
     bad='{"may_duplicate": true, "max_attempts": 1}',
     good='{"may_duplicate": true, "max_attempts": 2}',
 )
-def _one_attempt(where: Where) -> Found:
-    caps = where.group("settings", "caps")
+def _hedging_without_attempts(context: CheckContext) -> Findings:
+    caps = context.group("settings", "caps")
     if caps.get("may_duplicate") is True and caps.get("max_attempts", 1) == 1:
         yield (
             ("settings", "caps", "may_duplicate"),
--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -10,7 +10,7 @@
 
 from weldquay.config import schema
 from weldquay.config.reading import Steps
-from weldquay.config.rules.base import Found, Level, Rule, Where, add, rule
+from weldquay.config.rules.base import Findings, Level, Rule, CheckContext, add, rule
 
 for _number, _title, _why, _bad, _good in (
     (
@@ -41,8 +41,8 @@
     bad='{"services": [{"name": "a"}]}',
     good='{"services": [{"name": "a", "aim_ns": 250000000, ...}]}',
 )
-def _missing(where: Where) -> Found:
-    for steps, group, value in _groups(where):
+def _missing_key(context: CheckContext) -> Findings:
+    for steps, group, value in _groups(context):
         for field in msgspec.structs.fields(group):
             key = field.encode_name
             if field.required and value.get(key) is None and not _from_variable(steps, key):
@@ -62,22 +62,25 @@
     bad='"max_attempts": "5"',
     good='"max_attempts": 5',
 )
-def _wrong(where: Where) -> Found:
-    for steps, group, value in _groups(where):
+def _invalid_value(context: CheckContext) -> Findings:
+    for steps, group, value in _groups(context):
         for name, kind in schema.keys(group).items():
-            told = value.get(name)
-            if told is None or name in ("known", "origin"):
+            value_at_key = value.get(name)
+            if value_at_key is None or name in ("known", "origin"):
                 continue
             if schema.struct_of(kind) is not None:
                 want: type = list if "list" in str(kind) else dict
-                rows = told if isinstance(told, list) else []
-                if not isinstance(told, want) or any(not isinstance(row, dict) for row in rows):
-                    yield (*steps, name), f"{name} is {schema.json_text(told)}: write {_shape(want)}"
+                rows = value_at_key if isinstance(value_at_key, list) else []
+                if not isinstance(value_at_key, want) or any(not isinstance(row, dict) for row in rows):
+                    yield (*steps, name), f"{name} is {schema.json_text(value_at_key)}: write {_shape(want)}"
                     continue
-                if not (want is list and not told):
+                if not (want is list and not value_at_key):
                     continue
-            if not fits(told, kind):
-                yield (*steps, name), f"{name} is {schema.json_text(told)}: write {schema.right(kind)}"
+            if not fits(value_at_key, kind):
+                yield (
+                    (*steps, name),
+                    f"{name} is {schema.json_text(value_at_key)}: write {schema.right(kind)}",
+                )
 
 
 def _shape(kind: type) -> str:
@@ -103,37 +106,37 @@
     bad='"max_atempts": 3',
     good='"max_attempts": 3',
 )
-def _unknown(where: Where) -> Found:
-    for steps, group, value in _groups(where):
+def _unknown_key(context: CheckContext) -> Findings:
+    for steps, group, value in _groups(context):
         known = list(schema.keys(group))
         for name in value:
             if name not in known:
-                near = difflib.get_close_matches(name, known, 1, 0.6)
-                hint = f"; did you mean {near[0]}?" if near else ""
+                similar = difflib.get_close_matches(name, known, 1, 0.6)
+                hint = f"; did you mean {similar[0]}?" if similar else ""
                 yield (*steps, name), f"{name} is no key here{hint}"
 
 
-def _groups(where: Where) -> list[tuple[Steps, type[Struct], dict[str, Any]]]:
+def _groups(context: CheckContext) -> list[tuple[Steps, type[Struct], dict[str, Any]]]:
     """All objects of a document that the definition knows, with their places."""
-    told: list[tuple[Steps, type[Struct], dict[str, Any]]] = []
-    _collect((), schema.Document, where.document, told)
-    return told
+    groups: list[tuple[Steps, type[Struct], dict[str, Any]]] = []
+    _collect((), schema.Document, context.document, groups)
+    return groups
 
 
 def _collect(
     steps: Steps,
     group: type[Struct],
     value: dict[str, Any],
-    told: list[tuple[Steps, type[Struct], dict[str, Any]]],
+    groups: list[tuple[Steps, type[Struct], dict[str, Any]]],
 ) -> None:
-    told.append((steps, group, value))
+    groups.append((steps, group, value))
     for name, kind in schema.keys(group).items():
         inner, below = schema.struct_of(kind), value.get(name)
         if inner is None:
             continue
         if isinstance(below, dict):
-            _collect((*steps, name), inner, below, told)
+            _collect((*steps, name), inner, below, groups)
         elif isinstance(below, list):
             for number, row in enumerate(below):
                 if isinstance(row, dict):
-                    _collect((*steps, name, number), inner, row, told)
+                    _collect((*steps, name, number), inner, row, groups)
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -5,10 +5,10 @@
 import ipaddress
 from typing import Any
 
-from weldquay.config.rules.base import Found, Level, Where, figure, rule, seconds
+from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule, seconds
 from weldquay.limits import BASE_MB, BYTES_EACH, LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT, RESERVE
 
-WORKERS_PART = 0.3  # of the descriptors, as `net/workers.py` reckons
+WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
 
 # Figures that may be stricter than the site's, but not laxer: name, which way is lax, what it does.
 SAFETY = (
@@ -31,15 +31,17 @@
     bad='"fall_multiple": 10',
     good='"fall_multiple": 2.5',
 )
-def _safety(where: Where) -> Found:
-    assert where.catalogue is not None
-    for name, lax, what in SAFETY:
-        most, told = getattr(where.catalogue.limits, name), where.number("settings", "safety", name)
-        if most is not None and told is not None and (told - most) * lax > 1e-9 * most:
-            shown = (seconds(told), seconds(most)) if name.endswith("_ns") else (f"{told:g}", f"{most:g}")
+def _safety(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    for name, lax_direction, what in SAFETY:
+        maximum, value = getattr(context.catalogue.limits, name), context.number("settings", "safety", name)
+        if maximum is not None and value is not None and (value - maximum) * lax_direction > 1e-9 * maximum:
+            shown = (
+                (seconds(value), seconds(maximum)) if name.endswith("_ns") else (f"{value:g}", f"{maximum:g}")
+            )
             yield (
                 ("settings", "safety", name),
-                (f"{name} is {shown[0]}, the site says {shown[1]}: {what}; write {most:g}"),
+                (f"{name} is {shown[0]}, the site says {shown[1]}: {what}; write {maximum:g}"),
             )
 
 
@@ -51,11 +53,11 @@
     bad='"listen": "127.0.0.1:99999"',
     good='"listen": "127.0.0.1:8443"',
 )
-def _address(where: Where) -> Found:
+def _address(context: CheckContext) -> Findings:
     for name in ("listen", "mgmt", "discovery"):
-        told = where.document.get(name)
-        if isinstance(told, str) and ":" in told and _port(told) > MAX_PORT:
-            yield (name,), f"{name} is {told}: a port is at most {MAX_PORT}"
+        value = context.document.get(name)
+        if isinstance(value, str) and ":" in value and _port(value) > MAX_PORT:
+            yield (name,), f"{name} is {value}: a port is at most {MAX_PORT}"
 
 
 @rule(
@@ -66,14 +68,14 @@
     bad='{"listen": "127.0.0.1:8443", "mgmt": "127.0.0.1:8443"}',
     good='{"listen": "127.0.0.1:8443", "mgmt": "127.0.0.1:8444"}',
 )
-def _clash(where: Where) -> Found:
-    names = [name for name in ("listen", "mgmt", "discovery") if isinstance(where.document.get(name), str)]
+def _address_clash(context: CheckContext) -> Findings:
+    names = [name for name in ("listen", "mgmt", "discovery") if isinstance(context.document.get(name), str)]
     for number, name in enumerate(names):
         for other in names[:number]:
-            one, two = str(where.document[name]), str(where.document[other])
-            hosts = {_host(one), _host(two)}
-            if _port(one) == _port(two) != 0 and (len(hosts) == 1 or hosts & {"0.0.0.0", "::"}):
-                yield (name,), f"{name} and {other} are both {two}: give each a port of its own"
+            address, other_address = str(context.document[name]), str(context.document[other])
+            hosts = {_host(address), _host(other_address)}
+            if _port(address) == _port(other_address) != 0 and (len(hosts) == 1 or hosts & {"0.0.0.0", "::"}):
+                yield (name,), f"{name} and {other} are both {other_address}: give each a port of its own"
 
 
 @rule(
@@ -84,11 +86,11 @@
     bad='"listen": "10.0.0.4:8443"',
     good='"listen": "127.0.0.1:8443"',
 )
-def _loopback(where: Where) -> Found:
-    for name in ("listen", "mgmt") if where.sidecar else ():
-        told = where.document.get(name)
-        if isinstance(told, str) and ":" in told and not _is_loopback(_host(told)):
-            yield (name,), f"{name} is {told}, no loopback address: write 127.0.0.1:{_port(told)}"
+def _sidecar_off_loopback(context: CheckContext) -> Findings:
+    for name in ("listen", "mgmt") if context.sidecar else ():
+        value = context.document.get(name)
+        if isinstance(value, str) and ":" in value and not _is_loopback(_host(value)):
+            yield (name,), f"{name} is {value}, no loopback address: write 127.0.0.1:{_port(value)}"
 
 
 @rule(
@@ -100,17 +102,17 @@
     bad='"discovery": "192.0.2.1:8500"',
     good='"discovery": "10.2.0.1:8500"',
 )
-def _networks(where: Where) -> Found:
-    assert where.catalogue is not None
-    allowed = [ipaddress.ip_network(each) for each in where.catalogue.networks]
+def _outside_networks(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    allowed = [ipaddress.ip_network(entry) for entry in context.catalogue.networks]
     for name in ("listen", "mgmt", "discovery") if allowed else ():
-        told = where.document.get(name)
+        value = context.document.get(name)
         try:
-            host = ipaddress.ip_address(_host(str(told))) if isinstance(told, str) else None
+            host = ipaddress.ip_address(_host(str(value))) if isinstance(value, str) else None
         except ValueError:
             continue  # a name: what it stands for is not known here
-        if host is not None and not host.is_loopback and not any(host in each for each in allowed):
-            yield (name,), f"{name} is {told}, outside {', '.join(where.catalogue.networks)}"
+        if host is not None and not host.is_loopback and not any(host in entry for entry in allowed):
+            yield (name,), f"{name} is {value}, outside {', '.join(context.catalogue.networks)}"
 
 
 @rule(
@@ -121,11 +123,11 @@
     bad='{"sockets": 64, "memory_mb": 8}',
     good='{"sockets": 256, "memory_mb": 64}',
 )
-def _least(where: Where) -> Found:
-    for name, least in (("sockets", LEAST_SOCKETS), ("memory_mb", LEAST_MEMORY_MB)):
-        told = where.number("limits", name)
-        if told is not None and told < least:
-            yield ("limits", name), f"limits.{name} is {told:g}: the program needs {least} at least"
+def _below_minimum(context: CheckContext) -> Findings:
+    for name, minimum in (("sockets", LEAST_SOCKETS), ("memory_mb", LEAST_MEMORY_MB)):
+        value = context.number("limits", name)
+        if value is not None and value < minimum:
+            yield ("limits", name), f"limits.{name} is {value:g}: the program needs {minimum} at least"
 
 
 @rule(
@@ -137,17 +139,17 @@
     bad='{"max_open": 100000, "sockets": 256}',
     good='{"max_open": 130, "sockets": 256}',
 )
-def _room(where: Where) -> Found:
-    limits = where.group("limits")
+def _max_open_beyond_limits(context: CheckContext) -> Findings:
+    limits = context.group("limits")
     sockets = figure(limits.get("sockets"), 1024.0) or 1024.0
     memory = figure(limits.get("memory_mb"), 192.0) or 192.0
-    room = int(min(sockets * (1 - WORKERS_PART) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH))
-    told = where.number("settings", "caps", "max_open")
-    if told is not None and told > room and sockets >= LEAST_SOCKETS and memory >= LEAST_MEMORY_MB:
+    capacity = int(min(sockets * (1 - WORKERS_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH))
+    value = context.number("settings", "caps", "max_open")
+    if value is not None and value > capacity and sockets >= LEAST_SOCKETS and memory >= LEAST_MEMORY_MB:
         yield (
             ("settings", "caps", "max_open"),
             (
-                f"{told:g} calls may be open, but {sockets:g} descriptors and {memory:g} MB hold {room} "
+                f"{value:g} calls may be open, but {sockets:g} descriptors and {memory:g} MB hold {capacity} "
                 "clients"
             ),
         )
@@ -161,9 +163,9 @@
     bad='"clients": ["10.0.0.0/40"]',
     good='"clients": ["10.0.0.0/8", "!10.1.0.0/16"]',
 )
-def _access(where: Where) -> Found:
+def _invalid_network(context: CheckContext) -> Findings:
     for name in ("clients", "callbacks", "operators"):
-        entries = where.group("access").get(name)
+        entries = context.group("access").get(name)
         for number, entry in enumerate(entries if isinstance(entries, list) else []):
             try:
                 ipaddress.ip_network(str(entry).removeprefix("!"))
@@ -179,10 +181,10 @@
     bad='"clients": ["!10.1.0.0/16"]',
     good='"clients": ["10.0.0.0/8", "!10.1.0.0/16"]',
 )
-def _nobody(where: Where) -> Found:
+def _exceptions_only(context: CheckContext) -> Findings:
     for name in ("clients", "callbacks", "operators"):
-        entries = where.group("access").get(name)
-        if isinstance(entries, list) and entries and all(str(each).startswith("!") for each in entries):
+        entries = context.group("access").get(name)
+        if isinstance(entries, list) and entries and all(str(entry).startswith("!") for entry in entries):
             yield (
                 ("access", name),
                 (f"access.{name} holds exceptions only, so nobody may connect: add a network"),
@@ -197,8 +199,8 @@
     bad='"access": {"clients": ["10.0.0.0/8"]}',
     good="no access, and addresses that others cannot reach",
 )
-def _unheld(where: Where) -> Found:
-    if any(where.group("access").values()):
+def _access_not_enforced(context: CheckContext) -> Findings:
+    if any(context.group("access").values()):
         yield ("access",), "access is not enforced by this version: leave it out"
 
 
@@ -215,8 +217,8 @@
     if host == "localhost":
         return True
     try:
-        told = ipaddress.ip_address(host)
+        value = ipaddress.ip_address(host)
     except ValueError:
         return False
-    mapped = getattr(told, "ipv4_mapped", None)
-    return (mapped or told).is_loopback
+    mapped = getattr(value, "ipv4_mapped", None)
+    return (mapped or value).is_loopback
--- a/weldquay/config/rules/times.py
+++ b/weldquay/config/rules/times.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules.base import Found, Level, Where, figure, rule, seconds
+from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule, seconds
 
 
 @rule(
@@ -13,8 +13,8 @@
     bad='{"aim_ns": 9000000000, "give_up_ns": 5000000000}',
     good='{"aim_ns": 250000000, "give_up_ns": 5000000000}',
 )
-def _aim(where: Where) -> Found:
-    for number, row in where.rows("services"):
+def _objective_after_timeout(context: CheckContext) -> Findings:
+    for number, row in context.rows("services"):
         aim, give_up = figure(row.get("aim_ns")), figure(row.get("give_up_ns"))
         if aim is not None and give_up is not None and aim > give_up:
             yield (
@@ -35,14 +35,14 @@
     bad='{"name": "exact-lookup", "give_up_ns": 20000000000}',
     good='{"name": "exact-lookup", "give_up_ns": 5000000000}',
 )
-def _patience(where: Where) -> Found:
-    for number, row, kind in where.jobs():
-        told = figure(row.get("give_up_ns"))
-        if told is not None and told > kind.give_up_ns:
+def _timeout_beyond_clients(context: CheckContext) -> Findings:
+    for number, row, kind in context.jobs():
+        value = figure(row.get("give_up_ns"))
+        if value is not None and value > kind.give_up_ns:
             yield (
                 ("settings", "services", number, "give_up_ns"),
                 (
-                    f"{row['name']} would be waited for {seconds(told)}, but its clients give up after "
+                    f"{row['name']} would be waited for {seconds(value)}, but its clients give up after "
                     f"{seconds(kind.give_up_ns)}: write at most {kind.give_up_ns}"
                 ),
             )
@@ -57,13 +57,13 @@
     bad='{"name": "exact-lookup", "aim_ns": 100000000}',
     good='{"name": "exact-lookup", "aim_ns": 250000000}',
 )
-def _other_aim(where: Where) -> Found:
-    for number, row, kind in where.jobs():
-        told = figure(row.get("aim_ns"))
-        if kind.aim_ns is not None and told not in (None, float(kind.aim_ns)):
+def _objective_of_site(context: CheckContext) -> Findings:
+    for number, row, kind in context.jobs():
+        value = figure(row.get("aim_ns"))
+        if kind.aim_ns is not None and value not in (None, float(kind.aim_ns)):
             yield (
                 ("settings", "services", number, "aim_ns"),
-                (f"the site wants {row['name']} within {seconds(kind.aim_ns)}, not {seconds(told or 0)}"),
+                (f"the site wants {row['name']} within {seconds(kind.aim_ns)}, not {seconds(value or 0)}"),
             )
 
 
@@ -75,14 +75,14 @@
     bad='"connect_timeout_ns": 8000000000',
     good='"connect_timeout_ns": 250000000',
 )
-def _connect(where: Where) -> Found:
-    told = where.number("settings", "caps", "connect_timeout_ns", default=250_000_000)
-    least = min(where.figures("services", "give_up_ns"), default=None)
-    if told is not None and least is not None and told >= least:
+def _connect_timeout(context: CheckContext) -> Findings:
+    value = context.number("settings", "caps", "connect_timeout_ns", default=250_000_000)
+    minimum = min(context.figures("services", "give_up_ns"), default=None)
+    if value is not None and minimum is not None and value >= minimum:
         yield (
             ("settings", "caps", "connect_timeout_ns"),
             (
-                f"connecting may take {seconds(told)}, but a client gives up after {seconds(least)}: "
+                f"connecting may take {seconds(value)}, but a client gives up after {seconds(minimum)}: "
                 "write a small part of that"
             ),
         )
@@ -96,13 +96,13 @@
     bad='"max_retry_after_ns": 60000000000',
     good='"max_retry_after_ns": 2000000000',
 )
-def _retry_after(where: Where) -> Found:
-    told = where.number("settings", "caps", "max_retry_after_ns", default=0.0) or 0.0
-    most = max(where.figures("services", "give_up_ns"), default=None)
-    if most is not None and told > most:
+def _retry_after(context: CheckContext) -> Findings:
+    value = context.number("settings", "caps", "max_retry_after_ns", default=0.0) or 0.0
+    maximum = max(context.figures("services", "give_up_ns"), default=None)
+    if maximum is not None and value > maximum:
         yield (
             ("settings", "caps", "max_retry_after_ns"),
-            (f"clients may be told to wait {seconds(told)}, but none waits longer than {seconds(most)}"),
+            (f"clients may be told to wait {seconds(value)}, but none waits longer than {seconds(maximum)}"),
         )
 
 
@@ -115,15 +115,15 @@
     bad='"conn_idle_ns": 600000000000',
     good='"conn_idle_ns": 60000000000',
 )
-def _idle(where: Where) -> Found:
-    assert where.catalogue is not None
-    most, told = where.catalogue.limits.conn_idle_ns, where.number("settings", "caps", "conn_idle_ns")
-    if most is not None and told is not None and told > most:
+def _idle_connections(context: CheckContext) -> Findings:
+    assert context.catalogue is not None
+    maximum, value = context.catalogue.limits.conn_idle_ns, context.number("settings", "caps", "conn_idle_ns")
+    if maximum is not None and value is not None and value > maximum:
         yield (
             ("settings", "caps", "conn_idle_ns"),
             (
-                f"idle connections are kept {seconds(told)}, the site closes them after {seconds(most)}: "
-                f"write at most {most}"
+                f"idle connections are kept {seconds(value)}, the site closes them after {seconds(maximum)}: "
+                f"write at most {maximum}"
             ),
         )
 
@@ -136,10 +136,10 @@
     bad='{"aim_stretch": 2, "class_stretch": [2]}',
     good='{"class_stretch": [2]}',
 )
-def _stretch(where: Where) -> Found:
-    listed = where.group("settings", "family_info").get("class_stretch")
+def _runtime_allowance_twice(context: CheckContext) -> Findings:
+    listed = context.group("settings", "family_info").get("class_stretch")
     listed = listed if isinstance(listed, list) else []
-    for number, row in where.rows("services"):
+    for number, row in context.rows("services"):
         own = figure(row.get("aim_stretch"), 0.0) or 0.0
         other = figure(listed[number], 0.0) or 0.0 if number < len(listed) else 0.0
         if own and other:
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -19,14 +19,14 @@
 
 from weldquay.config import schema
 from weldquay.config.catalogue import Catalogue, fold, near
-from weldquay.config.rules.limits import WORKERS_PART
+from weldquay.config.rules.limits import WORKERS_FRACTION
 from weldquay.errors import OperatorError
 from weldquay.limits import BASE_MB, BYTES_EACH, RESERVE
 
 MS, SECOND = 1_000_000, 1_000_000_000
-PATIENCE = 10.0  # times the wanted time, where nobody says how long clients wait
-LEAST_SOCKETS, LEAST_MB = 256, 64
-HELD_S = 5.0  # a job's longest usual stay, from which the room for open calls is reckoned
+TIMEOUT_MULTIPLE = 10.0  # times the wanted time, where nobody says how long clients wait
+MIN_SOCKETS, MIN_MEMORY_MB = 256, 64
+MAX_STAY_S = 5.0  # a job's longest usual stay, from which the room for open calls is reckoned
 HEADROOM = 3.0
 
 
@@ -60,25 +60,25 @@
     dispatchers: Annotated[int, Meta(ge=1, le=100_000)] = 1
 
 
-def describe(told: object) -> Description:
+def describe(description: object) -> Description:
     """A description from its decoded object; DescriptionError names what is missing or wrong."""
     try:
-        return msgspec.convert(told, Description)
+        return msgspec.convert(description, Description)
     except msgspec.ValidationError as error:
         raise DescriptionError(str(error)) from None
 
 
-def compose(told: Description, site: Catalogue | None = None) -> dict[str, Any]:
+def compose(description: Description, site: Catalogue | None = None) -> dict[str, Any]:
     """The configuration for a description."""
     origin: dict[str, str] = {}
-    services = [_service(kind, site, origin, number) for number, kind in enumerate(told.kinds)]
-    names = [fold(each["name"]) for each in services]
+    services = [_service(kind, site, origin, number) for number, kind in enumerate(description.kinds)]
+    names = [fold(entry["name"]) for entry in services]
     if len(set(names)) < len(names):
         raise DescriptionError("two kinds have the same name, or the same in another spelling")
-    stretches = [_stretch(kind, site) for kind in told.kinds]
-    limits, open_calls = _limits(told, services, origin)
+    stretches = [_stretch(kind, site) for kind in description.kinds]
+    limits, open_calls = _limits(description, services, origin)
     settings = {
-        "group_size": told.dispatchers,
+        "group_size": description.dispatchers,
         "me": 0,
         "zone": 0,
         "zones": ["here"],
@@ -88,19 +88,19 @@
         "services": services,
         "family_info": {"class_stretch": stretches, "tells_start": True, "queue_order": "fifo"},
         "load_info": {"fields": ["svc_ms", "pending", "x0", "x1"], "via": "inline"},
-        "customers": _customers(told, site, origin),
+        "customers": _customers(description, site, origin),
         "caps": _caps(services, site, origin, open_calls),
         "safety": _safety(site, origin),
         "tariffs": {"probe": 0.002, "waste": 0.3},
     }
     origin["settings.group_size"] = "the description's dispatchers"
-    seed = hashlib.sha256(told.name.encode()).hexdigest()[:16]
+    seed = hashlib.sha256(description.name.encode()).hexdigest()[:16]
     origin["seed"] = "drawn from the name, so that the same description gives the same file"
     return {
-        "name": told.name,
-        "listen": told.listen,
-        "mgmt": told.mgmt,
-        "discovery": told.discovery,
+        "name": description.name,
+        "listen": description.listen,
+        "mgmt": description.mgmt,
+        "discovery": description.discovery,
         "seed": seed,
         "limits": limits,
         "settings": settings,
@@ -108,45 +108,49 @@
     }
 
 
-def _service(wish: Kind, site: Catalogue | None, origin: dict[str, str], number: int) -> dict[str, Any]:
-    known = site.kind(wish.name) if site is not None else None
+def _service(kind: Kind, site: Catalogue | None, origin: dict[str, str], number: int) -> dict[str, Any]:
+    known = site.kind(kind.name) if site is not None else None
     at = f"settings.services.{number}"
-    if known is None and site is not None and (meant := near(wish.name, [each.name for each in site.kinds])):
-        raise DescriptionError(f"{wish.name} is nearly {meant}: write that, or a name nobody takes for it")
-    if known is not None and known.never_twice and wish.repeat_harmless:
+    if (
+        known is None
+        and site is not None
+        and (meant := near(kind.name, [entry.name for entry in site.kinds]))
+    ):
+        raise DescriptionError(f"{kind.name} is nearly {meant}: write that, or a name nobody takes for it")
+    if known is not None and known.never_twice and kind.repeat_harmless:
         raise DescriptionError(f"{known.name} must never run twice, so a repeat is not harmless")
-    if known is None and wish.repeat_harmless is None:
-        raise DescriptionError(f"{wish.name}: say whether a repeat is harmless (repeat_harmless)")
-    if wish.wanted_ms is None and (known is None or known.aim_ns is None):
-        raise DescriptionError(f"{wish.name}: say within how many milliseconds it is wanted (wanted_ms)")
+    if known is None and kind.repeat_harmless is None:
+        raise DescriptionError(f"{kind.name}: say whether a repeat is harmless (repeat_harmless)")
+    if kind.wanted_ms is None and (known is None or known.aim_ns is None):
+        raise DescriptionError(f"{kind.name}: say within how many milliseconds it is wanted (wanted_ms)")
     source = "the description"
     if known is None:
-        safe, name = bool(wish.repeat_harmless), wish.name
+        safe, name = bool(kind.repeat_harmless), kind.name
         origin[f"{at}.effect"] = "the description's repeat_harmless"
     else:
         assert site is not None
         source = f"the catalogue of {site.site}"
         # A kind that may run twice stays fragile where its team does not want it repeated.
-        safe, name = not known.never_twice and wish.repeat_harmless is not False, known.name
-        own = wish.repeat_harmless is not None and not known.never_twice
+        safe, name = not known.never_twice and kind.repeat_harmless is not False, known.name
+        own = kind.repeat_harmless is not None and not known.never_twice
         origin[f"{at}.effect"] = "the description" if own else source
-    aim = int(wish.wanted_ms * MS) if wish.wanted_ms is not None else int(known.aim_ns or 0) if known else 0
-    origin[f"{at}.aim_ns"] = "the description" if wish.wanted_ms is not None else source
+    aim = int(kind.wanted_ms * MS) if kind.wanted_ms is not None else int(known.aim_ns or 0) if known else 0
+    origin[f"{at}.aim_ns"] = "the description" if kind.wanted_ms is not None else source
     give_up = (
-        int(wish.give_up_s * SECOND)
-        if wish.give_up_s is not None
-        else (known.give_up_ns if known is not None else int(PATIENCE * aim))
+        int(kind.give_up_s * SECOND)
+        if kind.give_up_s is not None
+        else (known.give_up_ns if known is not None else int(TIMEOUT_MULTIPLE * aim))
     )
     origin[f"{at}.give_up_ns"] = (
         "the description"
-        if wish.give_up_s is not None
-        else (source if known is not None else f"{PATIENCE:g} times the wanted time")
+        if kind.give_up_s is not None
+        else (source if known is not None else f"{TIMEOUT_MULTIPLE:g} times the wanted time")
     )
     if known is not None and give_up > known.give_up_ns:
         raise DescriptionError(f"{name}: its clients give up after {known.give_up_ns / SECOND:g} s")
     if aim > give_up:
         raise DescriptionError(f"{name}: it is wanted only after its clients have given up")
-    worth = wish.worth if wish.worth is not None else known.worth if known is not None else 1.0
+    worth = kind.worth if kind.worth is not None else known.worth if known is not None else 1.0
     return {
         "name": name,
         "aim_ns": max(1, aim),
@@ -156,21 +160,23 @@
     }
 
 
-def _stretch(wish: Kind, site: Catalogue | None) -> float:
-    known = site.kind(wish.name) if site is not None else None
+def _stretch(kind: Kind, site: Catalogue | None) -> float:
+    known = site.kind(kind.name) if site is not None else None
     return known.stretch if known is not None else 0.0
 
 
-def _customers(told: Description, site: Catalogue | None, origin: dict[str, str]) -> list[dict[str, Any]]:
+def _customers(
+    description: Description, site: Catalogue | None, origin: dict[str, str]
+) -> list[dict[str, Any]]:
     """The site's customers with its shares, and those of the description that it does not know."""
     known = site.customers if site is not None else []
-    rows = {fold(each.name): (each.name, each.fraction) for each in known}
-    for name, fraction in told.customers.items():
+    rows = {fold(entry.name): (entry.name, entry.fraction) for entry in known}
+    for name, fraction in description.customers.items():
         if fold(name) in rows:
             if abs(rows[fold(name)][1] - fraction) > 0.005:
                 raise DescriptionError(f"the share of {name} is {rows[fold(name)][1]:g}, not {fraction:g}")
             continue
-        if meant := near(name, [each for each, _ in rows.values()]):
+        if meant := near(name, [entry for entry, _ in rows.values()]):
             raise DescriptionError(f"the customer {name} is nearly {meant}: write that")
         rows[fold(name)] = (name, fraction)
     total = math.fsum(fraction for _, fraction in rows.values())
@@ -180,22 +186,22 @@
         f"the catalogue of {site.site}, and the description" if site is not None else "the description"
     )
     return [
-        {"name": name, "fraction": part, "quota_per_s": max(1.0, round(told.calls_per_s * part, 3))}
+        {"name": name, "fraction": part, "quota_per_s": max(1.0, round(description.calls_per_s * part, 3))}
         for name, part in rows.values()
     ]
 
 
 def _limits(
-    told: Description,
+    description: Description,
     services: list[dict[str, Any]],
     origin: dict[str, str],
 ) -> tuple[dict[str, Any], int]:
     """Descriptors and memory for the calls that are open at the expected rate, and how many that is."""
-    stay_s = min(HELD_S, max(each["give_up_ns"] for each in services) / SECOND)
-    open_calls = max(32, math.ceil(told.calls_per_s * stay_s * HEADROOM))
-    sockets = max(LEAST_SOCKETS, math.ceil((open_calls + RESERVE) / (1 - WORKERS_PART)) + 1)
-    memory = max(LEAST_MB, math.ceil(BASE_MB + open_calls * BYTES_EACH / 2**20) + 1)
-    why = f"{told.calls_per_s:g} calls a second that stay {stay_s:g} s, {HEADROOM:g} times over"
+    stay_s = min(MAX_STAY_S, max(entry["give_up_ns"] for entry in services) / SECOND)
+    open_calls = max(32, math.ceil(description.calls_per_s * stay_s * HEADROOM))
+    sockets = max(MIN_SOCKETS, math.ceil((open_calls + RESERVE) / (1 - WORKERS_FRACTION)) + 1)
+    memory = max(MIN_MEMORY_MB, math.ceil(BASE_MB + open_calls * BYTES_EACH / 2**20) + 1)
+    why = f"{description.calls_per_s:g} calls a second that stay {stay_s:g} s, {HEADROOM:g} times over"
     origin["limits"] = origin["settings.caps.max_open"] = why
     return {"cores": 1.0, "memory_mb": memory, "sockets": sockets}, open_calls
 
@@ -207,7 +213,7 @@
     open_calls: int,
 ) -> dict[str, Any]:
     known = site.limits if site is not None else None
-    least = min(each["give_up_ns"] for each in services)
+    least = min(entry["give_up_ns"] for entry in services)
     caps = {
         "cancel": True,
         "probes": True,
@@ -225,7 +231,7 @@
 
 def _safety(site: Catalogue | None, origin: dict[str, str]) -> dict[str, Any]:
     known = site.limits if site is not None else None
-    usual = {
+    defaults = {
         "cold_share": 0.34,
         "warm_after_ns": 10 * SECOND,
         "fall_multiple": 2.0,
@@ -236,7 +242,7 @@
     origin["settings.safety"] = f"the catalogue of {site.site}" if site is not None else "careful figures"
     return {
         name: value if known is None or getattr(known, name) is None else getattr(known, name)
-        for name, value in usual.items()
+        for name, value in defaults.items()
     }
 
 
