--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -16,7 +16,7 @@
 
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, WorkerOffer
+from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, FleetLoad, WorkerOffer
 from weldquay.reservations.settings import ReservationSettings
 from weldquay.reservations.timetable import RunningJob, Timetable
 
@@ -131,16 +131,13 @@
     """Return the memory of a scheduler's reservations at their maximum number."""
     scheduler = BackfillScheduler(ReservationSettings(max_reservations=256, max_reserved_fraction=0.5))
     timetable = Timetable(4.0, 4.0, [RunningJob(SECOND, 2.0)])
-    timetable = Timetable(4.0, 4.0, [RunningJob(SECOND, 2.0)])
     tracemalloc.start()
     for number in range(RUNNING_JOBS):
         scheduler.request_capacity(
             0,
             CapacityRequest(number, 4.0, 1.0, 1e9, 1e10, 1.0),
             [WorkerOffer(number % workers, 1e9, lambda: timetable)],
-            workers,
-            0.1,
-            1,
+            FleetLoad(workers, 0.1, 1),
         )
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -28,6 +28,7 @@
 from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.worker_state_codec import decode_worker_state
 from weldquay.state.records import Worker
+from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
 RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
 DESCRIPTOR = 77  # a descriptor's number; nothing is opened or closed here
@@ -187,15 +188,15 @@
             3,
             1.0,
         )  # what a health check before it may have left
-        worker.restore(message.snapshot)
-        assert worker.snapshot() == message.snapshot
+        restore_snapshot(worker, message.snapshot)
+        assert take_snapshot(worker) == message.snapshot
         worker.record_change(300_000_000_000, 1.0, 0.0)  # the lists can be appended to
         worker.slow_start_sends.clear()
 
 
 def test_a_fresh_worker_has_the_defaults_of_a_snapshot() -> None:
     """So a name that is missing leaves what a worker starts with."""
-    assert Worker(WorkerEntry(1, WorkerState.READY)).snapshot() == UNKNOWN_WORKER
+    assert take_snapshot(Worker(WorkerEntry(1, WorkerState.READY))) == UNKNOWN_WORKER
 
 
 @pytest.mark.parametrize(("name", "field"), [*zip(STATE, fields(WorkerSnapshot), strict=True)])
@@ -281,11 +282,23 @@
     assert not process.method_calls and dict(counters.counts) == {"hot_restart_unknown_messages": 1}
 
 
+COUNTERS = {
+    "worker": "hot_restart_worker_states",
+    "members": "hot_restart_endpoint_lists",
+    "open": "hot_restart_open_requests",
+    "client": "hot_restart_connections",
+    "held": "hot_restart_connection_counts",
+    "ban": "hot_restart_ban_changes",
+    "call-back": "hot_restart_callbacks",
+}
+HANDLED_BY_THE_LINK = {"ask", "offer", "ready", "taken", "end", "ended"}
+
+
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
 def test_received_messages_are_counted_by_their_external_kind(packet: RecordedPacket) -> None:
-    """The counters' names are those of 725bba5; what the link itself handles is not counted."""
+    """Each kind has a counter of its own; what the link itself handles is not counted."""
     counters = Counters()
     hot_restart = HotRestart("toy", counters, Mock(offer_listener=Mock(return_value=None)))
     hot_restart._receive(Packet.decode(packet.data, packet.descriptor))
-    own = {"ask", "offer", "ready", "taken", "end", "ended"}
-    assert dict(counters.counts) == ({} if packet.kind in own else {f"handover_{packet.kind}": 1})
+    expected = {} if packet.kind in HANDLED_BY_THE_LINK else {COUNTERS[packet.kind]: 1}
+    assert dict(counters.counts) == expected
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -13,7 +13,7 @@
 from tests.helpers import MS, SECOND
 from weldquay.reservations import settings as reservation_settings
 from weldquay.reservations.records import CapacityRequest, WorkerOffer
-from weldquay.reservations.scheduler import BackfillScheduler
+from weldquay.reservations.scheduler import BackfillJob, BackfillScheduler, FleetLoad
 from weldquay.reservations.timetable import (
     NEVER,
     OwnAttempt,
@@ -130,7 +130,7 @@
     scheduler: BackfillScheduler, job: CapacityRequest, *offers: WorkerOffer, now: int = 0, queued: int = 1
 ) -> int | None:
     """Request capacity of ten workers with a utilization of one half."""
-    return scheduler.request_capacity(now, job, offers, 10, 0.5, queued)
+    return scheduler.request_capacity(now, job, offers, FleetLoad(10, 0.5, queued))
 
 
 def end_reasons(scheduler: BackfillScheduler) -> list[str]:
@@ -279,7 +279,7 @@
     request_capacity(scheduler, job, WorkerOffer(1, SECOND, lambda: timetable))
     if 1 not in scheduler.by_request:
         return
-    if scheduler.admits(0, 2, small_slots, 0.1, run_ns, 1, lambda: timetable):
+    if scheduler.admits(0, BackfillJob(2, small_slots, 0.1, run_ns), 1, lambda: timetable):
         assert (
             timetable.earliest_start(slots, 1.0, [QueuedJob(run_ns, small_slots, 0.1)]).wait_ns
             <= before + 1e-3
--- a/weldquay/policy/capacity_reservation.py
+++ b/weldquay/policy/capacity_reservation.py
@@ -14,7 +14,7 @@
 from weldquay.policy.runtime_model import RuntimeModel
 from weldquay.policy.step_context import StepContext
 from weldquay.policy.worker_table import WorkerTable
-from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, WorkerOffer
+from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, FleetLoad, WorkerOffer
 from weldquay.state.records import Job, Worker
 
 RESERVATION_INTERVAL_NS = 10_000_000  # least time between two tries for one request
@@ -54,7 +54,7 @@
             return None
         job.reservation_tried_ns = now_ns
         workers = self.index.all_healthy_reported()
-        utilization = self.index.utilization(workers)
+        load = FleetLoad(len(workers), self.index.utilization(workers), len(self.requests.queued))
         capacity_request = self._capacity_request(job)
         offers = [
             WorkerOffer(
@@ -65,9 +65,7 @@
             for worker in heapq.nsmallest(MAX_OFFERS, workers, key=self.load_estimates.load)
             if self.eligibility.is_eligible(job, worker)
         ]
-        number = self.scheduler.request_capacity(
-            now_ns, capacity_request, offers, len(workers), utilization, len(self.requests.queued)
-        )
+        number = self.scheduler.request_capacity(now_ns, capacity_request, offers, load)
         return None if number is None else self.table.workers[number]
 
     def _capacity_request(self, job: Job) -> CapacityRequest:
--- a/weldquay/policy/eligibility.py
+++ b/weldquay/policy/eligibility.py
@@ -11,7 +11,7 @@
 from weldquay.policy.runtime_model import RuntimeModel
 from weldquay.policy.slow_start import SlowStart
 from weldquay.policy.step_context import StepContext
-from weldquay.reservations.scheduler import BackfillScheduler
+from weldquay.reservations.scheduler import BackfillJob, BackfillScheduler
 from weldquay.state.records import Job, Worker
 
 
@@ -61,15 +61,14 @@
 
     def _fits_reservation(self, job: Job, worker: Worker) -> bool:
         request = job.request
-        return self.scheduler.admits(
-            self.context.now_ns,
+        backfill_job = BackfillJob(
             request.request_id,
             request.slots,
             request.memory,
             self.runtime_model.expected_at_worker_ns(job, worker),
-            worker.entry.worker,
-            partial(self.index.timetable, worker),
         )
+        timetable = partial(self.index.timetable, worker)
+        return self.scheduler.admits(self.context.now_ns, backfill_job, worker.entry.worker, timetable)
 
 
 def _is_in_scope(job: Job, worker: Worker) -> bool:
--- a/weldquay/policy/worker_table.py
+++ b/weldquay/policy/worker_table.py
@@ -6,6 +6,7 @@
 
 from weldquay.interface import WorkerSnapshot, WorkerState, WorkerStateRestored
 from weldquay.state.records import Worker
+from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
 MAX_DEPARTED = 2048  # workers kept after they left the list, so that a list that comes back loses no state
 
@@ -32,12 +33,12 @@
 
     def snapshots(self) -> dict[int, WorkerSnapshot]:
         """Return the state of each worker, for the process that replaces this one."""
-        return {number: worker.snapshot() for number, worker in self.workers.items()}
+        return {number: take_snapshot(worker) for number, worker in self.workers.items()}
 
     def restore(self, event: WorkerStateRestored) -> None:
         """Restore the state that an earlier process had of a worker."""
         if (worker := self.workers.get(event.worker)) is not None:
-            worker.restore(event.snapshot)
+            restore_snapshot(worker, event.snapshot)
 
     def discard_departed(self) -> None:
         """Drop the oldest workers that left the list and have no attempt in flight, beyond the limit."""
--- a/weldquay/reservations/records.py
+++ b/weldquay/reservations/records.py
@@ -43,6 +43,28 @@
     has_hint: bool = True
 
 
+@dataclass(frozen=True, slots=True)
+class FleetLoad:
+    """The load of the workers that may be used.
+
+    utilization: fraction of their slots in use; queued_count: requests without a worker.
+    """
+
+    worker_count: int
+    utilization: float
+    queued_count: int
+
+
+@dataclass(frozen=True, slots=True)
+class BackfillJob:
+    """A job that may run beside a reservation; run_ns: expected running time at the worker."""
+
+    request: int
+    slots: float
+    memory: float
+    run_ns: float
+
+
 @dataclass(frozen=True, slots=True)
 class WorkerOffer:
     """A worker that may run the job, with the job's expected running time there."""
--- a/weldquay/reservations/scheduler.py
+++ b/weldquay/reservations/scheduler.py
@@ -29,7 +29,9 @@
     rejection_reason,
 )
 from weldquay.reservations.records import (
+    BackfillJob,
     CapacityRequest,
+    FleetLoad,
     Reservation,
     ReservationEndReason,
     ReservationResult,
@@ -37,7 +39,15 @@
 )
 from weldquay.reservations.timetable import NEVER, QueuedJob, Timetable
 
-__all__ = ["BackfillScheduler", "CapacityRequest", "Reservation", "ReservationResult", "WorkerOffer"]
+__all__ = [
+    "BackfillJob",
+    "BackfillScheduler",
+    "CapacityRequest",
+    "FleetLoad",
+    "Reservation",
+    "ReservationResult",
+    "WorkerOffer",
+]
 
 MOVE_RATIO = 0.7  # of expected ends, below which a reservation moves to another worker
 SAMPLE_WEIGHT = 0.05  # of a new sample in exponential means, for a send: for each second of slot time
@@ -101,28 +111,25 @@
         now_ns: int,
         request: CapacityRequest,
         offers: Iterable[WorkerOffer],
-        worker_count: int,
-        utilization: float,
-        queued_count: int,
+        load: FleetLoad,
     ) -> int | None:
         """Reserve a worker for a request that found none with room, or update its reservation.
 
-        worker_count: workers that may be used; utilization: fraction of their slots in use; queued_count:
-        requests without a worker.  Returns the worker whose queue the job joins now, None where it waits.
+        Returns the worker whose queue the job joins now, None where it waits.
         """
         settings = self.settings
         if settings is None:
             return None
         reservation = self.by_request.get(request.request)
-        reason = rejection_reason(settings, request, self.hint_error, worker_count, queued_count)
+        reason = rejection_reason(settings, request, self.hint_error, load.worker_count, load.queued_count)
         if reason is not None:
             self._end(now_ns, reservation, reason)
             return None
-        placement = self._choose_placement(settings, request, offers, utilization)
+        placement = self._choose_placement(settings, request, offers, load.utilization)
         if placement is None:
             self._end(now_ns, reservation, ReservationEndReason.TOO_LATE)
             return None
-        return self._apply_placement(now_ns, settings, request, placement, worker_count)
+        return self._apply_placement(now_ns, settings, request, placement, load.worker_count)
 
     def _apply_placement(
         self,
@@ -198,21 +205,18 @@
     def admits(
         self,
         now_ns: int,
-        request: int,
-        slots: float,
-        memory: float,
-        run_ns: float,
+        job: BackfillJob,
         worker: int,
         timetable: Callable[[], Timetable],
     ) -> bool:
         """Return True where a job at the worker does not delay the start of another request's reservation."""
         reservation = self.by_worker.get(worker)
-        if reservation is None or reservation.request == request:
+        if reservation is None or reservation.request == job.request:
             return True
-        run_ns *= self.settings.hint_margin if self.settings is not None else 1.0
+        run_ns = job.run_ns * (self.settings.hint_margin if self.settings is not None else 1.0)
         current = timetable()
         before = current.earliest_start(reservation.slots, reservation.memory)
-        backfilled = (QueuedJob(run_ns, slots, memory),)
+        backfilled = (QueuedJob(run_ns, job.slots, job.memory),)
         after = current.earliest_start(reservation.slots, reservation.memory, backfilled)
         return after.wait_ns <= max(before.wait_ns, reservation.start_ns - now_ns)
 
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -12,12 +12,9 @@
 
 from weldquay.interface import (
     JobClass,
-    LoadChange,
     LoadReport,
     RequestReceived,
-    SlowStartSend,
     WorkerEntry,
-    WorkerSnapshot,
 )
 
 SECOND_NS = 1_000_000_000
@@ -299,51 +296,3 @@
         self.unreported_memory += memory
         self.own_slots += slots
         self.discard_changes(now_ns - LOAD_REPORT_MAX_AGE_NS)
-
-    def snapshot(self) -> WorkerSnapshot:
-        """Return the state for the process that replaces this one in a hot restart."""
-        return WorkerSnapshot(
-            free_slots=self.free_slots,
-            free_memory=self.free_memory,
-            estimated_slots=self.estimated_slots,
-            reported_ns=self.reported_ns,
-            unreported_changes=tuple(LoadChange(*change) for change in self.unreported_changes),
-            unreported_slots=self.unreported_slots,
-            unreported_memory=self.unreported_memory,
-            last_response_ns=self.last_response_ns,
-            consecutive_rejections=self.consecutive_rejections,
-            failure_score=self.failure_score,
-            backoff_until_ns=self.backoff_until_ns,
-            next_probe_ns=self.next_probe_ns,
-            consecutive_probe_failures=self.consecutive_probe_failures,
-            is_ejected=self.is_ejected,
-            next_trial_ns=self.next_trial_ns,
-            trial_backoff_ns=self.trial_backoff_ns,
-            reinstated_ns=self.reinstated_ns,
-            slow_start_sends=tuple(SlowStartSend(*send) for send in self.slow_start_sends),
-            slow_start_budget_ns=self.slow_start_budget_ns,
-            slow_start_budget_at_ns=self.slow_start_budget_at_ns,
-        )
-
-    def restore(self, snapshot: WorkerSnapshot) -> None:
-        """Replace the state by that of an earlier process; the entry, attempts and report stay."""
-        self.free_slots = snapshot.free_slots
-        self.free_memory = snapshot.free_memory
-        self.estimated_slots = snapshot.estimated_slots
-        self.reported_ns = snapshot.reported_ns
-        self.unreported_changes = deque(snapshot.unreported_changes)
-        self.unreported_slots = snapshot.unreported_slots
-        self.unreported_memory = snapshot.unreported_memory
-        self.last_response_ns = snapshot.last_response_ns
-        self.consecutive_rejections = snapshot.consecutive_rejections
-        self.failure_score = snapshot.failure_score
-        self.backoff_until_ns = snapshot.backoff_until_ns
-        self.next_probe_ns = snapshot.next_probe_ns
-        self.consecutive_probe_failures = snapshot.consecutive_probe_failures
-        self.is_ejected = snapshot.is_ejected
-        self.next_trial_ns = snapshot.next_trial_ns
-        self.trial_backoff_ns = snapshot.trial_backoff_ns
-        self.reinstated_ns = snapshot.reinstated_ns
-        self.slow_start_sends = deque(snapshot.slow_start_sends)
-        self.slow_start_budget_ns = snapshot.slow_start_budget_ns
-        self.slow_start_budget_at_ns = snapshot.slow_start_budget_at_ns
