--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from weldquay.config import schema
+from weldquay.config import catalogue, schema
 from weldquay.config.catalogue import Catalogue, fold, near
 from weldquay.config.rules.limits import WORKERS_FRACTION
 from weldquay.errors import OperatorError
@@ -71,7 +71,10 @@
 def compose(description: Description, site: Catalogue | None = None) -> dict[str, Any]:
     """The configuration for a description."""
     origin: dict[str, str] = {}
-    services = [_service(kind, site, origin, number) for number, kind in enumerate(description.kinds)]
+    services = [
+        _service(kind, site, origin, f"settings.services.{number}")
+        for number, kind in enumerate(description.kinds)
+    ]
     names = [fold(entry["name"]) for entry in services]
     if len(set(names)) < len(names):
         raise DescriptionError("two kinds have the same name, or the same in another spelling")
@@ -108,58 +111,66 @@
     }
 
 
-def _service(kind: Kind, site: Catalogue | None, origin: dict[str, str], number: int) -> dict[str, Any]:
+def _service(kind: Kind, site: Catalogue | None, origin: dict[str, str], path: str) -> dict[str, Any]:
+    """Return the class of a kind of job, and enter the origin of its figures under its path."""
     known = site.kind(kind.name) if site is not None else None
-    at = f"settings.services.{number}"
-    if (
-        known is None
-        and site is not None
-        and (meant := near(kind.name, [entry.name for entry in site.kinds]))
-    ):
-        raise DescriptionError(f"{kind.name} is nearly {meant}: write that, or a name nobody takes for it")
-    if known is not None and known.never_twice and kind.repeat_harmless:
-        raise DescriptionError(f"{known.name} must never run twice, so a repeat is not harmless")
-    if known is None and kind.repeat_harmless is None:
-        raise DescriptionError(f"{kind.name}: say whether a repeat is harmless (repeat_harmless)")
-    if kind.wanted_ms is None and (known is None or known.aim_ns is None):
-        raise DescriptionError(f"{kind.name}: say within how many milliseconds it is wanted (wanted_ms)")
-    source = "the description"
+    _check_kind(kind, known, site)
+    source = f"the catalogue of {site.site}" if site is not None and known is not None else "the description"
+    name = kind.name if known is None else known.name
     if known is None:
-        safe, name = bool(kind.repeat_harmless), kind.name
-        origin[f"{at}.effect"] = "the description's repeat_harmless"
+        is_repeatable = bool(kind.repeat_harmless)
+        origin[f"{path}.effect"] = "the description's repeat_harmless"
     else:
-        assert site is not None
-        source = f"the catalogue of {site.site}"
         # A kind that may run twice stays fragile where its team does not want it repeated.
-        safe, name = not known.never_twice and kind.repeat_harmless is not False, known.name
-        own = kind.repeat_harmless is not None and not known.never_twice
-        origin[f"{at}.effect"] = "the description" if own else source
-    aim = int(kind.wanted_ms * MS) if kind.wanted_ms is not None else int(known.aim_ns or 0) if known else 0
-    origin[f"{at}.aim_ns"] = "the description" if kind.wanted_ms is not None else source
-    give_up = (
-        int(kind.give_up_s * SECOND)
-        if kind.give_up_s is not None
-        else (known.give_up_ns if known is not None else int(TIMEOUT_MULTIPLE * aim))
-    )
-    origin[f"{at}.give_up_ns"] = (
-        "the description"
-        if kind.give_up_s is not None
-        else (source if known is not None else f"{TIMEOUT_MULTIPLE:g} times the wanted time")
-    )
-    if known is not None and give_up > known.give_up_ns:
+        is_repeatable = not known.never_twice and kind.repeat_harmless is not False
+        is_described = kind.repeat_harmless is not None and not known.never_twice
+        origin[f"{path}.effect"] = "the description" if is_described else source
+    if kind.wanted_ms is not None:
+        objective_ns = int(kind.wanted_ms * MS)
+        origin[f"{path}.aim_ns"] = "the description"
+    else:
+        objective_ns = int(known.aim_ns or 0) if known is not None else 0
+        origin[f"{path}.aim_ns"] = source
+    if kind.give_up_s is not None:
+        timeout_ns = int(kind.give_up_s * SECOND)
+        origin[f"{path}.give_up_ns"] = "the description"
+    elif known is not None:
+        timeout_ns = known.give_up_ns
+        origin[f"{path}.give_up_ns"] = source
+    else:
+        timeout_ns = int(TIMEOUT_MULTIPLE * objective_ns)
+        origin[f"{path}.give_up_ns"] = f"{TIMEOUT_MULTIPLE:g} times the wanted time"
+    if known is not None and timeout_ns > known.give_up_ns:
         raise DescriptionError(f"{name}: its clients give up after {known.give_up_ns / SECOND:g} s")
-    if aim > give_up:
+    if objective_ns > timeout_ns:
         raise DescriptionError(f"{name}: it is wanted only after its clients have given up")
-    worth = kind.worth if kind.worth is not None else known.worth if known is not None else 1.0
+    default_weight = known.worth if known is not None else 1.0
     return {
         "name": name,
-        "aim_ns": max(1, aim),
-        "give_up_ns": max(1, give_up),
-        "effect": "retryable" if safe else "fragile",
-        "worth": worth,
+        "aim_ns": max(1, objective_ns),
+        "give_up_ns": max(1, timeout_ns),
+        "effect": "retryable" if is_repeatable else "fragile",
+        "worth": default_weight if kind.worth is None else kind.worth,
     }
 
 
+def _check_kind(kind: Kind, known: catalogue.Kind | None, site: Catalogue | None) -> None:
+    """Raise DescriptionError where a kind contradicts the catalogue, or lacks what it does not say."""
+    if known is not None:
+        if known.never_twice and kind.repeat_harmless:
+            raise DescriptionError(f"{known.name} must never run twice, so a repeat is not harmless")
+    else:
+        names = [entry.name for entry in site.kinds] if site is not None else []
+        if meant := near(kind.name, names):
+            raise DescriptionError(
+                f"{kind.name} is nearly {meant}: write that, or a name nobody takes for it"
+            )
+        if kind.repeat_harmless is None:
+            raise DescriptionError(f"{kind.name}: say whether a repeat is harmless (repeat_harmless)")
+    if kind.wanted_ms is None and (known is None or known.aim_ns is None):
+        raise DescriptionError(f"{kind.name}: say within how many milliseconds it is wanted (wanted_ms)")
+
+
 def _stretch(kind: Kind, site: Catalogue | None) -> float:
     known = site.kind(kind.name) if site is not None else None
     return known.stretch if known is not None else 0.0
