--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from weldquay.lab.scale import check, page
 from weldquay.lab.scale.projections import crossing
 from weldquay.lab.scale.decisions import measure
-from weldquay.lab.scale.fleet import ChildFailed, Fleet, Played, Window, play
+from weldquay.lab.scale.fleet import ChildFailed, Fleet, Measurement, Window, play
 from weldquay.lab.scale.points import Point
 from weldquay.lab.scale.results import Result, Slope, spread
 
@@ -24,27 +24,27 @@
 
 
 @pytest.fixture(scope="module")
-def tiny() -> tuple[Played, Fleet, list[int]]:
+def tiny() -> tuple[Measurement, Fleet, list[int]]:
     """One tiny point, its fleet, and its processes that still run at the end.
 
     Played again where the machine stood still: what is compared was not measured then.
     """
     left: list[tuple[Fleet, list[int]]] = []
     for _ in range(TRIES):
-        played = asyncio.run(play(TINY, lambda fleet: left.append((fleet, fleet.left()))))
-        if check.steady(played):
+        measurement = asyncio.run(play(TINY, lambda fleet: left.append((fleet, fleet.left()))))
+        if check.steady(measurement):
             break
-    return played, left[-1][0], [pid for _, pids in left for pid in pids]
+    return measurement, left[-1][0], [pid for _, pids in left for pid in pids]
 
 
-def test_nothing_is_left(tiny: tuple[Played, Fleet, list[int]]) -> None:
+def test_nothing_is_left(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """Four processes of the run and the real dispatchers have ended."""
     _, fleet, left = tiny
     assert len(fleet.pids) == 2 and len(fleet.role) == 4 and left == []
 
 
 @pytest.mark.parametrize("name", [*check.BY_REQUEST, *check.BY_SECOND])
-def test_hollow_ones_speak_as_real_ones_do(name: str, tiny: tuple[Played, Fleet, list[int]]) -> None:
+def test_hollow_ones_speak_as_real_ones_do(name: str, tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """The same messages and bytes within twice the part that the check at its own size allows.
 
     Its span holds 25 requests of the real ones: some are counted in it by half.
@@ -53,7 +53,7 @@
     assert row.real > 0 and row.differs <= max(0.2, 2 * row.allowed), row
 
 
-def test_all_requests_are_served(tiny: tuple[Played, Fleet, list[int]]) -> None:
+def test_all_requests_are_served(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """Both sides' requests end well, but for those under way at the end."""
     figures = tiny[0].windows[0].figures
     for side in ("real", "hollow"):
@@ -74,7 +74,7 @@
     assert "workers" in told.value.advice() and fleets[0].left() == []
 
 
-def test_a_window_that_stood_still_is_no_measurement(tiny: tuple[Played, Fleet, list[int]]) -> None:
+def test_a_window_that_stood_still_is_no_measurement(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """With none left the check is an error, not a verdict."""
     stalled = Window({**tiny[0].windows[0].figures, "late_ms": 5000.0})
     both = msgspec.structs.replace(tiny[0], windows=[*tiny[0].windows, stalled])
@@ -86,7 +86,7 @@
 def result(axis: str, figures: list[tuple[dict[str, Any], list[dict[str, float]]]]) -> Result:
     """A result with these points."""
     points = [
-        Played(
+        Measurement(
             Point(axis, **point),
             [Window({"late_ms": 0.0, **each}) for each in windows],
             {"real": 100.0},
--- a/weldquay/lab/scale/__main__.py
+++ b/weldquay/lab/scale/__main__.py
@@ -15,7 +15,7 @@
 from weldquay.lab.scale import page as pages
 from weldquay.lab.scale import plot as plots
 from weldquay.lab.scale import results
-from weldquay.lab.scale.fleet import Played, play
+from weldquay.lab.scale.fleet import Measurement, play
 from weldquay.lab.scale.points import CHECK, SWEEPS, Point
 
 RUN_S = 240.0  # all points of a run; what is not played by then is left out and named
@@ -36,14 +36,14 @@
     """Measure how a fleet's parts grow, on loopback."""
 
 
-def _one(point: Point) -> Played:
+def _one(point: Point) -> Measurement:
     try:
         return asyncio.run(play(point))
     except OperatorError as error:
         raise click.ClickException(error.advice()) from None
 
 
-def _best(point: Point, until: float) -> Played:
+def _best(point: Point, until: float) -> Measurement:
     """Play a point, once more where the machine stood still and there is time; the steadier play."""
     plays = [_one(point)]
     if len(checking.steady(plays[0])) < point.windows and time.monotonic() < until:
@@ -63,7 +63,7 @@
     result = results.read(target) if target else results.Result()
     chosen = [point for point in SWEEPS if not axes or point.axis in axes]
     told = results.stamp(" ".join([COMMAND, "run", *(f"--axis {axis}" for axis in axes)]))
-    begun, found = time.monotonic(), list[Played]()
+    begun, found = time.monotonic(), list[Measurement]()
     for point in chosen:
         if time.monotonic() - begun > RUN_S:
             say(f"not played, {RUN_S:.0f} s are over: {point}")
@@ -102,10 +102,10 @@
 def check(target: Path | None) -> None:
     """Hold hollow dispatchers against real ones; status 1 where they differ by more than is allowed."""
     told, begun = results.stamp(f"{COMMAND} check"), time.monotonic()
-    played = _one(CHECK)
+    measurement = _one(CHECK)
     told.seconds = time.monotonic() - begun
     try:
-        rows = checking.compare(played)
+        rows = checking.compare(measurement)
     except checking.MachineStalled as error:
         raise click.ClickException(error.advice()) from None
     for row in rows:
@@ -115,7 +115,7 @@
         )
     if target:
         result = results.read(target)
-        result.points = [each for each in result.points if each.point.axis != CHECK.axis] + [played]
+        result.points = [each for each in result.points if each.point.axis != CHECK.axis] + [measurement]
         result.stamps["check"] = told
         results.write(target, result)
     sys.exit(not all(row.passed for row in rows))
--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -194,9 +194,9 @@
 def _all_reported_rows(result: Result) -> list[TableRow]:
     if (cost := find_cost(result)) is None:
         return []
-    cores = spread(cost.told_us).times(REQUESTS_PER_S / 1e6)
+    cores = spread(cost.all_reported_us).times(REQUESTS_PER_S / 1e6)
     name = "decisions, where all workers have just reported"
-    return [_cores_row(name, statistics.median(cost.told_us), cores)]
+    return [_cores_row(name, statistics.median(cost.all_reported_us), cores)]
 
 
 def _memory_rows(result: Result) -> list[TableRow]:
--- a/weldquay/lab/scale/check.py
+++ b/weldquay/lab/scale/check.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from weldquay.errors import OperatorError
-from weldquay.lab.scale.fleet import Played, Window
+from weldquay.lab.scale.fleet import Measurement, Window
 
 # What is compared, by request where requests cause it, else by second; the part by which they may differ.
 BY_REQUEST = {
@@ -49,15 +49,15 @@
         return self.differs <= self.allowed
 
 
-def steady(played: Played) -> list[Window]:
+def steady(measurement: Measurement) -> list[Window]:
     """The windows in which no process of the run stood still."""
-    return [window for window in played.windows if window.figures["late_ms"] < STALLED_MS]
+    return [window for window in measurement.windows if window.figures["late_ms"] < STALLED_MS]
 
 
-def compare(played: Played) -> list[Compared]:
+def compare(measurement: Measurement) -> list[Compared]:
     """All figures, over the steady windows of a point; MachineStalled where there is none."""
-    if not (windows := steady(played)):
-        most = max(window.figures["late_ms"] for window in played.windows)
+    if not (windows := steady(measurement)):
+        most = max(window.figures["late_ms"] for window in measurement.windows)
         raise MachineStalled(f"a process was {most:.0f} ms late")
 
     def total(name: str) -> float:
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -28,7 +28,7 @@
 WORKERS = (10, 100, 400, 1400)
 DISPATCHERS = (1, 410)
 REQUESTS = 200  # ten seconds
-TOLD_REQUESTS = 9
+ALL_REPORTED_REQUESTS = 9
 REPEATS = 5
 Say = Callable[[str], None]
 
@@ -40,13 +40,13 @@
     dispatchers: int
     requests: int  # in each repeat
     request_us: list[float]  # all steps of a request together, played
-    told_us: list[float]  # the same where every worker has just reported
+    all_reported_us: list[float] = msgspec.field(name="told_us")  # where every worker has just reported
     change_us: list[float]  # a step that takes in a list change of one worker
     list_us: list[float]  # a step that takes in the whole list
     probes: list[float]  # a request
 
 
-class Timed:
+class TimedDispatcher:
     """A dispatcher whose steps are timed."""
 
     def __init__(self, inner: Dispatcher) -> None:
@@ -76,40 +76,40 @@
     specs = [model.WorkerSpec(f"w-{number}", slots=32, cores=32, queue_limit=64) for number in range(workers)]
     for seed in range(1, repeats + 1):
         simulation = Simulation(Scenario(arrivals(requests, seed), specs, [told], seed, JOB_CLASSES))
-        timed = Timed(simulation.dispatchers[0])
-        simulation.dispatchers = [timed]  # type: ignore[list-item]  # it has the one method that is used
+        dispatcher = TimedDispatcher(simulation.dispatchers[0])
+        simulation.dispatchers = [dispatcher]  # type: ignore[list-item]  # it has the one method that is used
         result = simulation.run()
-        cost.request_us.append(timed.spent_s / requests * 1e6)
+        cost.request_us.append(dispatcher.spent_s / requests * 1e6)
         cost.probes.append(result.counts["probes"] / requests)
-        change_us, list_us = _list_cost(timed, workers, simulation.now_ns)
+        change_us, list_us = _list_cost(dispatcher, workers, simulation.now_ns)
         cost.change_us.append(change_us)
         cost.list_us.append(list_us)
-        cost.told_us.append(_worst_cost(told, workers, seed))
+        cost.all_reported_us.append(_all_reported_cost(told, workers, seed))
     return cost
 
 
-def _worst_cost(told: api.Settings, workers: int, seed: int) -> float:
+def _all_reported_cost(told: api.Settings, workers: int, seed: int) -> float:
     """The steps of one request where all workers have just reported: the median of some requests."""
-    timed, now_ns, found = Timed(Dispatcher(told, seed)), 1000 * model.SECOND, []
-    timed.step(now_ns, [api.EndpointListUpdate(api.EndpointListKind.FULL, _entries(workers))])
-    for number in range(TOLD_REQUESTS):
+    dispatcher, now_ns, found = TimedDispatcher(Dispatcher(told, seed)), 1000 * model.SECOND, []
+    dispatcher.step(now_ns, [api.EndpointListUpdate(api.EndpointListKind.FULL, _entries(workers))])
+    for number in range(ALL_REPORTED_REQUESTS):
         now_ns += model.SECOND // 20
         report = api.LoadReport(32.0, 32.0, queued_requests=0.0)
-        news: list[api.Event] = [
+        reports: list[api.Event] = [
             api.ProbeEnded(worker + 1, api.Outcome.OK, model.MS, report) for worker in range(workers)
         ]
-        timed.step(now_ns, news)
-        timed.spent_s = 0.0
-        actions = timed.step(now_ns, [api.RequestReceived(number, 0, 2 * model.SECOND)])
+        dispatcher.step(now_ns, reports)
+        dispatcher.spent_s = 0.0
+        actions = dispatcher.step(now_ns, [api.RequestReceived(number, 0, 2 * model.SECOND)])
         for action in actions:
             if isinstance(action, api.Send):
                 started = api.AttemptProgress(number, 0, action.worker)
                 ended = api.AttemptEnded(
                     number, 0, action.worker, api.Outcome.OK, 20 * model.MS, True, report
                 )
-                timed.step(now_ns + model.MS, [started])
-                timed.step(now_ns + 20 * model.MS, [ended])
-        found.append(timed.spent_s * 1e6)
+                dispatcher.step(now_ns + model.MS, [started])
+                dispatcher.step(now_ns + 20 * model.MS, [ended])
+        found.append(dispatcher.spent_s * 1e6)
     return statistics.median(found)
 
 
@@ -120,7 +120,7 @@
     )
 
 
-def _list_cost(timed: Timed, workers: int, now_ns: int) -> tuple[float, float]:
+def _list_cost(dispatcher: TimedDispatcher, workers: int, now_ns: int) -> tuple[float, float]:
     """A change of one worker and the whole list: the median of some steps each."""
     entries = _entries(workers)
     found: list[list[float]] = [[], []]
@@ -135,20 +135,24 @@
             ),
             strict=True,
         ):
-            before, now_ns = timed.spent_s, now_ns + 1_000_000
-            timed.step(now_ns, [event])
-            times.append((timed.spent_s - before) * 1e6)
+            before, now_ns = dispatcher.spent_s, now_ns + 1_000_000
+            dispatcher.step(now_ns, [event])
+            times.append((dispatcher.spent_s - before) * 1e6)
     return statistics.median(found[0]), statistics.median(found[1])
 
 
 def measure_all(
     workers: Sequence[int] = WORKERS, dispatchers: Sequence[int] = DISPATCHERS, say: Say = lambda _: None
 ) -> list[Cost]:
-    """All sizes."""
-    found = []
-    for each in dispatchers:
-        for count in workers:
-            found.append(measure(count, each))
-            played, told = (statistics.median(row) for row in (found[-1].request_us, found[-1].told_us))
-            say(f"{count} workers, {each} dispatchers: {played:.0f} us, all told {told:.0f} us")
-    return found
+    """Return the costs of all sizes."""
+    costs = []
+    for dispatcher_count in dispatchers:
+        for worker_count in workers:
+            cost = measure(worker_count, dispatcher_count)
+            costs.append(cost)
+            say(
+                f"{worker_count} workers, {dispatcher_count} dispatchers: "
+                f"{statistics.median(cost.request_us):.0f} us, "
+                f"all reported {statistics.median(cost.all_reported_us):.0f} us"
+            )
+    return costs
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -92,8 +92,8 @@
     figures: dict[str, float]
 
 
-class Played(msgspec.Struct):
-    """A point with its windows."""
+class Measurement(msgspec.Struct):
+    """The figures of one point; its fields are those of the stored JSON."""
 
     point: Point
     windows: list[Window]
@@ -169,7 +169,7 @@
     return moments
 
 
-async def play(point: Point, check: Callable[[Fleet], None] = lambda _: None) -> Played:
+async def play(point: Point, check: Callable[[Fleet], None] = lambda _: None) -> Measurement:
     """Play one point; `check` sees the fleet once all its processes have ended.
 
     ChildFailed where a process ends early, does not answer, or is left; TooLarge where it takes too much.
@@ -189,7 +189,7 @@
         side: first.get(f"{side}.lists_bytes", 0) / max(1, first.get(f"{side}.lists", 0))
         for side in ("real", "hollow")
     }
-    return Played(
+    return Measurement(
         point,
         [Window(figures(point, *pair)) for pair in pairs],
         lists,
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -99,11 +99,11 @@
 
 def check(result: Result) -> str:
     """Hollow ones beside real ones."""
-    played = [each for each in result.points if each.point.axis == CHECK.axis]
-    if not played:
+    measurement = [each for each in result.points if each.point.axis == CHECK.axis]
+    if not measurement:
         return "Not measured.\n"
     try:
-        found = compare(played[0])
+        found = compare(measurement[0])
     except MachineStalled as error:
         return f"Not measured: {error}.\n"
     rows = [
@@ -176,7 +176,7 @@
             number(cost.dispatchers),
             number(cost.workers),
             shown(spread(cost.request_us)),
-            shown(spread(cost.told_us)),
+            shown(spread(cost.all_reported_us)),
             shown(spread(cost.change_us)),
             shown(spread(cost.list_us)),
             number(statistics.median(cost.probes)),
--- a/weldquay/lab/scale/plot.py
+++ b/weldquay/lab/scale/plot.py
@@ -55,7 +55,7 @@
     place = axes.flat[-1]
     for count in sorted({cost.dispatchers for cost in result.decisions}):
         rows = [cost for cost in result.decisions if cost.dispatchers == count]
-        for kind, style in (("request_us", "-"), ("told_us", "--")):
+        for kind, style in (("request_us", "-"), ("all_reported_us", "--")):
             times = [statistics.median(getattr(cost, kind)) for cost in rows]
             word = "played" if kind == "request_us" else "all told"
             place.plot([cost.workers for cost in rows], times, style, marker="o", label=f"{count}, {word}")
--- a/weldquay/lab/scale/projections.py
+++ b/weldquay/lab/scale/projections.py
@@ -95,7 +95,7 @@
     controls: list[tuple[float, Figure]] = []
     all_reported: list[tuple[float, Figure]] = []
     for cost in costs:
-        all_reported.append((float(cost.workers), spread(cost.told_us).times(REQUESTS_PER_S / 1e6)))
+        all_reported.append((float(cost.workers), spread(cost.all_reported_us).times(REQUESTS_PER_S / 1e6)))
         if len(parts := control(result, cost.workers)) == CONTROL_PARTS:
             controls.append((float(cost.workers), total(parts)))
     rows = []
--- a/weldquay/lab/scale/results.py
+++ b/weldquay/lab/scale/results.py
@@ -13,7 +13,7 @@
 
 from weldquay.lab.scale import proc
 from weldquay.lab.scale.decisions import Cost
-from weldquay.lab.scale.fleet import Played
+from weldquay.lab.scale.fleet import Measurement
 from weldquay.lab.scale.points import Point
 
 
@@ -33,7 +33,7 @@
     """All that was measured; each part has a stamp by its name."""
 
     stamps: dict[str, Stamp] = {}
-    points: list[Played] = []
+    points: list[Measurement] = []
     decisions: list[Cost] = []
 
 
@@ -104,14 +104,14 @@
     return Figure(min(values), statistics.median(values), max(values))
 
 
-def on_axis(result: Result, axis: str, key: Callable[[Point], float]) -> list[Played]:
+def on_axis(result: Result, axis: str, key: Callable[[Point], float]) -> list[Measurement]:
     """The points of one axis, in order."""
     return sorted((each for each in result.points if each.point.axis == axis), key=lambda p: key(p.point))
 
 
-def level(played: Played, name: str) -> Figure:
+def level(measurement: Measurement, name: str) -> Figure:
     """A figure at one point, over its windows."""
-    return spread([window.figures.get(name, 0.0) for window in played.windows])
+    return spread([window.figures.get(name, 0.0) for window in measurement.windows])
 
 
 class Slope(msgspec.Struct, frozen=True):
@@ -139,10 +139,10 @@
             rows.append(statistics.linear_regression(xs, ys))
         return spread([row.slope for row in rows]), spread([row.intercept for row in rows])
 
-    def _x(self, played: Played, number: int) -> float:
+    def _x(self, measurement: Measurement, number: int) -> float:
         if self.x.startswith("point."):
-            return float(getattr(played.point, self.x.removeprefix("point.")))
-        return played.windows[number].figures.get(self.x, 0.0)
+            return float(getattr(measurement.point, self.x.removeprefix("point.")))
+        return measurement.windows[number].figures.get(self.x, 0.0)
 
 
 REQUESTS = ("requests", "real.requests")
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from weldquay.lab.scale.budget import ProcessCost, request_and_probe
-from weldquay.lab.scale.fleet import Played
+from weldquay.lab.scale.fleet import Measurement
 from weldquay.lab.scale.results import Figure, Result, level
 from weldquay.lab.scale.targets import (
     DISPATCHERS,
@@ -27,8 +27,8 @@
 class Loads:
     """What the rows are made of; slopes are per request, per listed worker, per change or per dispatcher."""
 
-    full_size: Played  # all dispatchers and workers
-    many_dispatchers: Played  # all dispatchers, 100 workers
+    full_size: Measurement  # all dispatchers and workers
+    many_dispatchers: Measurement  # all dispatchers, 100 workers
     process: ProcessCost
     attempts: float  # a request
     callbacks: float  # a request
--- a/weldquay/lab/scale/targets.py
+++ b/weldquay/lab/scale/targets.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from weldquay.lab.scale.decisions import Cost
-from weldquay.lab.scale.fleet import Played
+from weldquay.lab.scale.fleet import Measurement
 from weldquay.lab.scale.results import SLOPES, Result
 
 DISPATCHERS = 410
@@ -44,7 +44,7 @@
     return next((cost for cost in result.decisions if (cost.workers, cost.dispatchers) == size), None)
 
 
-def find_point(result: Result, axis: str, field: str, value: float) -> Played | None:
+def find_point(result: Result, axis: str, field: str, value: float) -> Measurement | None:
     """Return the measured point of an axis at which a field has this value, or None."""
     on_axis = (measured for measured in result.points if measured.point.axis == axis)
     return next((measured for measured in on_axis if getattr(measured.point, field) == value), None)
