--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -27,7 +27,7 @@
 from collections.abc import Callable, Sequence
 
 from weldquay.fleet.hashing import mix
-from weldquay.fleet.subset import MIN_SUBSET_SIZE, MIN_DISPATCHERS_PER_WORKER, subset
+from weldquay.fleet.subset import MIN_DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE, subset
 
 FLEETS = (
     (3, 10),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,10 +10,10 @@
 import pytest
 
 from weldquay.lab.scale import check, page
-from weldquay.lab.scale.projections import crossing
 from weldquay.lab.scale.decisions import measure
 from weldquay.lab.scale.fleet import ChildFailed, Fleet, Measurement, Window, play
 from weldquay.lab.scale.points import Point
+from weldquay.lab.scale.projections import crossing
 from weldquay.lab.scale.results import Result, Slope, spread
 
 TINY = Point(
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -12,7 +12,7 @@
 
 from weldquay.config import reading
 from weldquay.config.catalogue import Catalogue
-from weldquay.config.rules import RULES, Finding, Level, Rule, CheckContext
+from weldquay.config.rules import RULES, CheckContext, Finding, Level, Rule
 
 MAX_FINDINGS_PER_RULE = 1000  # a long list may have the same error in every entry
 
--- a/weldquay/config/rules/__init__.py
+++ b/weldquay/config/rules/__init__.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from weldquay.config.rules import customers, jobs, keys, limits, times, whole
-from weldquay.config.rules.base import RULES, Finding, Level, Rule, CheckContext
+from weldquay.config.rules.base import RULES, CheckContext, Finding, Level, Rule
 
 __all__ = [
     "RULES",
--- a/weldquay/config/rules/customers.py
+++ b/weldquay/config/rules/customers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule
+from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule
 
 ROUNDING = 0.005  # shares in whole hundredths
 
--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import Findings, Level, CheckContext, rule
+from weldquay.config.rules.base import CheckContext, Findings, Level, rule
 
 
 @rule(
--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -10,7 +10,7 @@
 
 from weldquay.config import schema
 from weldquay.config.reading import Steps
-from weldquay.config.rules.base import Findings, Level, Rule, CheckContext, add, rule
+from weldquay.config.rules.base import CheckContext, Findings, Level, Rule, add, rule
 
 for _number, _title, _why, _bad, _good in (
     (
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -5,7 +5,7 @@
 import ipaddress
 from typing import Any
 
-from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule, seconds
+from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
 from weldquay.limits import BASE_MB, BYTES_EACH, LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT, RESERVE
 
 WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
--- a/weldquay/config/rules/times.py
+++ b/weldquay/config/rules/times.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule, seconds
+from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
 
 
 @rule(
--- a/weldquay/config/rules/whole.py
+++ b/weldquay/config/rules/whole.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules.base import Findings, Level, CheckContext, figure, rule
+from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule
 
 REPORT_FIELDS = (
     "busy_reqs",
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -22,7 +22,7 @@
 from weldquay.lab.http import Message, Server
 from weldquay.lab.scale.counts import CountingPool, Tally, hollow_address
 from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body
-from weldquay.net.discovery_client import RESPONSE_TIMEOUT_S, HEARTBEAT_S, HEARTBEAT_GRACE_S
+from weldquay.net.discovery_client import HEARTBEAT_GRACE_S, HEARTBEAT_S, RESPONSE_TIMEOUT_S
 from weldquay.net.messages import JobPayload, job_headers, watch_target
 from weldquay.policy.limits import FRESH_REPORT_NS, PROBE_WAIT_NS
 from weldquay.policy.placement import MIN_FRESH_CANDIDATES
