--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -216,14 +216,8 @@
     load({"GW_CONFIG": str(path), "GW_CATALOGUE": "sapporo-tm"})
 
 
-@pytest.mark.parametrize(("path", "value", "rule", "text"), BAD)
-def test_what_is_an_error_does_not_start(
-    path: str,
-    value: Any,
-    rule: str,
-    text: str,
-    tmp_path: Path,
-) -> None:
+@pytest.mark.parametrize(("path", "value"), [(path, value) for path, value, *_ in BAD])
+def test_what_is_an_error_does_not_start(path: str, value: Any, tmp_path: Path) -> None:
     """The same meaning in the program: each broken file is refused there too, in one line."""
     file = tmp_path / "config.json"
     file.write_text(json.dumps(good(**{path: value})))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -27,7 +27,7 @@
 DRAINING = api.WorkerState.DRAINING
 
 
-def play(
+def play(  # noqa: PLR0913  # the dimensions of a run, each with its default
     load: float = 0.8,
     dispatchers: int = 1,
     room: ReservationSettings | None = None,
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -182,7 +182,7 @@
         super().__init__()
         self.values, self.go = values, asyncio.Semaphore(0)
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """Serve a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for value in self.values:
@@ -265,7 +265,7 @@
 
     async def slow(host: str, port: int, limit: int) -> Any:
         if stalls:
-            time.sleep(stalls.pop())
+            time.sleep(stalls.pop())  # noqa: ASYNC251  # the stall of the loop is what is tested
         return await connect(host, port, limit)
 
     async def scenario() -> None:
@@ -303,7 +303,7 @@
         "give_up_ns": 30 * SECOND,
     }  # for a busy machine
     contents["limits"] = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
-    path.write_text(json.dumps(contents))
+    path.write_text(json.dumps(contents))  # noqa: ASYNC240
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "weldquay"),
         env={**os.environ, "GW_CONFIG": str(path)},
@@ -326,7 +326,7 @@
         async with asyncio.timeout(60):
             await wait_until_serving(process)
             await asyncio.gather(*map(client, range(clients)))
-            status = Path(f"/proc/{process.pid}/status").read_text()
+            status = Path(f"/proc/{process.pid}/status").read_text()  # noqa: ASYNC240
             process.terminate()
             assert process.stderr is not None
             log = (await process.stderr.read()).decode()
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -60,7 +60,7 @@
     try:
         made = writer.compose(writer.describe(told), SITE)
     except writer.DescriptionError as error:
-        assert "nearly" in str(error)
+        assert "nearly" in str(error)  # noqa: PT017  # a description may also be complete
         return
     assert [each for each in checking.check(writer.text(made).encode(), SITE) if each.error] == []
     for row in made["settings"]["services"]:
--- a/weldquay/config/reading.py
+++ b/weldquay/config/reading.py
@@ -153,7 +153,7 @@
     return before.count("\n") + 1, len(before) - (before.rfind("\n") + 1) + 1
 
 
-def places(text: str) -> Iterator[tuple[Steps, int]]:
+def places(text: str) -> Iterator[tuple[Steps, int]]:  # noqa: C901  # one pass over the tokens
     """Yield the path of each value and its offset (of its key, in an object), in the order of the text.
 
     The text must be JSON; duplicate keys come twice.
--- a/weldquay/config/rules/base.py
+++ b/weldquay/config/rules/base.py
@@ -116,7 +116,7 @@
 RULES: dict[str, Rule] = {}
 
 
-def rule(
+def rule(  # noqa: PLR0913  # the columns of the table of rules, by keyword
     number: str,
     level: Level,
     title: str,
--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -153,7 +153,7 @@
         await self.real.start()
         return {"callers": [node.address for node in self.real.nodes], "pids": self.real.pids()}
 
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:
+    async def go(self, told: dict[str, Any]) -> dict[str, Any]:  # noqa: ARG002  # as in `Role`
         """Begin the requests."""
         assert self.real is not None
         self.real.load()
