--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
+MAX_FILE_LINES = 400
 
 
 def test_deploy_file_lists_all_policy_modules() -> None:
@@ -29,3 +30,9 @@
     """This holds for all modules of the package."""
     for path in (ROOT / "weldquay").rglob("*.py"):
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path.name
+
+
+def test_no_file_is_long() -> None:
+    """At most 400 lines in any file of the program."""
+    lengths = {path: len(path.read_text().splitlines()) for path in (ROOT / "weldquay").rglob("*.py")}
+    assert {path.name: length for path, length in lengths.items() if length > MAX_FILE_LINES} == {}
