--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,6 +12,7 @@
 
 from example.toy import request, write_message
 from tests.failing_discovery import Failing, revision_then_reset
+from tests.processes import free_port, wait_until_serving
 from tests.site import Scripted, document, job
 from weldquay.lab.site import reserve
 from weldquay.limits import LEAST_SOCKETS
@@ -24,20 +25,6 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_SOCKETS, LEAST_SOCKETS))
 
 
-async def wait_until_serving(process: asyncio.subprocess.Process) -> None:
-    """Wait for the log line."""
-    assert process.stderr is not None
-    while b"is serving" not in (line := await process.stderr.readline()):
-        assert line
-
-
-def free_port() -> int:
-    """A port that is not in use."""
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return int(sock.getsockname()[1])
-
-
 def test_idle_clients_leave_descriptors_for_all_else(tmp_path: Any) -> None:
     """For jobs, callbacks, operators' requests and the endpoint list once discovery is back."""
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,8 +20,8 @@
 from example.toy import NO_LOAD, Discovery, Message, Server, write_message
 from tests.helpers import MS, SECOND, Drive, sends, settings
 from tests.newer_process import newer_process
+from tests.processes import free_port, wait_until_serving
 from tests.site import ACCEPTED, Scripted, document, site, until
-from tests.test_descriptors import free_port, wait_until_serving
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -80,11 +80,6 @@
         """True while a request is open or an attempt is in flight."""
         return bool(self.requests or self.attempts)
 
-    @property
-    def calls(self) -> dict[int, ClientRequest]:
-        """The requests by number."""
-        return self.requests.by_number
-
     # --- requests of clients ---
 
     def submit(
