--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,14 +15,14 @@
 from tests.processes import free_port, wait_until_serving
 from tests.site import Scripted, document, job
 from weldquay.lab.site import reserve
-from weldquay.limits import LEAST_SOCKETS
+from weldquay.limits import MIN_SOCKETS
 
-IDLE_CLIENTS = LEAST_SOCKETS + 60  # more than there are descriptors
+IDLE_CLIENTS = MIN_SOCKETS + 60  # more than there are descriptors
 
 
 def limit_descriptors() -> None:
     """Set the deployment's limit, in the child process."""
-    resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_SOCKETS, LEAST_SOCKETS))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (MIN_SOCKETS, MIN_SOCKETS))
 
 
 def test_idle_clients_leave_descriptors_for_all_else(tmp_path: Any) -> None:
@@ -37,7 +37,7 @@
         address = failing.address
         path = tmp_path / "config.json"
         config = document()
-        config["limits"]["sockets"] = LEAST_SOCKETS
+        config["limits"]["sockets"] = MIN_SOCKETS
         endpoint = {
             "id": "w0",
             "host_port": worker.address,
@@ -70,7 +70,7 @@
                 for _ in range(IDLE_CLIENTS):
                     idle_clients.append(socket.create_connection((host, int(number))))
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert open_descriptors <= LEAST_SOCKETS - 20  # the reserve is free
+                assert open_descriptors <= MIN_SOCKETS - 20  # the reserve is free
                 assert (await request(listen, job("c1"))).body == b"TEXT"
                 assert (await request(listen, write_message("GET /_health HTTP/1.1"))).status == 200
                 ready = await request(mgmt, write_message("GET /control/ready HTTP/1.1"))
@@ -79,7 +79,7 @@
                 # Until the endpoint list has the worker as draining.
                 while (await request(listen, job("late", left_ms=500))).status != 503:
                     idle_clients.append(socket.create_connection((host, int(number))))
-                assert len(os.listdir(f"/proc/{process.pid}/fd")) <= LEAST_SOCKETS - 20
+                assert len(os.listdir(f"/proc/{process.pid}/fd")) <= MIN_SOCKETS - 20
                 process.terminate()
                 assert await process.wait() == 0
         finally:
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -9,7 +9,7 @@
 import signal
 import sys
 
-from weldquay.net.config import Config, ConfigError, load, load_kept
+from weldquay.net.config import Config, ConfigError, load, load_saved
 from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.hot_restart import is_peer_listening
 from weldquay.net.persistence import StateFile
@@ -50,7 +50,7 @@
     name = os.environ.get("GW_NAME", "")
     if not name or not is_peer_listening(name):
         return None
-    return load_kept(os.environ, StateFile(name, ".config").read())
+    return load_saved(os.environ, StateFile(name, ".config").read())
 
 
 def _report_older_config(error: ConfigError) -> None:
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
-from weldquay.limits import BASE_MB, BYTES_EACH, LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT, RESERVE
+from weldquay.limits import BASE_MB, BYTES_EACH, MIN_MEMORY_MB, MIN_SOCKETS, MAX_PORT, RESERVE
 
 WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
 
@@ -124,7 +124,7 @@
     good='{"sockets": 256, "memory_mb": 64}',
 )
 def _below_minimum(context: CheckContext) -> Findings:
-    for name, minimum in (("sockets", LEAST_SOCKETS), ("memory_mb", LEAST_MEMORY_MB)):
+    for name, minimum in (("sockets", MIN_SOCKETS), ("memory_mb", MIN_MEMORY_MB)):
         value = context.number("limits", name)
         if value is not None and value < minimum:
             yield ("limits", name), f"limits.{name} is {value:g}: the program needs {minimum} at least"
@@ -145,7 +145,7 @@
     memory = figure(limits.get("memory_mb"), 192.0) or 192.0
     capacity = int(min(sockets * (1 - WORKERS_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH))
     value = context.number("settings", "caps", "max_open")
-    if value is not None and value > capacity and sockets >= LEAST_SOCKETS and memory >= LEAST_MEMORY_MB:
+    if value is not None and value > capacity and sockets >= MIN_SOCKETS and memory >= MIN_MEMORY_MB:
         yield (
             ("settings", "caps", "max_open"),
             (
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -12,7 +12,7 @@
 from weldquay import interface as api
 from weldquay.config import reading
 from weldquay.errors import OperatorError
-from weldquay.limits import LEAST_MEMORY_MB, LEAST_SOCKETS, MAX_PORT
+from weldquay.limits import MIN_MEMORY_MB, MIN_SOCKETS, MAX_PORT
 from weldquay.net.messages import EndpointList, MessageError, endpoint_list_from_json
 from weldquay.settings import FlatSettings, decode_settings
 
@@ -178,7 +178,7 @@
     return reservation_settings.check(settings, "room")
 
 
-def load_kept(environ: Mapping[str, str], document: object) -> Config | None:
+def load_saved(environ: Mapping[str, str], document: object) -> Config | None:
     """The configuration of a document that an older process saved; None if it is invalid."""
     try:
         return read(environ, document) if isinstance(document, dict) else None
@@ -289,8 +289,8 @@
         report_fields=dict(zip(flat.items("load_info.fields"), field_meanings, strict=True)),
         connect_timeout_ns=flat.integer("caps.connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS),
         max_open=flat.integer("caps.max_open", DEFAULT_MAX_OPEN),
-        sockets=_limit(limits, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS),
-        memory_mb=_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB),
+        sockets=_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
+        memory_mb=_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
         known=_known_list(document.get("known")),
         lease=api.LeaseState(),
         document=document,
