--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
-from weldquay.limits import BASE_MB, BYTES_EACH, MIN_MEMORY_MB, MIN_SOCKETS, MAX_PORT, RESERVE
+from weldquay.limits import BASE_MB, BYTES_EACH, MAX_PORT, MIN_MEMORY_MB, MIN_SOCKETS, RESERVE
 
 WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
 
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -12,7 +12,7 @@
 from weldquay import interface as api
 from weldquay.config import reading
 from weldquay.errors import OperatorError
-from weldquay.limits import MIN_MEMORY_MB, MIN_SOCKETS, MAX_PORT
+from weldquay.limits import MAX_PORT, MIN_MEMORY_MB, MIN_SOCKETS
 from weldquay.net.messages import EndpointList, MessageError, endpoint_list_from_json
 from weldquay.settings import FlatSettings, decode_settings
 
