--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -20,7 +20,7 @@
 
 ROOT = Path(weldquay.__file__).parent
 # Roots of errors that are handled inside the program and are never shown to operators.
-INTERNAL_ROOTS = {"WorkerRequestError", "_Doubled", "_NotFinite", "OperatorError"}
+INTERNAL_ROOTS = {"WorkerRequestError", "_DuplicateKey", "_NotFinite", "OperatorError"}
 
 
 def error_classes() -> list[type[OperatorError]]:
