--- a/weldquay/candidates/inputs.py
+++ b/weldquay/candidates/inputs.py
@@ -24,7 +24,7 @@
         reinstated: numbers of workers whose ban was lifted and that have got no request since.
         recently_reported: workers whose load report counts, oldest report first.
         scheduler: the reservations.
-        runtimes: learnt running times.
+        runtimes: learned running times.
         mean_slots: mean capacity of a worker, in slots.
         now_ns: time of the step, in nanoseconds.
         ready_workers: workers that may be used, in the order of the list; a new list at each change.
--- a/weldquay/candidates/queue_order.py
+++ b/weldquay/candidates/queue_order.py
@@ -35,11 +35,11 @@
 
         Args:
             context: the step.
-            runtimes: its version shows that learnt running times have changed.
+            runtimes: its version shows that learned running times have changed.
             queued: the queue, by request id.
             priority: returns the priority of a request, and sets its `latest_start_ns` and
                 `priority_valid_until_ns`. It depends on the settings, on the dispatcher's end and, for a
-                request without a hint, on learnt running times.
+                request without a hint, on learned running times.
         """
         self.context = context
         self.runtimes = runtimes
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -38,7 +38,7 @@
         self.configure_classes(first_ns)
 
     def configure_classes(self, first_ns: Iterable[int], offered: Iterable[bool] = ()) -> None:
-        """Add the classes that are new; those known before keep what was learnt.
+        """Add the classes that are new; those known before keep what was learned.
 
         Args:
             first_ns: initial running time of each class, old and new, in nanoseconds.
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -21,14 +21,14 @@
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"
+    OVERLOADED = "overloaded"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    ABORTED_BEFORE_SEND = "moot"
+    ABORTED_BEFORE_SEND = "aborted_before_send"
     UNKNOWN = "unknown"
-    UNPROCESSABLE = "rejected"
+    UNPROCESSABLE = "unprocessable"
 
     @property
     def never_executed(self) -> bool:
@@ -56,8 +56,8 @@
     DELTA = "delta"
     FULL = "full"
     CACHED = "cached"
-    UNCHANGED = "current"
-    ADDRESS_CHANGED = "moved"
+    UNCHANGED = "unchanged"
+    ADDRESS_CHANGED = "address_changed"
     FAILED = "failed"
 
 
@@ -71,10 +71,10 @@
     """
 
     REFUSED = "refused"
-    CONNECT_TIMEOUT = "unreached"
+    CONNECT_TIMEOUT = "connect_timeout"
     CLOSED = "closed"
-    HEARTBEAT_TIMEOUT = "silent"
-    RESPONSE_TIMEOUT = "unanswered"
+    HEARTBEAT_TIMEOUT = "heartbeat_timeout"
+    RESPONSE_TIMEOUT = "response_timeout"
     BUSY = "busy"
 
 
--- a/weldquay/interface/worker_snapshot.py
+++ b/weldquay/interface/worker_snapshot.py
@@ -34,7 +34,7 @@
     Attributes:
         free_slots: by its last load report, less its queue; None without a report.
         free_memory: by its last load report; None without a report.
-        estimated_slots: its capacity as learnt from its reports; 0 while unknown.
+        estimated_slots: its capacity as learned from its reports; 0 while unknown.
         reported_ns: when its last load report arrived.
         unreported_changes: load changes that its last report may not contain.
         unreported_slots: sum of the slots of `unreported_changes`.
--- a/weldquay/policy/assembly.py
+++ b/weldquay/policy/assembly.py
@@ -67,7 +67,7 @@
         self._build_queue()
 
     def _build_estimates(self, settings: Settings) -> None:
-        """Build what is learnt, and the index of candidates, which reads it."""
+        """Build what is learned, and the index of candidates, which reads it."""
         context = self.context
         self.runtimes = RuntimeEstimator(rules.latency_objective_ns for rules in settings.classes)
         self.report_interval = ReportIntervalEstimator()
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of workers: what they change and what is learnt from them."""
+"""Load reports of workers: what they change and what is learned from them."""
 
 from __future__ import annotations
 
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -136,7 +136,7 @@
         is_sign_of_life: the worker has answered, so an ejection ends.
         is_connection_reusable: the attempt leaves an idle connection to the worker.
         finishes_request: the client has its answer.
-        learn: what is learnt from the outcome; None: nothing.
+        learn: what is learned from the outcome; None: nothing.
     """
 
     is_sign_of_life: bool = False
--- a/weldquay/policy/runtime_model.py
+++ b/weldquay/policy/runtime_model.py
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True, eq=False)
 class RuntimeModel:
-    """Running times by request, class and machine kind, learnt from the attempts that succeed.
+    """Running times by request, class and machine kind, learned from the attempts that succeed.
 
     Attributes:
         context: the step.
-        estimator: learnt means by class and machine kind.
-        scheduler: holds the learnt bias of runtime hints.
+        estimator: learned means by class and machine kind.
+        scheduler: holds the learned bias of runtime hints.
     """
 
     context: StepContext
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -132,7 +132,7 @@
         entry: its entry in the endpoint list.
         free_slots: by its last load report, negative for queued requests; None without a report.
         free_memory: by its last load report; None without one.
-        estimated_slots: its capacity as learnt from its reports; 0 while unknown.
+        estimated_slots: its capacity as learned from its reports; 0 while unknown.
         report: its last load report.
         reported_ns: when the last load report arrived, with new figures or the same.
         unreported_changes: own load changes that the last report may not contain: (time, slots, memory).
