--- a/weldquay/net/client_connection.py
+++ b/weldquay/net/client_connection.py
@@ -29,7 +29,7 @@
 from weldquay.net.lingering_close import READ_SIZE, LingeringClose
 from weldquay.net.request_handler import RequestHandler
 from weldquay.net.requests import AcceptedRequest
-from weldquay.net.streams import WRITABLE, CountingReader, has_event, unread
+from weldquay.net.streams import WRITABLE, CountingReader, has_event, has_unread_bytes
 
 MAX_POSTPONED_TIMEOUTS = 3  # 0.3 s of a client that keeps sending, more only while the event loop is late
 
@@ -151,7 +151,7 @@
 
     def has_unread_data(self) -> bool:
         """True where bytes, or the end of the stream, have arrived and are not read yet."""
-        return unread(self.reader, self.writer)
+        return has_unread_bytes(self.reader, self.writer)
 
     def has_unsent_data(self) -> bool:
         """True while a part of an answer is not yet in the system's send buffer."""
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -20,7 +20,7 @@
 from weldquay.net.lingering_close import READ_SIZE
 from weldquay.net.read_ahead import ReadAheadBudget
 from weldquay.net.request_coordinator import RequestCoordinator
-from weldquay.net.streams import READABLE, CountingReader, poll_now
+from weldquay.net.streams import READABLE, CountingReader, socket_has_event
 
 log = logging.getLogger(__name__)
 
@@ -231,7 +231,7 @@
 
     async def _empty_listen_queue(self) -> None:
         while self.listener is not None and self.server is not None:
-            if not poll_now(self.listener, READABLE):
+            if not socket_has_event(self.listener, READABLE):
                 return
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
 
--- a/weldquay/net/streams.py
+++ b/weldquay/net/streams.py
@@ -22,22 +22,22 @@
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit)
-        self.buffered = 0  # bytes
+        self.buffered_bytes = 0
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
         """Add received bytes to the buffer."""
         data = bytes(data)
-        self.buffered += len(data)
+        self.buffered_bytes += len(data)
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
         """Up to n bytes of the buffer; b"" at the end of the stream."""
         data = await super().read(n)
-        self.buffered -= len(data)
+        self.buffered_bytes -= len(data)
         return data
 
 
-def poll_now(sock: socket.socket, events: int) -> bool:
+def socket_has_event(sock: socket.socket, events: int) -> bool:
     """True if one of the poll events is set on a socket, without waiting.  Raises ValueError if closed."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
@@ -46,12 +46,12 @@
 
 def has_event(writer: asyncio.StreamWriter, events: int) -> bool:
     """True if one of the poll events is set on a connection; False once it is closed on this side."""
-    return not writer.is_closing() and poll_now(writer.get_extra_info("socket"), events)
+    return not writer.is_closing() and socket_has_event(writer.get_extra_info("socket"), events)
 
 
-def unread(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
+def has_unread_bytes(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
     """True if bytes or the end of the stream have arrived and are unread."""
-    return reader.buffered > 0 or has_event(writer, READABLE)
+    return reader.buffered_bytes > 0 or has_event(writer, READABLE)
 
 
 async def connect(host: str, port: int, limit: int) -> tuple[CountingReader, asyncio.StreamWriter]:
--- a/weldquay/net/worker_connection.py
+++ b/weldquay/net/worker_connection.py
@@ -10,7 +10,7 @@
 import h11
 
 from weldquay.net.messages import MAX_BODY, Body
-from weldquay.net.streams import CountingReader, unread
+from weldquay.net.streams import CountingReader, has_unread_bytes
 
 READ_SIZE = 64 * 1024  # bytes
 MAX_HEAD = 16 * 1024  # bytes of a response's head
@@ -100,7 +100,7 @@
             return False
         if self.reader.at_eof() or self.writer.is_closing():
             return False
-        if self.reader.buffered or self.http.trailing_data[0]:
+        if self.reader.buffered_bytes or self.http.trailing_data[0]:
             return False  # bytes after a response would be read as the response to the next request
         self.http.start_next_cycle()
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -109,7 +109,7 @@
 
     def is_usable(self) -> bool:
         """True if nothing has arrived on the idle connection: neither its end nor unexpected bytes."""
-        return not self.writer.is_closing() and not unread(self.reader, self.writer)
+        return not self.writer.is_closing() and not has_unread_bytes(self.reader, self.writer)
 
     def resume_reading(self) -> None:
         """End the idle state: read from the socket again."""
