--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -42,7 +42,9 @@
             await worker.tell("c1", state="started")
             async with newer_process(here) as newer:
                 assert newer.service.is_ready() and older.phase is Phase.MIGRATING
-                assert newer.coordinator.bans == {"w0"} and newer.server.context.peer_request_ids == {"c1"}
+                assert newer.coordinator.banned_worker_ids == {
+                    "w0"
+                } and newer.server.context.peer_request_ids == {"c1"}
                 assert (await here.post("c1")).start.split()[1] == "409"
                 await until(lambda: newer.counters.counts["client_connections"] >= 2)
                 worker.script = None
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -104,7 +104,7 @@
             if message.method == "POST":
                 posts.append(worker)
                 if len(posts) == 1:
-                    here.program.coordinator.ban(worker.name, True)  # so the repeat goes elsewhere
+                    here.program.coordinator.set_worker_ban(worker.name, True)  # so the repeat goes elsewhere
                     writer.transport.abort()
                     return
             if message.method != "DELETE" or await on_delete(worker, writer):
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -44,7 +44,7 @@
         self._has_lease_expired = False  # requests wait for discovery
         self.worker_numbers: dict[str, int] = {}
         self.worker_ids: dict[int, str] = {}
-        self.bans: set[str] = set()  # ids of workers that operators have banned
+        self.banned_worker_ids: set[str] = set()  # ids of workers that operators have banned
 
     def reconfigure(self, config: Config) -> None:
         """Give new zones and machine kinds the next numbers."""
@@ -110,18 +110,18 @@
 
     def is_known_worker(self, worker_id: str) -> bool:
         """True if the worker has a number or a ban."""
-        return worker_id in self.worker_numbers or worker_id in self.bans
+        return worker_id in self.worker_numbers or worker_id in self.banned_worker_ids
 
-    def ban(self, worker_id: str, on: bool) -> None:
-        """Ban a worker from new attempts, whatever the list says, or (on False) lift the ban."""
-        if on == (worker_id in self.bans):
+    def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
+        """Ban a worker from new attempts, whatever the list says, or lift its ban."""
+        if is_banned == (worker_id in self.banned_worker_ids):
             return
-        if on:
-            self.bans.add(worker_id)
+        if is_banned:
+            self.banned_worker_ids.add(worker_id)
         else:
-            self.bans.discard(worker_id)
-        self.workers.set_banned(worker_id, on)
-        self._events.enqueue(api.WorkerBanChanged(self.worker_number(worker_id), on))
+            self.banned_worker_ids.discard(worker_id)
+        self.workers.set_worker_ban(worker_id, is_banned)
+        self._events.enqueue(api.WorkerBanChanged(self.worker_number(worker_id), is_banned))
 
     def log_lease_changes(self, now_ns: int, has_requests: bool) -> None:
         """Log when requests begin to wait because the list's lease has ended, and when it is renewed."""
@@ -143,7 +143,7 @@
         if len(self.worker_numbers) <= max_numbers or self._events.pending:
             return
         for worker_id, number in list(self.worker_numbers.items()):
-            if number not in self._dispatcher.workers and worker_id not in self.bans:
+            if number not in self._dispatcher.workers and worker_id not in self.banned_worker_ids:
                 del self.worker_numbers[worker_id]
                 del self.worker_ids[number]
                 self.workers.discard_worker(worker_id)
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -121,7 +121,7 @@
         """Take over from the older process, once the endpoint list is confirmed or its timeout is over."""
         self.parts.workers.limit_connections(NEWER_PROCESS_WORKER_FRACTION)
         for worker_id in offer.banned_worker_ids:
-            self.parts.coordinator.ban(worker_id, True)
+            self.parts.coordinator.set_worker_ban(worker_id, True)
         await self.parts.readiness.wait_for_endpoint_list()
         await self.hot_restart.confirm_ready()
 
@@ -143,7 +143,7 @@
         is_out_of_service = parts.lifecycle.phase is Phase.OUT_OF_SERVICE
         return ListenerOffer(
             descriptor=os.dup(parts.server.listener.fileno()),
-            banned_worker_ids=tuple(sorted(parts.coordinator.bans)),
+            banned_worker_ids=tuple(sorted(parts.coordinator.banned_worker_ids)),
             out_of_service_since=self.service.out_of_service_since if is_out_of_service else None,
         )
 
@@ -205,7 +205,7 @@
             case ClientConnectionCount():
                 self._reserve_for_peer(message.connections)
             case BanChange():
-                parts.coordinator.ban(message.worker_id, message.is_banned)
+                parts.coordinator.set_worker_ban(message.worker_id, message.is_banned)
             case ForwardedCallback():
                 self._handle_forwarded_callback(message)
 
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -168,17 +168,17 @@
         return self.dispatcher.lease.granted
 
     @property
-    def bans(self) -> set[str]:
+    def banned_worker_ids(self) -> set[str]:
         """The ids of the workers that operators have banned."""
-        return self.endpoint_list.bans
+        return self.endpoint_list.banned_worker_ids
 
     def is_known_worker(self, worker_id: str) -> bool:
         """True if the worker has a number or a ban."""
         return self.endpoint_list.is_known_worker(worker_id)
 
-    def ban(self, worker_id: str, on: bool) -> None:
-        """Ban a worker from new attempts, whatever the list says, or (on False) lift the ban."""
-        self.endpoint_list.ban(worker_id, on)
+    def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
+        """Ban a worker from new attempts, whatever the list says, or lift its ban."""
+        self.endpoint_list.set_worker_ban(worker_id, is_banned)
 
     # --- migration to and from another process ---
 
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -119,8 +119,8 @@
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt; its worker is sent a DELETE if it may have the job."""
 
-    def set_banned(self, worker_id: str, on: bool) -> None:
-        """Ban a worker from new attempts, or (on False) lift the ban."""
+    def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
+        """Ban a worker from new attempts, or lift its ban."""
 
     def discard_worker(self, worker_id: str) -> None:
         """Remove the state of a worker that is no longer listed."""
--- a/weldquay/net/service_control.py
+++ b/weldquay/net/service_control.py
@@ -72,12 +72,12 @@
         coordinator = self.parts.coordinator
         if not coordinator.is_known_worker(worker_id):
             return False
-        coordinator.ban(worker_id, is_banned)
-        self.saved_bans.write(coordinator.bans)
+        coordinator.set_worker_ban(worker_id, is_banned)
+        self.saved_bans.write(coordinator.banned_worker_ids)
         self.send_to_peer(BanChange(worker_id, is_banned))
         return True
 
     def restore_bans(self) -> None:
         """Ban the workers that were banned when the last process ended."""
         for worker_id in self.saved_bans.read():
-            self.parts.coordinator.ban(worker_id, True)
+            self.parts.coordinator.set_worker_ban(worker_id, True)
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -65,7 +65,7 @@
                 self.connections.close_idle(worker)
 
     def _add_worker(self, endpoint: Endpoint) -> WorkerEndpoint:
-        worker = WorkerEndpoint(endpoint, is_banned=endpoint.id in self.coordinator.bans)
+        worker = WorkerEndpoint(endpoint, is_banned=endpoint.id in self.coordinator.banned_worker_ids)
         self.workers[endpoint.id] = worker
         return worker
 
@@ -77,11 +77,11 @@
         """Cancel an attempt; its worker is sent a DELETE if it may have the job."""
         self.attempts.cancel(attempt)
 
-    def set_banned(self, worker_id: str, on: bool) -> None:
-        """Ban a worker from new attempts, even from one that is connecting, or (on False) lift the ban."""
+    def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
+        """Ban a worker from new attempts, even from one that is connecting, or lift its ban."""
         worker = self.workers.get(worker_id)
         if worker is not None:
-            worker.is_banned = on
+            worker.is_banned = is_banned
             self.connections.close_idle(worker)
 
     def discard_worker(self, worker_id: str) -> None:
