--- a/weldquay/net/client_connection.py
+++ b/weldquay/net/client_connection.py
@@ -204,9 +204,11 @@
             elif progress is Progress.CLOSED:
                 self.start_lingering_close()
             else:
-                if interim := self.channel.interim():
-                    self.writer.write(interim)
-                if self.state is ConnectionState.IDLE and (self.channel.request or self.channel.trailing):
+                if continue_response := self.channel.continue_response():
+                    self.writer.write(continue_response)
+                if self.state is ConnectionState.IDLE and (
+                    self.channel.request or self.channel.unparsed_data
+                ):
                     self.enter(ConnectionState.READING)
                 return
 
--- a/weldquay/net/connection_migration.py
+++ b/weldquay/net/connection_migration.py
@@ -79,7 +79,7 @@
     def _migrated_connection(self, data: bytes) -> MigratedConnection:
         """The message for the newer process; `data` is what was read and not fed to the channel."""
         connection = self.connection
-        unparsed = connection.channel.trailing + data
+        unparsed = connection.channel.unparsed_data + data
         request = None
         if (open_request := connection.requests.open_request) is not None:
             self.context.counters.add("requests_migrated")
--- a/weldquay/net/http_channel.py
+++ b/weldquay/net/http_channel.py
@@ -103,17 +103,17 @@
         return self.body_parts[0]
 
     @property
-    def trailing(self) -> bytes:
+    def unparsed_data(self) -> bytes:
         """Received bytes that are not parsed yet."""
         return self.http.trailing_data[0]
 
-    def interim(self) -> bytes:
+    def continue_response(self) -> bytes:
         """A 100 response where the client waits for it before it sends its body, else b""."""
         if not self.http.they_are_waiting_for_100_continue:
             return b""
         return self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def respond(self, status: int, body: bytes, headers: list[tuple[bytes, bytes]]) -> bytes:
+    def serialize_response(self, status: int, body: bytes, headers: list[tuple[bytes, bytes]]) -> bytes:
         """The bytes of the current request's answer."""
         response = h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES[status])
         data = self.http.send(response) or b""
@@ -121,7 +121,7 @@
             data += self.http.send(h11.Data(data=body)) or b""
         return data + (self.http.send(h11.EndOfMessage()) or b"")
 
-    def begin_next(self) -> bool:
+    def start_next_request(self) -> bool:
         """Prepare for the next request; False where the connection has to close after the answer."""
         self.request = None
         self.body_parts = []
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -123,7 +123,7 @@
             self.reject(409, "a call with this id is in hand")
             return
         payload = job_payload(request, self.channel.body)
-        self.read_ahead.reset(len(self.channel.trailing))
+        self.read_ahead.reset(len(self.channel.unparsed_data))
         self.open_request = context.coordinator.submit(job_class, metadata, payload, self._answer)
         if self.open_request is None:
             self._respond_overload(context.config.settings.max_retry_after_ns)
@@ -142,7 +142,7 @@
             self._respond_overload(answer.retry_after_ns)
         else:
             self._respond(502, b"failed")
-        if self.connection.state is ConnectionState.IDLE and self.channel.trailing:
+        if self.connection.state is ConnectionState.IDLE and self.channel.unparsed_data:
             self.context.tasks.start(self.connection.resume(), "next request of a connection")
 
     def _respond_overload(self, retry_after_ns: int) -> None:
@@ -159,8 +159,8 @@
             headers.append((b"Content-Length", b"%d" % len(body)))
         if self.context.is_closing or self.read_ahead.is_exceeded:
             headers.append((b"Connection", b"close"))
-        self.connection.write(self.channel.respond(status, body, headers))
-        if self.channel.begin_next():
+        self.connection.write(self.channel.serialize_response(status, body, headers))
+        if self.channel.start_next_request():
             self.connection.enter(ConnectionState.IDLE)
         else:
             self.connection.start_lingering_close()
