--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -69,7 +69,12 @@
 
             worker.script = once
             assert (await here.post(path=path, left_ms=1500)).status == status
-            await until(lambda: not here.program.coordinator.attempts and not here.program.workers.busy)
+            await until(
+                lambda: (
+                    not here.program.coordinator.attempts
+                    and not here.program.workers.has_pending_cancellations
+                )
+            )
             assert worker.methods().count("POST") == posts and "DELETE" in worker.methods()
             if posts == 2:  # never two at once
                 assert worker.methods() == ["POST", "DELETE", "POST"]
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -158,7 +158,12 @@
             sock.close()
             await clients_disconnected(here)
             gate.set()
-            await until(lambda: not here.program.workers.busy and not here.program.workers.attempts.sending)
+            await until(
+                lambda: (
+                    not here.program.workers.has_pending_cancellations
+                    and not here.program.workers.attempts.sending
+                )
+            )
             assert len(posts) == 1
 
     asyncio.run(scenario())
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -17,7 +17,7 @@
 from weldquay.discovery import backoff as backoff_module
 from weldquay.discovery.backoff import Backoff
 from weldquay.net import discovery_client
-from weldquay.net.json_stream import MAX_VALUE, JsonStreamParser
+from weldquay.net.json_stream import MAX_VALUE_BYTES, JsonStreamParser
 from weldquay.net.messages import MessageError
 from weldquay.policy.dispatcher import Dispatcher
 
@@ -133,7 +133,9 @@
     assert [json.loads(value) if value else None for value in values_read] == [LIST, None, {"revision": 8}]
 
 
-@pytest.mark.parametrize("data", [b"x" * MAX_VALUE + b"y", b"[\n" * (MAX_VALUE // 2 + 1) + b"[[\n" * 9])
+@pytest.mark.parametrize(
+    "data", [b"x" * MAX_VALUE_BYTES + b"y", b"[\n" * (MAX_VALUE_BYTES // 2 + 1) + b"[[\n" * 9]
+)
 def test_incomplete_value_is_limited(data: bytes) -> None:
     """On one line, or on many."""
     with pytest.raises(MessageError, match="too long"):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -90,7 +90,7 @@
 )
 def test_class_of_request(path: bytes, name: bytes) -> None:
     """The class is the first part of the path."""
-    assert messages.class_name(path) == name
+    assert messages.parse_class_name(path) == name
 
 
 def test_closing_response() -> None:
@@ -254,7 +254,7 @@
         (b"Content-Length", b"3"),
         (b"Content-Type", b"text/plain"),
     ]
-    assert messages.retry_after(1_250_000_000) == b"1.250"
+    assert messages.format_retry_after(1_250_000_000) == b"1.250"
     assert messages.watch_target(41) == b"/catalog/members?follow=1&since=41"
 
 
--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -143,7 +143,7 @@
         return (
             now_ns < self._coordinator.endpoint_list.expires_ns
             and attempt.request.is_open
-            and not attempt.ended
+            and not attempt.has_ended
             and not worker.is_banned
             and worker.endpoint.state is api.WorkerState.READY
             and not 0 < attempt.send_before_ns < now_ns
@@ -151,7 +151,7 @@
 
     def _reset(self, attempt: Attempt) -> None:
         """End an attempt whose response was lost, and cancel its job: the worker may have accepted it."""
-        if not attempt.ended:
+        if not attempt.has_ended:
             self._coordinator.attempt_ended(attempt, api.Outcome.RESET)
             self._cancellation.start(attempt)
 
--- a/weldquay/net/attempt_table.py
+++ b/weldquay/net/attempt_table.py
@@ -51,7 +51,7 @@
 
     def remove(self, attempt: Attempt) -> None:
         """Mark an attempt as ended and take it out, without an event."""
-        attempt.ended = True
+        attempt.has_ended = True
         if attempt.deadline_timer is not None:
             attempt.deadline_timer.cancel()
         request = attempt.request
@@ -70,7 +70,7 @@
 
         Only the first end of an attempt counts; a further one changes nothing.
         """
-        if attempt.ended:
+        if attempt.has_ended:
             return
         self.remove(attempt)
         request = attempt.request
@@ -96,6 +96,6 @@
 
     def cancel(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """End an attempt with the outcome CANCELLED or TIMEOUT, and cancel it at its worker."""
-        if not attempt.ended:
+        if not attempt.has_ended:
             self.end(attempt, outcome)
             self._cancel_at_worker(attempt)
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -17,7 +17,7 @@
 from weldquay.net.hot_restart_messages import NO_DESCRIPTOR, HotRestartMessage
 from weldquay.net.lifecycle import Phase
 from weldquay.net.loop_monitor import LoopMonitor
-from weldquay.net.operators import Operators
+from weldquay.net.operators import OperatorServer
 from weldquay.net.process_migration import AddressConflict, ProcessMigration
 from weldquay.net.service_control import ServiceControl
 
@@ -58,7 +58,7 @@
         self.discovery = self.parts.discovery
         self.server = self.parts.server
         self.service = ServiceControl(self.parts, self._send_to_peer)
-        self.operators = Operators(config.mgmt, self.counters, self.service)
+        self.operators = OperatorServer(config.mgmt, self.counters, self.service)
         self.migration = ProcessMigration(self.parts, self.service)
         self.hot_restart = self.migration.hot_restart
         self.reloader = ConfigReloader(self.parts)
@@ -173,7 +173,7 @@
     async def _wait_for_pending_work(self) -> None:
         """Wait until no request is open and no attempt or cancellation is under way."""
         while True:
-            if not self.coordinator.has_pending_work and not self.workers.busy:
+            if not self.coordinator.has_pending_work and not self.workers.has_pending_cancellations:
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/weldquay/net/http_channel.py
+++ b/weldquay/net/http_channel.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from weldquay.net.messages import MAX_BODY, Body
+from weldquay.net.messages import MAX_BODY_BYTES, Body
 
 MAX_HEAD_BYTES = 16 * 1024
 REASON_PHRASES = {
@@ -85,12 +85,12 @@
         ):
             # The end of such a body depends on the header used, so it could hide a second request.
             return Rejection(400, "the length of the body is ambiguous")
-        return TOO_LARGE if int(headers.get(b"content-length", b"0")) > MAX_BODY else None
+        return TOO_LARGE if int(headers.get(b"content-length", b"0")) > MAX_BODY_BYTES else None
 
     def _collect(self, data: bytes | bytearray) -> Rejection | None:
         """Add a part of the body."""
         self.body_size += len(data)
-        if self.body_size > MAX_BODY:
+        if self.body_size > MAX_BODY_BYTES:
             return TOO_LARGE
         self.body_parts.append(memoryview(data))
         return None
--- a/weldquay/net/json_stream.py
+++ b/weldquay/net/json_stream.py
@@ -2,7 +2,7 @@
 
 Rules: a value is written on one line, or indented on several lines.  An empty line outside a value is a
 heartbeat.  A line that does not begin a value is returned as it is, and rejected by the parser of the value.
-Bytes that never complete a value are limited by MAX_VALUE.
+Bytes that never complete a value are limited by MAX_VALUE_BYTES.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from weldquay.net.messages import MessageError
 
-MAX_VALUE = 4 * 1024 * 1024  # bytes
+MAX_VALUE_BYTES = 4 * 1024 * 1024  # bytes
 _OPENING = (b"{", b"[")
 _CLOSING = (b"}", b"]")
 _TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings as a whole: brackets in them do not count
@@ -33,7 +33,7 @@
             value = self._add_line(line.strip())
             if value is not None:
                 completed.append(bytes(value))
-        if len(self._partial_value) + len(self._partial_line) > MAX_VALUE:
+        if len(self._partial_value) + len(self._partial_line) > MAX_VALUE_BYTES:
             raise MessageError("a line is too long")
         return completed
 
--- a/weldquay/net/lifecycle.py
+++ b/weldquay/net/lifecycle.py
@@ -46,6 +46,6 @@
         self.shutdown_requested.set()
 
     @property
-    def can_hand_over(self) -> bool:
+    def allows_hot_restart(self) -> bool:
         """True while a newer process can take over from this one."""
         return self.phase in (Phase.SERVING, Phase.OUT_OF_SERVICE)
--- a/weldquay/net/messages/__init__.py
+++ b/weldquay/net/messages/__init__.py
@@ -7,13 +7,13 @@
 from weldquay.net.messages.callbacks import Callback, parse_callback
 from weldquay.net.messages.client_requests import (
     RequestMetadata,
-    class_name,
+    format_retry_after,
+    parse_class_name,
     parse_correlation_id,
     parse_request_metadata,
-    retry_after,
     serialize_request,
 )
-from weldquay.net.messages.common import MAX_BODY, Body, MessageError, closing_response, read_json
+from weldquay.net.messages.common import MAX_BODY_BYTES, Body, MessageError, closing_response, read_json
 from weldquay.net.messages.endpoint_list import (
     Endpoint,
     EndpointList,
@@ -27,7 +27,7 @@
 from weldquay.net.messages.operator_calls import OperatorCall, operator_call
 
 __all__ = [
-    "MAX_BODY",
+    "MAX_BODY_BYTES",
     "Body",
     "Callback",
     "Endpoint",
@@ -36,21 +36,21 @@
     "MessageError",
     "OperatorCall",
     "RequestMetadata",
-    "class_name",
     "closing_response",
     "endpoint_list_from_json",
     "endpoint_to_json",
+    "format_retry_after",
     "job_headers",
     "job_payload",
     "load_report_from_json",
     "operator_call",
     "parse_callback",
+    "parse_class_name",
     "parse_correlation_id",
     "parse_endpoint_list",
     "parse_load_report",
     "parse_request_metadata",
     "read_json",
-    "retry_after",
     "serialize_request",
     "watch_target",
 ]
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -25,7 +25,7 @@
 MEMORY, RAM_UNITS = "memory", "ram_units"
 KEY_COOKIE = b"obj"
 
-MAX_ID = 128  # characters; the id becomes part of a path
+MAX_ID_LENGTH = 128  # characters; the id becomes part of a path
 MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 MAX_FACT = 1e9
 NS_PER_US = 1000
@@ -68,12 +68,12 @@
     if not text:
         raise MessageError("X-Correlation-Id is missing")
     is_path_safe = all(char.isascii() and (char.isalnum() or char in "-_.~") for char in text)
-    if len(text) > MAX_ID or not is_path_safe:
+    if len(text) > MAX_ID_LENGTH or not is_path_safe:
         raise MessageError("X-Correlation-Id has characters that an id may not have, or too many")
     return text
 
 
-def class_name(path: bytes) -> bytes:
+def parse_class_name(path: bytes) -> bytes:
     """The job class of a request: the first part of its path."""
     return path.removeprefix(b"/").split(b"/", 1)[0]
 
@@ -91,7 +91,7 @@
     return b"\r\n".join([*lines, b"", body])
 
 
-def retry_after(wait_ns: int) -> bytes:
+def format_retry_after(wait_ns: int) -> bytes:
     """The value of Retry-After: seconds, as a decimal."""
     return f"{wait_ns / 1e9:.3f}".encode()
 
--- a/weldquay/net/messages/common.py
+++ b/weldquay/net/messages/common.py
@@ -10,7 +10,7 @@
 
 from weldquay.errors import OperatorError
 
-MAX_BODY = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024  # bytes
 NS_PER_MS = 1_000_000
 Headers = Iterable[tuple[bytes, bytes]]
 Body = memoryview | bytearray | bytes
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -81,7 +81,7 @@
         """Ban a worker, or lift its ban; False for an id that neither the list nor a ban has named."""
 
 
-class Operators:
+class OperatorServer:
     """The operators' listener and its connections."""
 
     def __init__(self, address: Address | None, counters: Counters, control: Control) -> None:
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -134,7 +134,7 @@
     def offer_listener(self) -> ListenerOffer | None:
         """A duplicate of the listener, with descriptors reserved for the newer process; the list is sent."""
         parts = self.parts
-        if not parts.lifecycle.can_hand_over or parts.server.listener is None:
+        if not parts.lifecycle.allows_hot_restart or parts.server.listener is None:
             return None
         parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS)
         parts.workers.limit_connections(1 - NEWER_PROCESS_WORKER_FRACTION)
@@ -164,7 +164,7 @@
     def start_migration(self) -> None:
         """Stop accepting, send the state of the workers, and migrate the client connections."""
         parts = self.parts
-        if not parts.lifecycle.can_hand_over:
+        if not parts.lifecycle.allows_hot_restart:
             return
         self.phase_before_migration = parts.lifecycle.phase
         self.service.stop_draining()
--- a/weldquay/net/readiness.py
+++ b/weldquay/net/readiness.py
@@ -35,7 +35,7 @@
         """True once requests can be served here, or by a newer process, and no shutdown has begun."""
         if self.lifecycle.phase is Phase.MIGRATING:
             return True
-        return self.has_endpoint_list() and self.lifecycle.can_hand_over
+        return self.has_endpoint_list() and self.lifecycle.allows_hot_restart
 
     async def wait_for_endpoint_list(self) -> None:
         """Wait until the list is confirmed, its timeout is over or a shutdown is requested."""
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -12,12 +12,12 @@
 from weldquay.net.http_channel import HttpChannel
 from weldquay.net.messages import (
     MessageError,
-    class_name,
     closing_response,
+    format_retry_after,
     job_payload,
     parse_callback,
+    parse_class_name,
     parse_request_metadata,
-    retry_after,
 )
 from weldquay.net.read_ahead import ReadAhead
 from weldquay.net.requests import AcceptedRequest, Answer, ClientRequest, Completed, Rejected
@@ -69,7 +69,7 @@
         request = self.channel.request
         assert request is not None
         path = request.target.split(b"?", 1)[0]
-        job_class = self.context.classes.get(class_name(path))
+        job_class = self.context.classes.get(parse_class_name(path))
         try:
             if path == HEALTH_PATH:
                 self._answer_health_check(request.method)
@@ -147,7 +147,7 @@
 
     def _respond_overload(self, retry_after_ns: int) -> None:
         """Write a 503; retry_after_ns: the value of Retry-After, 0: none."""
-        headers = [(b"Retry-After", retry_after(retry_after_ns))] if retry_after_ns else []
+        headers = [(b"Retry-After", format_retry_after(retry_after_ns))] if retry_after_ns else []
         self._respond(503, b"overloaded, come again", headers)
 
     def _respond(
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -96,7 +96,7 @@
     deadline_timer: asyncio.TimerHandle | None = None  # ends the attempt at its deadline
     started_ns: int = 0  # when the worker reported its start; 0: not reported
     possibly_sent: bool = False  # bytes of it may have reached the worker
-    ended: bool = False
+    has_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -40,7 +40,7 @@
         self.connections.limit(fraction)
 
     @property
-    def busy(self) -> bool:
+    def has_pending_cancellations(self) -> bool:
         """True while cancellations are under way to workers."""
         return self.cancellation.has_pending
 
--- a/weldquay/net/worker_connection.py
+++ b/weldquay/net/worker_connection.py
@@ -9,11 +9,11 @@
 
 import h11
 
-from weldquay.net.messages import MAX_BODY, Body
+from weldquay.net.messages import MAX_BODY_BYTES, Body
 from weldquay.net.streams import CountingReader, has_unread_bytes
 
 READ_SIZE = 64 * 1024  # bytes
-MAX_HEAD = 16 * 1024  # bytes of a response's head
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a response's head
 
 
 class WorkerRequestError(Exception):
@@ -48,7 +48,7 @@
         self.reader = reader
         self.writer = writer
         writer.transport.set_write_buffer_limits(high=0)  # so that drain waits for the last byte
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.idle_since = 0.0  # s, monotonic clock
 
     async def send_request(self, request: h11.Request, body: Body = b"") -> WorkerResponse:
@@ -84,8 +84,8 @@
                 headers = dict(event.headers)
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
-                    raise h11.RemoteProtocolError(f"the body is longer than {MAX_BODY} bytes")
+                if len(body) > MAX_BODY_BYTES:
+                    raise h11.RemoteProtocolError(f"the body is longer than {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return WorkerResponse(status, headers, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
