--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -45,7 +45,7 @@
 def test_key_is_stable() -> None:
     """Requests about the same object have one key, wherever the cookie is."""
     one, two, other = (
-        messages.parse_request_metadata([ID, (b"cookie", value)]).key
+        messages.parse_request_metadata([ID, (b"cookie", value)]).object_key
         for value in (b"obj=7f3a", b"x=1; obj=7f3a", b"obj=7f3b")
     )
     assert one == two != other and 0 < one < 2**64
@@ -97,7 +97,7 @@
     """It is complete; in response to HEAD it has no body."""
     head = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\nConnection: close\r\n\r\n"
     assert messages.closing_response(503, b"text") == head + b"text"
-    assert messages.closing_response(503, b"text", head=True) == head
+    assert messages.closing_response(503, b"text", is_head=True) == head
 
 
 @pytest.mark.parametrize(
@@ -281,9 +281,9 @@
     """A call is a method and a path; any other combination raises MessageError."""
     if expected is None:
         with pytest.raises(MessageError):
-            messages.operator_call(method, target)
+            messages.parse_operator_call(method, target)
     else:
-        assert messages.operator_call(method, target) == messages.OperatorCall(*expected)
+        assert messages.parse_operator_call(method, target) == messages.OperatorCall(*expected)
 
 
 def test_request_is_serialized_with_remaining_time() -> None:
--- a/weldquay/net/event_queue.py
+++ b/weldquay/net/event_queue.py
@@ -24,7 +24,7 @@
             self._is_step_scheduled = True
             self._loop.call_soon(self._run_step)
 
-    def take(self) -> list[api.Event]:
+    def take_all(self) -> list[api.Event]:
         """Remove and return the pending events, in the order in which they came."""
         self._is_step_scheduled = False
         events = self.pending
--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -108,7 +108,7 @@
     return decoder(packet)
 
 
-def _required(packet: Packet, name: str) -> Any:
+def _required_field(packet: Packet, name: str) -> Any:
     if name not in packet.fields:
         raise MalformedMessage(f"{packet.kind} without {name}")
     return packet.fields[name]
@@ -177,9 +177,9 @@
 
 
 def _decode_worker(packet: Packet) -> WorkerStateMessage:
-    host, port = _required(packet, WORKER_ADDRESS)
+    host, port = _required_field(packet, WORKER_ADDRESS)
     return WorkerStateMessage(
-        worker_id=_required(packet, WORKER_ID),
+        worker_id=_required_field(packet, WORKER_ID),
         host=host,
         port=port,
         snapshot=decode_worker_state(packet.fields.get(WORKER_STATE_FIELDS, {})),
@@ -269,7 +269,9 @@
 
 
 def _decode_ban(packet: Packet) -> BanChange:
-    return BanChange(worker_id=_required(packet, WORKER_ID), is_banned=packet.fields.get(IS_BANNED, True))
+    return BanChange(
+        worker_id=_required_field(packet, WORKER_ID), is_banned=packet.fields.get(IS_BANNED, True)
+    )
 
 
 def _encode_callback(callback: ForwardedCallback) -> Packet:
--- a/weldquay/net/messages/__init__.py
+++ b/weldquay/net/messages/__init__.py
@@ -24,7 +24,7 @@
 )
 from weldquay.net.messages.jobs import JobPayload, job_headers, job_payload
 from weldquay.net.messages.load_reports import load_report_from_json, parse_load_report
-from weldquay.net.messages.operator_calls import OperatorCall, operator_call
+from weldquay.net.messages.operator_calls import OperatorCall, parse_operator_call
 
 __all__ = [
     "MAX_BODY_BYTES",
@@ -43,12 +43,12 @@
     "job_headers",
     "job_payload",
     "load_report_from_json",
-    "operator_call",
     "parse_callback",
     "parse_class_name",
     "parse_correlation_id",
     "parse_endpoint_list",
     "parse_load_report",
+    "parse_operator_call",
     "parse_request_metadata",
     "read_json",
     "serialize_request",
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -41,7 +41,7 @@
     slots: float = 1.0
     memory: float = 0.0
     runtime_hint_ns: int | None = None
-    key: int = 0  # of the object that the job is about; 0: none
+    object_key: int = 0  # of the object that the job is about; 0: none
     is_retry: bool = False
 
 
@@ -57,7 +57,7 @@
         slots=facts.get(SLOTS, facts.get(WIDTH, 1.0)),
         memory=facts.get(MEMORY, facts.get(RAM_UNITS, 0.0)),
         runtime_hint_ns=None if hint_us is None else int(hint_us * NS_PER_US),
-        key=_parse_key(values.get(COOKIE, b"")),
+        object_key=_parse_key(values.get(COOKIE, b"")),
         is_retry=values.get(REPEAT) == b"1",
     )
 
--- a/weldquay/net/messages/common.py
+++ b/weldquay/net/messages/common.py
@@ -39,11 +39,11 @@
     return value
 
 
-def closing_response(status: int, body: bytes, head: bool = False) -> bytes:
-    """A complete response after which the connection closes; head: the request was HEAD, so no body."""
+def closing_response(status: int, body: bytes, is_head: bool = False) -> bytes:
+    """A complete response after which the connection closes; is_head: the request was HEAD, so no body."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s" % (
         status,
         HTTPStatus(status).phrase.encode(),
         len(body),
-        b"" if head else body,
+        b"" if is_head else body,
     )
--- a/weldquay/net/messages/jobs.py
+++ b/weldquay/net/messages/jobs.py
@@ -20,7 +20,7 @@
     body: Body
     content_type: bytes | None = None
     method: bytes = b"POST"
-    key: bytes | None = None  # Idempotency-Key: some workers drop a repeat of it
+    idempotency_key: bytes | None = None  # Idempotency-Key: some workers drop a repeat of it
 
 
 def job_payload(request: h11.Request, body: Body) -> JobPayload:
@@ -45,6 +45,6 @@
     ]
     if job.content_type is not None:
         headers.append((b"Content-Type", job.content_type))
-    if job.key is not None:
-        headers.append((b"Idempotency-Key", job.key))
+    if job.idempotency_key is not None:
+        headers.append((b"Idempotency-Key", job.idempotency_key))
     return headers
--- a/weldquay/net/messages/operator_calls.py
+++ b/weldquay/net/messages/operator_calls.py
@@ -19,21 +19,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    """What an operator asks for; worker: the id of a worker, empty if the call concerns the dispatcher."""
+    """What an operator asks for; worker_id: the id of a worker, empty if the call concerns the dispatcher."""
 
-    verb: str
-    worker: str = ""
+    operation: str
+    worker_id: str = ""
 
 
-def operator_call(method: bytes, target: bytes) -> OperatorCall:
+def parse_operator_call(method: bytes, target: bytes) -> OperatorCall:
     """The call of a method and a request target.  Raises MessageError if there is no such call."""
     root, _, path = target.split(b"?", 1)[0].removeprefix(b"/").partition(b"/")
     if root == CONTROL_ROOT:
-        verb = DISPATCHER_CALLS.get((method, path))
-        if verb is not None:
-            return OperatorCall(verb)
+        operation = DISPATCHER_CALLS.get((method, path))
+        if operation is not None:
+            return OperatorCall(operation)
         group, _, rest = path.partition(b"/")
-        worker, _, action = rest.rpartition(b"/")
-        if method == b"POST" and group == WORKER_GROUP and worker and action in WORKER_CALLS:
-            return OperatorCall(WORKER_CALLS[action], unquote(worker.decode("latin-1")))
+        worker_id, _, action = rest.rpartition(b"/")
+        if method == b"POST" and group == WORKER_GROUP and worker_id and action in WORKER_CALLS:
+            return OperatorCall(WORKER_CALLS[action], unquote(worker_id.decode("latin-1")))
     raise MessageError("there is no such call")
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -15,7 +15,7 @@
 from weldquay.errors import OperatorError
 from weldquay.net.config import Address
 from weldquay.net.counters import Counters
-from weldquay.net.messages import MessageError, closing_response, operator_call
+from weldquay.net.messages import MessageError, closing_response, parse_operator_call
 from weldquay.net.peer_timeout import PeerTimeout
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 
 
 class Operation(Enum):
-    """The operations; the values are those of `messages.operator_call`, from paths that operators use."""
+    """The operators' operations; the values are parts of the request paths."""
 
     READY = "ready"
     TAKE_OUT_OF_SERVICE = "out-of-service"
@@ -65,7 +65,7 @@
     return closing_response(404, ujson.dumps(error.as_json()).encode() + b"\n")
 
 
-class Control(Protocol):
+class OperatorActions(Protocol):
     """What operators can do with the process; each method returns whether it was done."""
 
     def is_ready(self) -> bool:
@@ -84,18 +84,18 @@
 class OperatorServer:
     """The operators' listener and its connections."""
 
-    def __init__(self, address: Address | None, counters: Counters, control: Control) -> None:
+    def __init__(self, address: Address | None, counters: Counters, actions: OperatorActions) -> None:
         """Create the server without a listener; address: None for none."""
         self.address = address
         self.counters = counters
         self.connections: dict[asyncio.StreamWriter, None] = {}  # the oldest first
         self.server: asyncio.Server | None = None
         self.handlers: dict[Operation, Callable[[str], bool]] = {
-            Operation.READY: lambda _: control.is_ready(),
-            Operation.TAKE_OUT_OF_SERVICE: lambda _: control.take_out_of_service(),
-            Operation.RETURN_TO_SERVICE: lambda _: control.return_to_service(),
-            Operation.BAN_WORKER: lambda worker_id: control.set_worker_ban(worker_id, True),
-            Operation.LIFT_WORKER_BAN: lambda worker_id: control.set_worker_ban(worker_id, False),
+            Operation.READY: lambda _: actions.is_ready(),
+            Operation.TAKE_OUT_OF_SERVICE: lambda _: actions.take_out_of_service(),
+            Operation.RETURN_TO_SERVICE: lambda _: actions.return_to_service(),
+            Operation.BAN_WORKER: lambda worker_id: actions.set_worker_ban(worker_id, True),
+            Operation.LIFT_WORKER_BAN: lambda worker_id: actions.set_worker_ban(worker_id, False),
         }
 
     async def listen(self) -> None:
@@ -153,21 +153,21 @@
         """Read one request and return its answer."""
         try:
             request = await _read_request(reader)
-            call = operator_call(request.method, request.target)
+            call = parse_operator_call(request.method, request.target)
         except h11.RemoteProtocolError as error:
             return closing_response(error.error_status_hint, str(error).encode())
         except MessageError as error:
             return _serialize_error(UnknownOperation(str(error)))
-        return self._perform(Operation(call.verb), call.worker)
+        return self._perform(Operation(call.operation), call.worker_id)
 
     def _perform(self, operation: Operation, worker_id: str) -> bytes:
         """Perform an operation and return the answer; worker_id: empty for one that names no worker."""
-        is_done = self.handlers[operation](worker_id)
-        self.counters.add(OPERATION_COUNTERS[operation] if is_done else "operators_rejected")
+        succeeded = self.handlers[operation](worker_id)
+        self.counters.add(OPERATION_COUNTERS[operation] if succeeded else "operators_rejected")
         if operation is not Operation.READY:
             subject = f"{operation.value} {worker_id}".strip()
-            log.info("operator request %s: %s", subject, "done" if is_done else "refused")
-        if is_done:
+            log.info("operator request %s: %s", subject, "done" if succeeded else "refused")
+        if succeeded:
             return closing_response(200, b"yes\n")
         if worker_id:
             return _serialize_error(UnknownWorker("no list and no ban has named it", worker_id))
--- a/weldquay/net/persistence.py
+++ b/weldquay/net/persistence.py
@@ -34,7 +34,7 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            self.report("ignored", error)
+            self.log_error("ignored", error)
             return None
 
     def write(self, value: object) -> None:
@@ -44,9 +44,9 @@
             temporary_path.write_bytes(ujson.dumps(value).encode())
             temporary_path.replace(self.path)
         except OSError as error:
-            self.report("not written", error)
+            self.log_error("not written", error)
 
-    def report(self, event: str, reason: object) -> None:
+    def log_error(self, event: str, reason: object) -> None:
         """Log an error of this file."""
         log.error("state file %s %s: %s", self.path, event, reason)
 
@@ -64,7 +64,7 @@
         if value is None:
             return set()
         if not isinstance(value, list) or not all(isinstance(worker_id, str) for worker_id in value):
-            self.file.report("ignored", "not a list of ids")
+            self.file.log_error("ignored", "not a list of ids")
             return set()
         return set(value)
 
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -194,7 +194,7 @@
         parts = self.parts
         match message:
             case WorkerStateMessage():
-                parts.workers.add_departed_worker(message.worker_id, message.host, message.port)
+                parts.workers.add_unlisted_worker(message.worker_id, message.host, message.port)
                 parts.coordinator.restore_worker(message.worker_id, message.snapshot)
             case EndpointListChunk():
                 self.endpoint_list_chunks.append(message)
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -215,7 +215,7 @@
             self._step()
 
     def _step(self) -> None:
-        events = self.events.take()
+        events = self.events.take_all()
         started_ns = time.monotonic_ns()
         try:
             actions = self.dispatcher.step(started_ns, events)
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -65,7 +65,7 @@
             request.class_settings == settings.classes[request.job_class]
             and request.max_attempts == settings.max_attempts
             and (request.is_idempotent or not request.possibly_executed)
-            and not self.workers.is_notifying(request)
+            and not self.workers.has_pending_messages(request)
         )
 
     def migrate_request(self, request: ClientRequest, config: Config) -> MigratedRequest:
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -77,7 +77,7 @@
             metadata.slots,
             metadata.memory,
             metadata.runtime_hint_ns,
-            metadata.key,
+            metadata.object_key,
             metadata.is_retry,
         )
 
@@ -125,7 +125,7 @@
     def discard_worker(self, worker_id: str) -> None:
         """Remove the state of a worker that is no longer listed."""
 
-    def is_notifying(self, request: ClientRequest) -> bool:
+    def has_pending_messages(self, request: ClientRequest) -> bool:
         """True while an attempt of the request, or a DELETE of it, is under way to a worker."""
 
     def probe(self, worker_id: str) -> None:
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -90,7 +90,7 @@
         if worker is not None:
             self.connections.close_idle(worker)
 
-    def is_notifying(self, request: ClientRequest) -> bool:
+    def has_pending_messages(self, request: ClientRequest) -> bool:
         """True while an attempt of the request, or a DELETE of it, is under way to a worker."""
         return self.cancellation.is_pending(request.id) or self.attempts.is_sending(request)
 
@@ -107,7 +107,7 @@
         endpoint = self.workers[worker_id].endpoint
         return endpoint.host, endpoint.port
 
-    def add_departed_worker(self, worker_id: str, host: str, port: int) -> None:
+    def add_unlisted_worker(self, worker_id: str, host: str, port: int) -> None:
         """Add a worker of an earlier process that the list may not contain: it may still run jobs."""
         if worker_id not in self.workers:
             self._add_worker(Endpoint(worker_id, host, port, "", "", 0, api.WorkerState.GONE, 1.0, 0))
