--- a/weldquay/net/__init__.py
+++ b/weldquay/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the same decisions on real sockets."""
+"""The dispatcher process: runs the decision module on real sockets."""
--- a/weldquay/net/event_queue.py
+++ b/weldquay/net/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the next step of the decision module."""
+"""The queue of events for the next step of the decision module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EventQueue:
-    """Collects the events of one turn of the event loop, and schedules one step for all of them."""
+    """Batches the events of one event-loop iteration into a single step of the decision module."""
 
     def __init__(self, run_step: Callable[[], None]) -> None:
         self._loop = asyncio.get_running_loop()
@@ -18,14 +18,14 @@
         self.pending: list[api.Event] = []
 
     def enqueue(self, event: api.Event) -> None:
-        """Add an event to the next step; the step is scheduled with the first one."""
+        """Add an event to the next step; the first event schedules the step."""
         self.pending.append(event)
         if not self._is_step_scheduled:
             self._is_step_scheduled = True
             self._loop.call_soon(self._run_step)
 
     def take_all(self) -> list[api.Event]:
-        """Remove and return the pending events, in the order in which they came."""
+        """Remove and return the pending events in arrival order."""
         self._is_step_scheduled = False
         events = self.pending
         self.pending = []
--- a/weldquay/net/health_checks.py
+++ b/weldquay/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of workers: one GET, and what its result means."""
+"""Health checks of workers: one GET request each, and the mapping of its result to an outcome."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from weldquay.net.worker_connection import AttemptAborted, ConnectionLost, RequestNotSent
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-HEALTH_CHECK_TIMEOUT_S = 1.0  # connecting included
+HEALTH_CHECK_TIMEOUT_S = 1.0  # includes connecting
 LOAD_REPORT_TARGET = b"/_load"
 PING_TARGET = b"/ping"
 
-_OUTCOMES_BY_STATUS = {200: api.Outcome.OK, 503: api.Outcome.OVERLOADED}  # any other status: ERROR
+_OUTCOMES_BY_STATUS = {200: api.Outcome.OK, 503: api.Outcome.OVERLOADED}  # any other status is an ERROR
 
 
 class HealthChecker:
-    """Runs health checks, and reports their results to the coordinator."""
+    """Runs health checks and reports their results to the coordinator."""
 
     def __init__(self, config: Config, coordinator: RequestCoordinator, connections: ConnectionPool) -> None:
         self._coordinator = coordinator
@@ -31,16 +31,16 @@
         self.reconfigure(config)
 
     def reconfigure(self, config: Config) -> None:
-        """Use other settings for the checks from now on."""
+        """Apply new settings to later checks."""
         self._report_fields = config.report_fields
         self._target = LOAD_REPORT_TARGET if config.settings.reports_in_probes else PING_TARGET
 
     def start(self, worker: WorkerEndpoint) -> None:
-        """Start a check of a worker."""
+        """Start a health check of a worker."""
         self._tasks.start(self._check(worker), f"health check of {worker.endpoint.id}")
 
     async def stop(self) -> None:
-        """Stop all checks."""
+        """Cancel the running checks."""
         await self._tasks.stop()
 
     async def _check(self, worker: WorkerEndpoint) -> None:
@@ -52,14 +52,15 @@
                 response = await self._connections.request(worker, b"GET", self._target)
             load_report = parse_load_report(response.body, self._report_fields)
             outcome = _OUTCOMES_BY_STATUS.get(response.status, api.Outcome.ERROR)
-        except AttemptAborted:  # a shortage in this process: the worker is checked less often, not ejected
+        except AttemptAborted:
+            # This process lacks a resource.  The worker is checked less often, but not ejected.
             outcome = api.Outcome.OVERLOADED
         except RequestNotSent:
             outcome = api.Outcome.CONNECT_FAILED
         except ConnectionLost:
             outcome = api.Outcome.RESET
         except TimeoutError:
-            # After a stall of this process it says nothing of the worker, like a shortage.
+            # A timeout after a stall of this process is no evidence of a fault of the worker.
             has_stalled = self._connections.has_stalled(timeout)
             outcome = api.Outcome.OVERLOADED if has_stalled else api.Outcome.TIMEOUT
         latency_ns = time.monotonic_ns() - started_ns
--- a/weldquay/net/lingering_close.py
+++ b/weldquay/net/lingering_close.py
@@ -1,7 +1,7 @@
-"""The lingering close of a client connection.
+"""Lingering close of a client connection.
 
-The writing half is shut down, what still arrives is read and dropped, and then the socket is closed.  A close
-with unread bytes would reset the connection, and a reset can destroy an answer that is under way.
+The write half is shut down, bytes that still arrive are read and discarded, and then the socket is closed.
+Closing a socket with unread bytes resets the connection, and a reset can discard a response in transit.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 import asyncio
 
 READ_SIZE = 16 * 1024  # bytes
-MAX_DROPPED_BYTES = 1024 * 1024  # of one lingering close
-SLOW_READER_TIMEOUT_S = 10.0  # for a client that reads its last answer slowly
+MAX_DISCARDED_BYTES = 1024 * 1024  # for each lingering close
+SLOW_READER_TIMEOUT_S = 10.0  # for a client that reads its last response slowly
 
 
 class LingeringClose:
-    """One lingering close, from the end of the last answer."""
+    """One lingering close, which starts after the last response was written."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, now: float) -> None:
-        """Shut down the writing half; now: on the monotonic clock (s)."""
+        """Shut down the write half; now is in seconds of the monotonic clock."""
         self.reader = reader
         self.writer = writer
         self.started_at = now
@@ -29,7 +29,7 @@
         return self.writer.transport.get_write_buffer_size()
 
     def has_progressed(self, now: float) -> bool:
-        """True where the client has read more of its answer since the last call, and may take longer."""
+        """Return whether the client has read more of its response since the last call and may take longer."""
         unsent_bytes = self._count_unsent_bytes()
         if unsent_bytes < self.unsent_bytes and now - self.started_at < SLOW_READER_TIMEOUT_S:
             self.unsent_bytes = unsent_bytes
@@ -37,15 +37,15 @@
         return False
 
     async def drain(self) -> None:
-        """Drop what arrives up to the end of the stream, then wait until the answer is written.
+        """Discard received bytes until the end of the stream, then wait until the response is written.
 
-        The caller limits the time.  A client that has shut down its own writing half may still read.
+        The caller sets the timeout.  A client that has shut down its own write half may still be reading.
 
         Raises:
             OSError: the connection is lost.
         """
-        dropped_bytes = 0
-        while dropped_bytes < MAX_DROPPED_BYTES and (data := await self.reader.read(READ_SIZE)):
-            dropped_bytes += len(data)
+        discarded_bytes = 0
+        while discarded_bytes < MAX_DISCARDED_BYTES and (data := await self.reader.read(READ_SIZE)):
+            discarded_bytes += len(data)
         self.writer.transport.set_write_buffer_limits(high=0)
         await self.writer.drain()
--- a/weldquay/net/loop_monitor.py
+++ b/weldquay/net/loop_monitor.py
@@ -1,4 +1,4 @@
-"""Measures the delays of the event loop: garbage collections, and turns that take long."""
+"""Measures event-loop delays and the garbage collections that cause some of them."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class LoopMonitor:
-    """Records the peaks `longest_collection_ms` and `longest_loop_delay_ms`."""
+    """Records the maxima `longest_collection_ms` and `longest_loop_delay_ms`."""
 
     def __init__(self, counters: Counters) -> None:
-        """Record in these counters."""
+        """Record the maxima in these counters."""
         self.counters = counters
         self.collection_started_at = 0.0  # on the monotonic clock (s)
 
     def start(self, tasks: Tasks) -> None:
-        """Measure until the tasks are stopped."""
+        """Start measuring.  The measurement of timer delays runs as one of these tasks."""
         gc.callbacks.append(self._measure_collection)
         tasks.start(self._measure_delay(), "event-loop delay monitor")
 
     def _measure_collection(self, phase: str, _info: dict[str, int]) -> None:
-        """Record the time (ms) of each run of the garbage collector; a callback of `gc`."""
+        """Record the duration of a garbage collection; called by `gc` at its start and its end."""
         if phase == "start":
             self.collection_started_at = time.monotonic()
         else:
@@ -35,7 +35,7 @@
             )
 
     async def _measure_delay(self) -> None:
-        """Record how late (ms) the event loop runs a timer."""
+        """Record how late the event loop runs a timer."""
         while True:
             due_at = time.monotonic() + MEASUREMENT_INTERVAL_S
             await asyncio.sleep(MEASUREMENT_INTERVAL_S)
