--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener: one request on each connection."""
+"""The HTTP listener for operators, which serves one request per connection."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 READ_SIZE = 4 * 1024  # bytes
 MAX_HEAD_BYTES = 4 * 1024
-LISTEN_BACKLOG = 64  # connections in the system's queue; beyond it a client's SYN is repeated after a second
-MAX_CONNECTIONS = 8  # beyond it the oldest one is closed
-REQUEST_TIMEOUT_S = 2.0  # from the connection's start to the last byte of the answer
+LISTEN_BACKLOG = 64  # when the kernel's queue is full, a client has to retransmit its SYN after one second
+MAX_CONNECTIONS = 8  # another connection closes the oldest one
+REQUEST_TIMEOUT_S = 2.0  # from accepting the connection to the last byte of the response
 
 
 class Operation(Enum):
-    """The operators' operations; the values are parts of the request paths."""
+    """The operations that operators can request.  The values are parts of the request paths."""
 
     READY = "ready"
     TAKE_OUT_OF_SERVICE = "out-of-service"
@@ -47,48 +47,48 @@
 
 
 class UnknownOperation(OperatorError):
-    """A path or method that the operators' listener does not have."""
+    """The listener for operators has no such path or method."""
 
     error_code = "unknown-operation"
     remedy = "docs/on-call.md lists the calls; POST changes something, GET only looks"
 
 
 class UnknownWorker(OperatorError):
-    """A worker id that neither a list nor a ban has named."""
+    """The worker id is neither in an endpoint list nor banned."""
 
     error_code = "unknown-worker"
     remedy = "use the id as discovery's list gives it; one that was never listed cannot be taken out"
 
 
 def _serialize_error(error: OperatorError) -> bytes:
-    """A 404 answer with the error as JSON."""
+    """Return a 404 response with the error as JSON."""
     return closing_response(404, ujson.dumps(error.as_json()).encode() + b"\n")
 
 
 class OperatorActions(Protocol):
-    """What operators can do with the process; each method returns whether it was done."""
+    """The actions of operators on the process.  Each method returns whether it succeeded."""
 
     def is_ready(self) -> bool:
-        """True once requests can be served."""
+        """Return whether requests can be served."""
 
     def take_out_of_service(self) -> bool:
-        """Drain the dispatcher: clients leave, and new requests are rejected after a while."""
+        """Drain the dispatcher: idle connections close first, later new requests are rejected."""
 
     def return_to_service(self) -> bool:
-        """Accept clients again."""
+        """End the drain and accept clients again."""
 
     def set_worker_ban(self, worker_id: str, is_banned: bool) -> bool:
-        """Ban a worker, or lift its ban; False for an id that neither the list nor a ban has named."""
+        """Ban a worker or lift its ban.  Return False if the id is neither listed nor banned."""
 
 
 class OperatorServer:
-    """The operators' listener and its connections."""
+    """The listener for operators and its connections."""
 
     def __init__(self, address: Address | None, counters: Counters, actions: OperatorActions) -> None:
-        """Create the server without a listener; address: None for none."""
+        """Create the server; `listen` opens its listener, unless address is None."""
         self.address = address
         self.counters = counters
-        self.connections: dict[asyncio.StreamWriter, None] = {}  # the oldest first
+        self.connections: dict[asyncio.StreamWriter, None] = {}  # in the order of their start
         self.server: asyncio.Server | None = None
         self.handlers: dict[Operation, Callable[[str], bool]] = {
             Operation.READY: lambda _: actions.is_ready(),
@@ -99,30 +99,36 @@
         }
 
     async def listen(self) -> None:
-        """Open the listener, if it has an address; OSError where that is not available."""
+        """Open the listener if an address is configured.
+
+        Raises:
+            OSError: the address is not available.
+        """
         if self.address is not None:
             family = socket.AF_INET6 if ":" in self.address.host else socket.AF_INET
             sock = socket.create_server(self.address, family=family)
             self.server = await asyncio.start_server(
                 self._accept, sock=sock, limit=READ_SIZE, backlog=MAX_CONNECTIONS
             )
-            sock.listen(LISTEN_BACKLOG)  # asyncio accepts up to its own backlog in one turn
+            # asyncio's own backlog also limits how many connections it accepts in one loop iteration, so that
+            # one is small, and the kernel's queue is enlarged here.
+            sock.listen(LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
-        """The listener's port."""
+        """The port of the listener."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Close the listener and all connections."""
+        """Close the listener and abort all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.connections):
             writer.transport.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection; above the limit the oldest one is closed for it."""
+        """Serve one connection, after evicting the oldest one if the limit is reached."""
         if len(self.connections) >= MAX_CONNECTIONS:
             self.counters.add("operator_connections_evicted")
             oldest = next(iter(self.connections))
@@ -134,14 +140,11 @@
                 writer.write(await self._answer(reader))
                 await writer.drain()
                 writer.write_eof()
-                # A close with unread bytes would reset the connection and lose the answer.
+                # Closing with unread bytes would reset the connection and could discard the response.
                 while await reader.read(READ_SIZE):
                     pass
-        except (
-            OSError,
-            EOFError,
-        ):  # the client has disconnected, or was too slow: TimeoutError is an OSError
-            pass
+        except (OSError, EOFError):
+            pass  # the client disconnected, or was too slow: TimeoutError is an OSError
         except Exception:
             log.exception("operator request failed")
             self.counters.add("client_connections_failed")
@@ -150,7 +153,7 @@
             writer.transport.abort()
 
     async def _answer(self, reader: asyncio.StreamReader) -> bytes:
-        """Read one request and return its answer."""
+        """Read one request and return the response."""
         try:
             request = await _read_request(reader)
             call = parse_operator_call(request.method, request.target)
@@ -161,7 +164,7 @@
         return self._perform(Operation(call.operation), call.worker_id)
 
     def _perform(self, operation: Operation, worker_id: str) -> bytes:
-        """Perform an operation and return the answer; worker_id: empty for one that names no worker."""
+        """Perform an operation and return the response; worker_id is empty if it concerns the dispatcher."""
         succeeded = self.handlers[operation](worker_id)
         self.counters.add(OPERATION_COUNTERS[operation] if succeeded else "operators_rejected")
         if operation is not Operation.READY:
@@ -178,7 +181,7 @@
     """Read one request.
 
     Raises:
-        EOFError: the connection has ended before a complete request.
+        EOFError: the connection ended before the request was complete.
         h11.RemoteProtocolError: the request is malformed.
     """
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
--- a/weldquay/net/persistence.py
+++ b/weldquay/net/persistence.py
@@ -1,4 +1,4 @@
-"""Files in $TMPDIR that one process of a dispatcher leaves to the next: bans, the running configuration."""
+"""State files in $TMPDIR for the next process of the same dispatcher: bans and the running configuration."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 
 
 def state_path(name: str, suffix: str) -> Path:
-    """The path of a file of the dispatcher of this name."""
+    """Return the path of a state file of the dispatcher with this name."""
     return Path(tempfile.gettempdir()) / f"weldquay-{quote(name, safe='')}{suffix}"
 
 
 class StateFile:
-    """A JSON file that is complete at every moment, since it is replaced by a rename."""
+    """A JSON file that is replaced atomically, by a rename."""
 
     def __init__(self, name: str, suffix: str) -> None:
-        """Use the file of the dispatcher of this name."""
+        """Use the state file of the dispatcher with this name."""
         self.path = state_path(name, suffix)
 
     def read(self) -> Any:
-        """The value of the file; None where there is no file, or none that can be read, which is logged."""
+        """Return the value in the file, or None if the file is missing or unreadable.
+
+        An unreadable file is logged.
+        """
         try:
             return ujson.loads(self.path.read_bytes())
         except FileNotFoundError:
@@ -38,7 +41,7 @@
             return None
 
     def write(self, value: object) -> None:
-        """Replace the value; a failure is logged, since this process does not need the file."""
+        """Replace the value.  A failure is only logged, since this process does not depend on the file."""
         temporary_path = self.path.with_suffix(f".{os.getpid()}")
         try:
             temporary_path.write_bytes(ujson.dumps(value).encode())
@@ -47,19 +50,19 @@
             self.log_error("not written", error)
 
     def log_error(self, event: str, reason: object) -> None:
-        """Log an error of this file."""
+        """Log an error with this file."""
         log.error("state file %s %s: %s", self.path, event, reason)
 
 
 class BanList:
-    """The ids of the workers that operators have banned."""
+    """The persisted ids of the workers that operators have banned."""
 
     def __init__(self, name: str) -> None:
-        """Use the file of the dispatcher of this name."""
+        """Use the ban file of the dispatcher with this name."""
         self.file = StateFile(name, ".bans")
 
     def read(self) -> set[str]:
-        """The ids; none from a file that contains anything else, which is logged."""
+        """Return the banned ids; a file with any other content is logged and ignored."""
         value = self.file.read()
         if value is None:
             return set()
@@ -69,5 +72,5 @@
         return set(value)
 
     def write(self, worker_ids: Iterable[str]) -> None:
-        """Replace the ids."""
+        """Replace the banned ids."""
         self.file.write(sorted(worker_ids))
