--- a/weldquay/net/process_link.py
+++ b/weldquay/net/process_link.py
@@ -1,6 +1,6 @@
-"""A connection between two processes of one dispatcher, over a unix socket of type SOCK_SEQPACKET.
+"""The connection between two processes of one dispatcher, over a SOCK_SEQPACKET unix socket.
 
-asyncio's streams carry no descriptors, so the socket is served by readers and writers of the event loop.
+asyncio's streams cannot transfer file descriptors, so the socket is registered with the event loop directly.
 """
 
 from __future__ import annotations
@@ -20,21 +20,26 @@
 
 log = logging.getLogger(__name__)
 
-# A callback, or what a client has sent ahead, and the fields beside it.  The system's send buffer holds it.
+# Enough for the body of a callback, or the read-ahead of a client, with the packet's JSON fields.  A packet
+# of this size fits into the kernel's send buffer.
 MAX_PACKET_BYTES = 160 * 1024
-MAX_CHUNK_BYTES = MAX_PACKET_BYTES // 2  # of the list items in one packet
-DESCRIPTOR_RETRY_S = 0.01  # after the system's limit of descriptors in transit was reached
+MAX_CHUNK_BYTES = MAX_PACKET_BYTES // 2  # JSON size of the list items in one packet
+DESCRIPTOR_RETRY_S = 0.01  # delay after reaching the kernel's limit of descriptors in transit
 
 
 def open_socket() -> socket.socket:
-    """A non-blocking unix socket; OSError where the system allows none."""
+    """Return a non-blocking unix socket.
+
+    Raises:
+        OSError: the system does not allow unix sockets.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     return sock
 
 
 def split_into_chunks(items: Iterable[Any]) -> Iterator[list[Any]]:
-    """Divide list items into lists whose JSON fits into a packet each."""
+    """Split list items into chunks, each of which fits into one packet as JSON."""
     chunk = list[Any]()
     chunk_bytes = 0
     for item in items:
@@ -50,7 +55,7 @@
 
 
 class ProcessLink:
-    """A connection to the other process: packets both ways, in order."""
+    """A bidirectional, ordered packet connection to the other process."""
 
     def __init__(
         self,
@@ -58,26 +63,26 @@
         on_packet: Callable[[Packet], None],
         on_lost: Callable[[list[Packet]], None],
     ) -> None:
-        """Start to receive; on_lost is called once, at the end, with the packets that were not sent."""
+        """Start receiving.  on_lost is called once, at the end of the link, with the packets not sent."""
         self.sock = sock
         self.on_packet = on_packet
         self.on_lost = on_lost
         self.loop = asyncio.get_running_loop()
         self.unsent: deque[Packet] = deque()
-        self.is_blocked = False  # the next packet waits until the system can take it
-        self.was_reset = False  # the other process has ended
+        self.is_blocked = False  # the next packet waits until the kernel accepts it
+        self.was_reset = False  # the peer process has exited
         self.is_open = True
         sock.setblocking(False)
         self.loop.add_reader(sock, self._read)
 
     def send(self, packet: Packet) -> None:
-        """Send a packet; its descriptor is closed here once it is sent."""
+        """Queue and send a packet; its descriptor is closed in this process once it was sent."""
         self.unsent.append(packet)
         if self.is_open and not self.is_blocked:
             self._write()
 
     def close(self) -> None:
-        """End the connection; `on_lost` is called with the packets that were not sent."""
+        """Close the link and call `on_lost` with the packets not sent."""
         if self.is_open:
             self.is_open = False
             self.loop.remove_reader(self.sock)
@@ -88,7 +93,7 @@
             self.on_lost(unsent)
 
     def _write(self) -> None:
-        """Send the waiting packets until the system can take no more."""
+        """Send queued packets until the kernel accepts no more."""
         if self.is_blocked:
             self.loop.remove_writer(self.sock)
             self.is_blocked = False
@@ -109,13 +114,13 @@
                 os.close(packet.descriptor)
 
     def _handle_write_error(self, error: OSError, packet: Packet) -> bool:
-        """Handle a failed write; True where the packet is dropped and the next one can be sent."""
-        if error.errno == errno.ETOOMANYREFS:  # the other process has yet to receive those in transit
+        """Handle a failed write.  Return True if the packet is dropped and the next one can be sent."""
+        if error.errno == errno.ETOOMANYREFS:  # the peer has not received the descriptors in transit yet
             self.is_blocked = True
             self.loop.call_later(DESCRIPTOR_RETRY_S, self._retry)
             return False
         if error.errno == errno.EMSGSIZE:
-            log.error("hot-restart packet %s dropped: too long", packet.kind)
+            log.error("hot-restart packet %s dropped: exceeds the maximum message size", packet.kind)
             return True
         self.close()
         return False
@@ -131,8 +136,9 @@
         except BlockingIOError:
             return
         except ConnectionResetError as error:
-            # A process that ends with unread packets resets the connection, and the system reports that
-            # before the packets that it had sent.  So the first reset is followed by another read.
+            # A process that exits with unread packets resets the connection, and the kernel reports the
+            # reset before the packets that this process had sent.  So the first reset does not end the
+            # link: the packets are read after it.
             if self.was_reset:
                 self._close_lost(error)
             self.was_reset = True
--- a/weldquay/net/read_ahead.py
+++ b/weldquay/net/read_ahead.py
@@ -1,15 +1,15 @@
-"""Limits of the bytes that clients send while a request of theirs waits for its answer."""
+"""Limits on read-ahead: the bytes that clients send while a request of theirs waits for its answer."""
 
 from __future__ import annotations
 
-# Bytes that each connection may always send ahead.
+# The read-ahead that each connection may always have.
 READ_AHEAD_ALLOWANCE_BYTES = 16 * 1024
-# Bytes that one connection may send ahead while all of them together stay within the shared budget.
+# The read-ahead of one connection while the total of all connections is within the shared budget.
 MAX_READ_AHEAD_BYTES = 256 * 1024
 
 
 class ReadAheadBudget:
-    """The bytes that all connections together have sent ahead."""
+    """The total read-ahead of all connections, and its limit."""
 
     __slots__ = ("max_bytes", "used_bytes")
 
@@ -19,17 +19,17 @@
 
 
 class ReadAhead:
-    """The bytes that one connection has sent ahead."""
+    """The read-ahead of one connection."""
 
     __slots__ = ("budget", "is_exceeded", "size")
 
     def __init__(self, budget: ReadAheadBudget) -> None:
         self.budget = budget
         self.size = 0  # bytes
-        self.is_exceeded = False  # bytes were dropped: the connection closes after its answer
+        self.is_exceeded = False  # bytes were dropped, so the connection closes after its response
 
     def accept(self, length: int) -> bool:
-        """Count received bytes; False where they exceed the limits and are to be dropped."""
+        """Count received bytes.  Return False if they exceed the limits, so that the caller drops them."""
         size = self.size + length
         if size > READ_AHEAD_ALLOWANCE_BYTES and (
             size > MAX_READ_AHEAD_BYTES or self.budget.used_bytes + length > self.budget.max_bytes
@@ -40,11 +40,11 @@
         return not self.is_exceeded
 
     def reset(self, size: int) -> None:
-        """Set the number of bytes sent ahead."""
+        """Set the size of the read-ahead, and adjust the shared budget."""
         self.budget.used_bytes += size - self.size
         self.size = size
 
     @property
     def is_migratable(self) -> bool:
-        """True where no bytes were dropped and the others fit into a hot-restart message."""
+        """Whether no bytes were dropped and the read-ahead fits into a hot-restart message."""
         return self.size <= READ_AHEAD_ALLOWANCE_BYTES and not self.is_exceeded
--- a/weldquay/net/streams.py
+++ b/weldquay/net/streams.py
@@ -1,6 +1,6 @@
-"""Streams that show whether bytes have arrived and are unread, in the reader's and in the system's buffer.
+"""Streams that show whether there are unread bytes, in the reader's buffer or in the kernel's.
 
-A connection is closed or reused only if it has no unread bytes: the peer may just have written to it.
+A connection is closed or reused only if it has no unread bytes, since the peer may just have written to it.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from collections.abc import Iterable
 from typing import SupportsIndex
 
-# Events of poll.
+# Events for poll(2).
 READABLE = select.POLLIN
 WRITABLE = select.POLLOUT
 HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class CountingReader(asyncio.StreamReader):
-    """A reader that counts the bytes in its buffer."""
+    """A stream reader that counts the bytes in its buffer."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit)
@@ -31,31 +31,39 @@
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
-        """Up to n bytes of the buffer; b"" at the end of the stream."""
+        """Read up to n bytes; return b"" at the end of the stream."""
         data = await super().read(n)
         self.buffered_bytes -= len(data)
         return data
 
 
 def socket_has_event(sock: socket.socket, events: int) -> bool:
-    """True if one of the poll events is set on a socket, without waiting.  Raises ValueError if closed."""
+    """Return whether one of the poll events is set on a socket, without waiting.
+
+    Raises:
+        ValueError: the socket is closed.
+    """
     poll = select.poll()
     poll.register(sock.fileno(), events)
     return any(found_events & events for _, found_events in poll.poll(0))
 
 
 def has_event(writer: asyncio.StreamWriter, events: int) -> bool:
-    """True if one of the poll events is set on a connection; False once it is closed on this side."""
+    """Return whether one of the poll events is set on a connection; False once this side closed it."""
     return not writer.is_closing() and socket_has_event(writer.get_extra_info("socket"), events)
 
 
 def has_unread_bytes(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
-    """True if bytes or the end of the stream have arrived and are unread."""
+    """Return whether bytes, or the end of the stream, have arrived and are unread."""
     return reader.buffered_bytes > 0 or has_event(writer, READABLE)
 
 
 async def connect(host: str, port: int, limit: int) -> tuple[CountingReader, asyncio.StreamWriter]:
-    """Connect to a server; limit: bytes of the reader's buffer.  Raises OSError if that fails."""
+    """Connect to a server; limit is the size of the reader's buffer in bytes.
+
+    Raises:
+        OSError: the connection failed.
+    """
     loop = asyncio.get_running_loop()
     reader = CountingReader(limit)
     protocol = asyncio.StreamReaderProtocol(reader)
--- a/weldquay/net/tasks.py
+++ b/weldquay/net/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose exceptions are logged."""
+"""Groups of background tasks."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Tasks:
-    """A group of asyncio tasks: it references each until its end, and logs exceptions."""
+    """A group of asyncio tasks.  It keeps a reference to each running task and logs exceptions."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, coroutine: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Start a task; name: the subject of the log line if it raises."""
+        """Start a task; its name is used in the log line if it raises."""
         task = asyncio.create_task(coroutine, name=name)
         self.running.add(task)
         task.add_done_callback(self._on_done)
@@ -29,7 +29,7 @@
             log.error("task failed: %s", task.get_name(), exc_info=error)
 
     async def stop(self) -> None:
-        """Cancel the running tasks and wait until they have ended."""
+        """Cancel the running tasks and wait for their end."""
         for task in self.running:
             task.cancel()
         await asyncio.gather(*self.running, return_exceptions=True)
