--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -1,8 +1,8 @@
-"""The external form of the hot-restart messages: their kinds and the names and order of their fields.
+"""The wire format of the hot-restart messages: message kinds, and the names and order of their fields.
 
-The constants are what a process of any release with the same PROTOCOL_VERSION sends and expects.  They do not
-follow the names of classes or fields.  A decoder ignores unknown names; a missing name has the default of its
-field in `hot_restart_messages`, but for the ids and addresses without which a message has no meaning.
+The constants are shared by all releases with the same PROTOCOL_VERSION, so they are independent of the names
+of classes and fields.  A decoder ignores unknown fields.  A missing field has the default that
+`hot_restart_messages` gives it, except for the ids and addresses that a message requires.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from weldquay.net.hot_restart_packet import Packet
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
 
-# The kinds.
+# Message kinds.
 LISTENER_REQUEST = "ask"
 LISTENER_OFFER = "offer"
 ENDPOINT_LIST_CHUNK = "members"
@@ -48,7 +48,7 @@
 MIGRATION_ENDED = "end"
 MIGRATION_END_CONFIRMED = "ended"
 
-# The fields of `ask`, `offer` and `members`.
+# Fields of `ask`, `offer` and `members`.
 PROTOCOL_VERSION = "form"
 BANNED_WORKER_IDS = "bans"
 OUT_OF_SERVICE_SINCE = "out_since"
@@ -57,7 +57,7 @@
 LEASE = "lease"
 ENDPOINTS = "members"
 
-# The fields of `worker`, `open`, `held` and `ban`.
+# Fields of `worker`, `open`, `held` and `ban`.
 WORKER_ID = "id"
 WORKER_STATE_FIELDS = "memory"
 WORKER_ADDRESS = "at"
@@ -65,7 +65,7 @@
 CONNECTIONS = "clients"
 IS_BANNED = "on"
 
-# The fields of `client`, and of the request in it.
+# Fields of `client`, and of the request in it.
 IS_IDLE = "resting"
 STATE_SINCE = "since"
 REQUEST = "call"
@@ -77,31 +77,31 @@
 
 
 class MalformedMessage(OperatorError, ValueError):
-    """A message without an id or an address that it needs."""
+    """A message lacks a required id or address."""
 
     error_code = "malformed-message"
-    remedy = "nothing for this restart; upgrade in steps of releases that have the same hot-restart protocol"
+    remedy = "none for this restart; upgrade through releases that have the same hot-restart protocol version"
 
 
 class UnknownMessageKind(OperatorError, ValueError):
-    """A message of a kind that this release does not have."""
+    """This release does not support the kind of the message."""
 
     error_code = "unknown-message-kind"
-    remedy = "nothing; a later release sends it, and this one can do without it"
+    remedy = "none needed; a later release sends this message, and this release can ignore it"
 
 
 def encode(message: HotRestartMessage) -> Packet:
-    """The packet of a message."""
+    """Encode a message as a packet."""
     return _ENCODERS[type(message)](message)
 
 
 def decode(packet: Packet) -> HotRestartMessage:
-    """The message of a packet.
+    """Decode the message in a packet.
 
     Raises:
-        UnknownMessageKind: a later release may have sent it; it can be ignored.
-        MalformedMessage: an id or an address is missing.
-        ValueError: a list in it has the wrong length.
+        UnknownMessageKind: the kind is unknown; a later release may have sent it, and it can be ignored.
+        MalformedMessage: a required id or address is missing.
+        ValueError: a list has the wrong length.
     """
     if (decoder := _DECODERS.get(packet.kind)) is None:
         raise UnknownMessageKind(packet.kind)
@@ -110,7 +110,7 @@
 
 def _required_field(packet: Packet, name: str) -> Any:
     if name not in packet.fields:
-        raise MalformedMessage(f"{packet.kind} without {name}")
+        raise MalformedMessage(f"message {packet.kind} lacks the field {name}")
     return packet.fields[name]
 
 
@@ -161,7 +161,7 @@
 
 
 def _decode_lease(values: Sequence[Any]) -> LeaseState:
-    """A lease from the list of its values, of which an earlier release may have sent fewer."""
+    """Decode a lease from the list of its values; an earlier release may send fewer, a later one more."""
     defaults: Sequence[Any] = NO_LEASE
     until_ns, missed, silent = [*values[: len(defaults)], *defaults[len(values) :]]
     return LeaseState(until_ns=until_ns, missed=missed, silent=silent)
--- a/weldquay/net/hot_restart_messages.py
+++ b/weldquay/net/hot_restart_messages.py
@@ -1,7 +1,7 @@
-"""The messages that an older and a newer process of one dispatcher exchange during a hot restart.
+"""The messages between the older and the newer process of one dispatcher during a hot restart.
 
-A file descriptor in a message belongs to its receiver, which closes it; NO_DESCRIPTOR stands for none.  Their
-external form is in `hot_restart_codec`.
+The receiver of a message owns the file descriptor in it and closes it; NO_DESCRIPTOR stands for none.
+`hot_restart_codec` defines the wire format.
 """
 
 from __future__ import annotations
@@ -13,22 +13,25 @@
 from weldquay.interface import NO_LEASE, UNKNOWN_WORKER, LeaseState, WorkerSnapshot
 from weldquay.net.hot_restart_packet import NO_DESCRIPTOR as NO_DESCRIPTOR  # part of this module's interface
 
-PROTOCOL_VERSION = 1  # a process with another version starts without a hot restart
+PROTOCOL_VERSION = 1  # processes with different versions do not perform a hot restart
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerRequest:
-    """The newer process asks for the listener."""
+    """The newer process requests the listener."""
 
     protocol_version: int | None = PROTOCOL_VERSION
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerOffer:
-    """The older process hands over a duplicate of its listener.
+    """The older process sends a duplicate of its listener.
 
-    out_of_service_since: when operators took the dispatcher out of service, on the monotonic clock (s); None
-    while it is in service.
+    Attributes:
+        descriptor: the duplicate of the listener.
+        banned_worker_ids: the workers that operators have banned.
+        out_of_service_since: when operators took the dispatcher out of service, in seconds of the monotonic
+            clock; None while it is in service.
     """
 
     descriptor: int = NO_DESCRIPTOR
@@ -38,10 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChunk:
-    """A part of the endpoint list of the older process; all parts precede its offer.
+    """A part of the older process's endpoint list; all parts are sent before the listener offer.
 
-    discovery_address: the discovery that the revision belongs to; None: not known.  endpoints: members in
-    discovery's own form (`messages.endpoint_to_json`).
+    Attributes:
+        revision: the revision of the list.
+        discovery_address: the discovery service that issued the revision; None: unknown.
+        lease: the state of the list's lease.
+        endpoints: members of the list in the JSON format of discovery (`messages.endpoint_to_json`).
     """
 
     revision: int = 0
@@ -52,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewerProcessReady:
-    """The newer process can accept connections."""
+    """The newer process is ready to accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerStateMessage:
-    """The state of one worker and its address."""
+    """The state of one worker, and its address."""
 
     worker_id: str
     host: str
@@ -72,23 +78,28 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequests:
-    """Ids of the requests that are open at the older process; new requests may not use them."""
+    """The ids of requests that are open at the older process; the newer one rejects them in new requests."""
 
     request_ids: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ClientConnectionCount:
-    """How many client connections the older process holds."""
+    """The number of client connections of the older process."""
 
     connections: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class MigratedAttempt:
-    """An attempt that is out at a worker; times are in nanoseconds of the monotonic clock.
-
-    started_ns: when the worker reported that it runs; 0: not reported.
+    """An attempt in flight at a worker.  Times are in nanoseconds of the monotonic clock.
+
+    Attributes:
+        number: the number of the attempt within its request.
+        worker_id: the worker that it was sent to.
+        sent_ns: when it was sent.
+        deadline_ns: when it times out.
+        started_ns: when the worker reported that the job had started; 0: not reported.
     """
 
     number: int
@@ -100,9 +111,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MigratedRequest:
-    """A client's open request; times are in nanoseconds of the monotonic clock.
-
-    attempts_sent: all attempts so far; attempts: those that have not ended.
+    """An open request of a client.  Times are in nanoseconds of the monotonic clock.
+
+    Attributes:
+        class_name: the name of its job class.
+        opened_ns: when the request was received.
+        deadline_ns: when the client expects the response.
+        attempts_sent: the number of attempts so far, including those that have ended.
+        attempts: the attempts in flight.
     """
 
     class_name: str = ""
@@ -116,9 +132,12 @@
 class MigratedConnection:
     """A client connection.
 
-    unparsed: bytes that were read and not parsed, beginning with the open request; is_idle: it is between two
-    requests; state_since: when its state began, on the monotonic clock (s), None: now; request: None without
-    an open one.
+    Attributes:
+        descriptor: the socket.
+        unparsed: received bytes for the newer process to parse; the open request comes first.
+        is_idle: whether the connection is between two requests.
+        state_since: when it entered its state, in seconds of the monotonic clock; None: now.
+        request: the open request; None: there is none.
     """
 
     descriptor: int = NO_DESCRIPTOR
@@ -130,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BanChange:
-    """Operators banned a worker, or lifted its ban."""
+    """Operators have banned a worker or lifted its ban."""
 
     worker_id: str
     is_banned: bool = True
@@ -138,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedCallback:
-    """The body of a worker's callback that matches no attempt of the sender."""
+    """The body of a worker's callback that matches no attempt at the process that received it."""
 
     body: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationEnded:
-    """The older process has sent its last message."""
+    """The older process has sent all messages."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldquay/net/hot_restart_packet.py
+++ b/weldquay/net/hot_restart_packet.py
@@ -1,4 +1,4 @@
-"""A packet between two processes of one dispatcher: a line of JSON, then bytes, with a file descriptor."""
+"""The packet format of the hot-restart link: a line of JSON, binary data and an optional file descriptor."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 import ujson
 
-KIND = "kind"  # the name of the packet's kind, the first one in its JSON object
+KIND = "kind"  # the name of the first field of the JSON object, which holds the kind of the packet
 NO_DESCRIPTOR = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """A packet as it is sent: its kind, the other fields of its JSON object, and the bytes after it.
+    """A packet: its kind, the other fields of its JSON object, and the binary data after it.
 
-    The receiver of a descriptor closes it.
+    The receiver of a descriptor owns it and closes it.
     """
 
     kind: str
@@ -25,16 +25,16 @@
 
     @property
     def has_descriptor(self) -> bool:
-        """True where the packet carries a file descriptor."""
+        """Whether the packet carries a file descriptor."""
         return self.descriptor != NO_DESCRIPTOR
 
     def encode(self) -> bytes:
-        """The bytes of the packet."""
+        """Serialize the packet, without its descriptor."""
         return ujson.dumps({KIND: self.kind, **self.fields}).encode() + b"\n" + self.data
 
     @classmethod
     def decode(cls, encoded: bytes, descriptor: int = NO_DESCRIPTOR) -> Packet:
-        """The packet of its bytes.
+        """Parse a packet from its bytes and the descriptor that was received with them.
 
         Raises:
             ValueError: the bytes are malformed.
@@ -44,4 +44,4 @@
         kind = fields.pop(KIND, None) if isinstance(fields, dict) else None
         if isinstance(kind, str):
             return cls(kind, fields, data, descriptor)
-        raise ValueError("packet without its kind")
+        raise ValueError("packet has no kind")
--- a/weldquay/net/worker_state_codec.py
+++ b/weldquay/net/worker_state_codec.py
@@ -1,7 +1,7 @@
-"""The external form of a worker's state in the hot-restart message `worker`.
+"""The wire format of a worker's state in the hot-restart message `worker`.
 
-The names are those that the process of an earlier release sends and expects.  They are written out here and
-do not follow the names of `WorkerSnapshot` or of any other class.  Their order is part of the form.
+Processes of other releases send and expect these names, so they are independent of the names of
+`WorkerSnapshot` or any other class.  Their order is part of the format.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def encode_worker_state(snapshot: WorkerSnapshot) -> dict[str, Any]:
-    """The JSON object of a snapshot, with its names in the order of the external form."""
+    """Encode a snapshot as a JSON object, with its names in the order of the wire format."""
     return {
         FREE_SLOTS: snapshot.free_slots,
         FREE_MEMORY: snapshot.free_memory,
@@ -62,9 +62,9 @@
 
 
 def decode_worker_state(state: Mapping[str, Any]) -> WorkerSnapshot:
-    """The snapshot of a JSON object.
+    """Decode a snapshot from a JSON object.
 
-    Unknown names are ignored.  A missing name has the value of a worker that nothing is known of.
+    Unknown names are ignored.  A missing name has the value of `UNKNOWN_WORKER`.
     """
     default = UNKNOWN_WORKER
     return WorkerSnapshot(
