--- a/weldquay/net/hot_restart.py
+++ b/weldquay/net/hot_restart.py
@@ -1,8 +1,9 @@
-"""The hot restart: an older and a newer process of one dispatcher, connected by a unix socket in $TMPDIR.
+"""Hot restart: the protocol between an older and a newer process of one dispatcher.
 
-The newer process requests the listener, gets the endpoint list and the listener, and reports that it is
-ready.  The older process then stops accepting and migrates its connections.  At its end it reports that it
-has sent its last message, and waits for the confirmation.
+The processes are connected by a unix socket in $TMPDIR.  The newer process requests the listener, receives
+the endpoint list and the listener, and reports that it is ready.  The older process then stops accepting
+connections and migrates those that it has.  Before it exits it reports that it has sent all messages, and
+waits for the confirmation.
 """
 
 from __future__ import annotations
@@ -41,8 +42,8 @@
 
 log = logging.getLogger(__name__)
 
-LISTENER_OFFER_TIMEOUT_S = 1.5  # then the newer process starts without the older one
-CONFIRMATION_TIMEOUT_S = 1.5  # then a process goes on without the other one's confirmation
+LISTENER_OFFER_TIMEOUT_S = 1.5  # after it the newer process starts without the older one
+CONFIRMATION_TIMEOUT_S = 1.5  # after it a process continues without the confirmation of its peer
 
 RECEIVED_COUNTERS: dict[type[HotRestartMessage], str] = {
     WorkerStateMessage: "hot_restart_worker_states",
@@ -57,7 +58,7 @@
 
 
 def is_peer_listening(name: str) -> bool:
-    """True where an older process of this dispatcher listens; False where there are no unix sockets."""
+    """Return whether an older process of this dispatcher listens; False if unix sockets are unavailable."""
     try:
         with open_socket() as sock:
             return sock.connect_ex(str(state_path(name, ".sock"))) == 0
@@ -67,33 +68,33 @@
 
 
 class HotRestartDelegate(Protocol):
-    """What the hot restart uses of this process."""
+    """The process's side of a hot restart: what `HotRestart` calls."""
 
     def offer_listener(self) -> ListenerOffer | None:
-        """A duplicate of the listener, for a newer process; None where this process is not serving."""
+        """Return a duplicate of the listener for a newer process, or None if this process is not serving."""
 
     def start_migration(self) -> None:
-        """The newer process is ready: stop accepting, and migrate the connections."""
+        """Stop accepting and migrate the connections, since the newer process is ready."""
 
     def handle_message(self, message: HotRestartMessage) -> None:
-        """Handle a message that is not part of the exchange that `HotRestart` itself controls."""
+        """Handle a message that is not part of the handshake, which `HotRestart` handles itself."""
 
     def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
-        """The link has ended; unsent: the messages that the other process did not receive."""
+        """Handle the end of the link; unsent holds the messages that were not sent to the peer."""
 
 
 class HotRestart:
-    """This process's end of the link to the other one, which is older or newer."""
+    """This process's end of the link to an older or a newer process, and the handshake over it."""
 
     def __init__(self, name: str, counters: Counters, delegate: HotRestartDelegate) -> None:
-        """Use the socket of the dispatcher of this name."""
+        """Use the socket of the dispatcher with this name."""
         self.path = state_path(name, ".sock")
         self.counters = counters
         self.delegate = delegate
         self.listening_socket: socket.socket | None = None
         self.link: ProcessLink | None = None
         self.listener_offer: ListenerOffer | None = None
-        self.is_listener_granted = False  # to a newer process
+        self.is_listener_granted = False  # whether a newer process was sent the listener
         self._reset_events()
 
     def _reset_events(self) -> None:
@@ -104,7 +105,7 @@
     # --- the newer process ---
 
     async def request_listener(self) -> ListenerOffer | None:
-        """The offer of the older process; None where there is none, or no answer in time."""
+        """Request the listener; return None if there is no older process or it does not answer in time."""
         if (sock := self._connect()) is None:
             return None
         self._open_link(sock)
@@ -115,7 +116,7 @@
         return self.listener_offer
 
     def _connect(self) -> socket.socket | None:
-        """A socket that is connected to the older process; None where there is none."""
+        """Return a socket that is connected to the older process, or None if there is none."""
         try:
             sock = open_socket()
         except OSError as error:
@@ -138,7 +139,7 @@
     # --- the older process ---
 
     def listen(self) -> None:
-        """Wait for a newer process; the socket replaces that of an earlier process by a rename."""
+        """Listen for a newer process; a rename replaces the socket of an earlier process atomically."""
         temporary_path = self.path.with_suffix(f".{os.getpid()}")
         try:
             sock = open_socket()
@@ -167,17 +168,17 @@
             log.warning("hot restart refused: another newer process has the listener")
             sock.close()
             return
-        if self.link is not None:  # its process has not requested the listener: see `is_peer_listening`
+        if self.link is not None:  # the peer of this link did not request the listener: `is_peer_listening`
             self.link.close()
         self._open_link(sock)
 
     async def end_migration(self) -> None:
-        """Report that all is sent, and wait until the newer process has handled it."""
+        """Report that all messages are sent, and wait until the newer process has handled them."""
         self.send(MigrationEnded())
         await self._wait(self.migration_confirmed, CONFIRMATION_TIMEOUT_S)
 
     def _answer_request(self, request: ListenerRequest) -> None:
-        """Offer the listener, or end the link where that is not possible."""
+        """Offer the listener, or close the link if that is not possible."""
         offer = None
         if request.protocol_version == PROTOCOL_VERSION:
             offer = self.delegate.offer_listener()
@@ -190,18 +191,18 @@
     # --- both ---
 
     def _open_link(self, sock: socket.socket) -> None:
-        """Start a link with new events: those of an earlier link were set when it was lost."""
+        """Open a link, with new events since those of an earlier link were set when it was lost."""
         self._reset_events()
         self.link = ProcessLink(sock, self._receive, self._on_link_lost)
 
     async def _wait(self, event: asyncio.Event, timeout_s: float) -> None:
-        """Wait for an event, or until the time (s) is over."""
+        """Wait for an event until the timeout."""
         with suppress(TimeoutError):
             async with PeerTimeout(timeout_s):
                 await event.wait()
 
     def send(self, message: HotRestartMessage) -> None:
-        """Send a message to the other process, if there is one; its descriptor is closed here."""
+        """Send a message to the peer, if there is one; the descriptor in it is closed in this process."""
         packet = encode(message)
         if self.link is not None:
             self.link.send(packet)
@@ -209,7 +210,7 @@
             os.close(packet.descriptor)
 
     def stop(self) -> None:
-        """Stop listening, and end the link."""
+        """Stop listening, and close the link."""
         if self.listening_socket is not None:
             asyncio.get_running_loop().remove_reader(self.listening_socket)
             self.listening_socket.close()
@@ -218,7 +219,7 @@
             self.link.close()
 
     def _receive(self, packet: Packet) -> None:
-        """Decode a packet and handle its message; one that cannot be decoded is dropped."""
+        """Decode a packet and handle its message; drop a packet that cannot be decoded."""
         try:
             message = decode(packet)
         except ValueError as error:
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -1,4 +1,4 @@
-"""The hot restart as this process performs it: what it takes from an older one and gives to a newer one."""
+"""The migration of a process's state: received from an older process, sent to a newer one."""
 
 from __future__ import annotations
 
@@ -35,12 +35,10 @@
 from weldquay.net.process_link import split_into_chunks
 from weldquay.net.service_control import ServiceControl
 
-NEWER_PROCESS_DESCRIPTORS = 24  # that a newer process needs before it has clients
-NEWER_PROCESS_WORKER_FRACTION = 1 / 3  # of the connections to workers, while both processes run
+NEWER_PROCESS_DESCRIPTORS = 24  # descriptors that a newer process needs before it has clients
+NEWER_PROCESS_WORKER_FRACTION = 1 / 3  # share of the connections to workers while both processes run
 CONNECTION_COUNT_INTERVAL_S = 0.2
-
-
-ANY_PORT = 0  # in a configuration: the system chooses
+ANY_PORT = 0  # in a configuration: the system chooses the port
 
 
 class AddressConflict(OperatorError):
@@ -54,30 +52,33 @@
 
     def __init__(self, name: str, running: Address, configured: Address) -> None:
         super().__init__(
-            f"a process named {name} is running at {running.host}:{running.port}, "
-            f"and this one is to listen at {configured.host}:{configured.port}"
+            f"a process named {name} already listens at {running.host}:{running.port}, "
+            f"but this process is configured to listen at {configured.host}:{configured.port}"
         )
 
 
 class ProcessMigration:
-    """The hot restart of one process; implements `HotRestartDelegate`."""
+    """Migrates the state of one process during a hot restart; implements `HotRestartDelegate`."""
 
     def __init__(self, parts: DispatcherParts, service: ServiceControl) -> None:
-        """Migrate these parts, and the state of the operators' drain."""
+        """Migrate the state of these parts, and of a drain by operators."""
         self.parts = parts
         self.service = service
         self.hot_restart = HotRestart(parts.config.name, parts.counters, self)
-        self.endpoint_list_chunks: list[EndpointListChunk] = []  # the older process's list
-        self.peer_connections = 0  # client connections of the older process
+        self.endpoint_list_chunks: list[EndpointListChunk] = []  # of the older process
+        self.peer_connections = 0  # number of client connections of the older process
         self.phase_before_migration = Phase.STARTING
 
     # --- the newer process ---
 
     async def request_listener(self) -> ListenerOffer | None:
-        """The offer of the older process, whose endpoint list is adopted; None where there is none.
+        """Request the listener of the older process, and adopt its endpoint list.
+
+        Returns:
+            The offer, or None if there is no older process.
 
         Raises:
-            AddressConflict: the older process has another address; it keeps its listener.
+            AddressConflict: the older process listens at another address; it keeps its listener.
             OSError: the configured address cannot be resolved.
         """
         offer = await self.hot_restart.request_listener()
@@ -88,7 +89,7 @@
         return offer
 
     async def _check_address(self, offer: ListenerOffer) -> None:
-        """Decline an offer of a listener at another address than the configured one."""
+        """Raise AddressConflict if the offered listener does not have the configured address."""
         configured = self.parts.config.listen
         listener = socket.socket(fileno=os.dup(offer.descriptor))
         with listener:
@@ -102,10 +103,10 @@
         raise AddressConflict(self.parts.config.name, offered, configured)
 
     def _adopt_endpoint_list(self) -> None:
-        """Start with the older process's endpoint list, which is newer than the configuration's."""
+        """Start with the older process's endpoint list, which is more recent than the configured one."""
         parts = self.parts
         chunks = self.endpoint_list_chunks
-        # A revision has no meaning for another discovery; from 0 on that sends the complete list.
+        # Another discovery service does not know this revision; since revision 0 it sends the complete list.
         is_same_discovery = chunks[0].discovery_address == parts.config.discovery
         revision = chunks[0].revision if is_same_discovery else 0
         endpoints = [endpoint for chunk in chunks for endpoint in chunk.endpoints]
@@ -118,7 +119,7 @@
         parts.coordinator.config = parts.config
 
     async def take_over(self, offer: ListenerOffer) -> None:
-        """Take over from the older process, once the endpoint list is confirmed or its timeout is over."""
+        """Take over from the older process once the endpoint list is confirmed, or after its timeout."""
         self.parts.workers.limit_connections(NEWER_PROCESS_WORKER_FRACTION)
         for worker_id in offer.banned_worker_ids:
             self.parts.coordinator.set_worker_ban(worker_id, True)
@@ -126,13 +127,17 @@
         await self.hot_restart.confirm_ready()
 
     def return_callback(self, body: bytes) -> None:
-        """Forward a callback that matches no attempt here."""
+        """Forward a callback that matches no attempt in this process to the other process."""
         self.hot_restart.send(ForwardedCallback(body))
 
     # --- the older process ---
 
     def offer_listener(self) -> ListenerOffer | None:
-        """A duplicate of the listener, with descriptors reserved for the newer process; the list is sent."""
+        """Send the endpoint list, reserve resources for the newer process, and return the listener offer.
+
+        Returns:
+            The offer with a duplicate of the listener, or None if this process is not serving.
+        """
         parts = self.parts
         if not parts.lifecycle.allows_hot_restart or parts.server.listener is None:
             return None
@@ -162,7 +167,7 @@
             )
 
     def start_migration(self) -> None:
-        """Stop accepting, send the state of the workers, and migrate the client connections."""
+        """Stop accepting connections, send the state of the workers, and migrate the client connections."""
         parts = self.parts
         if not parts.lifecycle.allows_hot_restart:
             return
@@ -182,7 +187,7 @@
         self.hot_restart.send(ClientConnectionCount(len(self.parts.server.connections)))
 
     async def _report_connection_count(self) -> None:
-        """Send the number of connections that the newer process has to leave descriptors for."""
+        """Send the number of client connections regularly; the newer process leaves descriptors for them."""
         while self.hot_restart.link is not None:
             await asyncio.sleep(CONNECTION_COUNT_INTERVAL_S)
             self._send_connection_count()
@@ -190,7 +195,7 @@
     # --- both ---
 
     def handle_message(self, message: HotRestartMessage) -> None:
-        """Handle a message of the other process."""
+        """Handle a message from the other process."""
         parts = self.parts
         match message:
             case WorkerStateMessage():
@@ -210,7 +215,7 @@
                 self._handle_forwarded_callback(message)
 
     def _accept_connection(self, connection: MigratedConnection) -> None:
-        if connection.descriptor == NO_DESCRIPTOR:  # this process had none left for it
+        if connection.descriptor == NO_DESCRIPTOR:  # this process had reached its limit of descriptors
             self.parts.counters.add("hot_restart_connections_without_descriptor")
             return
         if self.peer_connections:
@@ -218,7 +223,7 @@
         self.parts.server.accept_migrated(connection)
 
     def _reserve_for_peer(self, connections: int) -> None:
-        """Leave descriptors for the client connections of the older process."""
+        """Reserve descriptors for the client connections of the older process."""
         self.peer_connections = connections
         self.parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS + connections)
 
@@ -227,12 +232,13 @@
         with suppress(MessageError):
             callback = parse_callback(message.body, self.parts.config.report_fields)
             is_matched = self.parts.coordinator.handle_callback(callback)
-            # A callback may arrive before its request migrates; sent back, it arrives after the request.
+            # A callback can arrive before its request has migrated.  If it is sent back, it arrives at the
+            # newer process after the request.
             if not is_matched and self.parts.server.context.migrate_connection is not None:
                 self.hot_restart.send(message)
 
     def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
-        """Use all descriptors again; serve again if the newer process has ended before this one."""
+        """Release what was reserved for the peer, and serve again if a newer process ended prematurely."""
         parts = self.parts
         parts.server.table.reserve(0)
         parts.workers.limit_connections(1)
@@ -249,7 +255,7 @@
                 self.service.take_out_of_service(self.service.out_of_service_since)
 
     def _recover(self, message: HotRestartMessage) -> None:
-        """Take back a connection that was not sent, unless this process stops; close other descriptors."""
+        """Resume a connection that was not sent, unless this process is stopping; close other descriptors."""
         if not isinstance(message, MigratedConnection | ListenerOffer):
             return
         if message.descriptor == NO_DESCRIPTOR:
--- a/weldquay/net/service_control.py
+++ b/weldquay/net/service_control.py
@@ -1,4 +1,4 @@
-"""What operators can do with the process: take it out of service, return it to service, and ban workers."""
+"""The actions of operators: take the process out of service, return it to service, and ban workers."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 from weldquay.net.lifecycle import Phase
 from weldquay.net.persistence import BanList
 
-# The front requests /_health ten times a second, and sends no new client 0.2 s after a 503.
-CLOSE_AFTER_S = 0.5  # out of service for so long, connections close after their answers
-# Out of service for so long, job requests are rejected.  4 s after the 503 none may be less than 2 s old.
+# Both delays are counted from the time when the process was taken out of service.  The load balancer in front
+# of the dispatchers requests /_health ten times a second, and sends no new clients from 0.2 s after a 503.
+CLOSE_AFTER_S = 0.5  # then connections close after their responses
+# Then job requests are rejected: 4 s after the 503 no accepted request may be less than 2 s old.
 REJECT_AFTER_S = 1.5
 
 
 class ServiceControl:
-    """The operators' actions on one process."""
+    """The actions of operators on one process; implements `operators.OperatorActions`."""
 
     def __init__(self, parts: DispatcherParts, send_to_peer: Callable[[HotRestartMessage], None]) -> None:
-        """Act on these parts; send_to_peer: sends a message to the other process, if there is one."""
+        """Control these parts; send_to_peer sends a message to the other process of a hot restart, if any."""
         self.parts = parts
         self.send_to_peer = send_to_peer
         self.saved_bans = BanList(parts.config.name)
-        self.out_of_service_since = parts.lifecycle.started_at  # on the monotonic clock (s)
+        self.out_of_service_since = parts.lifecycle.started_at  # seconds, monotonic clock
         self.draining_task: asyncio.Task[None] | None = None
 
     def is_ready(self) -> bool:
-        """True once requests can be served."""
+        """Return whether requests can be served."""
         return self.parts.readiness.is_ready()
 
     def take_out_of_service(self, since: float | None = None) -> bool:
-        """Drain the dispatcher; False where the phase does not allow it.
+        """Drain the dispatcher.  Return False if the phase does not allow it.
 
-        since: when that began (s), where an older process had begun it.
+        Args:
+            since: when an older process started the drain, in seconds of the monotonic clock; None: now.
         """
         lifecycle = self.parts.lifecycle
         if lifecycle.phase is Phase.SERVING:
@@ -45,7 +47,7 @@
         return lifecycle.phase is Phase.OUT_OF_SERVICE
 
     def return_to_service(self) -> bool:
-        """Accept clients again; False where the phase does not allow it."""
+        """End the drain and accept clients again.  Return False if the phase does not allow it."""
         lifecycle = self.parts.lifecycle
         if lifecycle.phase is Phase.OUT_OF_SERVICE:
             self.stop_draining()
@@ -54,7 +56,7 @@
         return lifecycle.phase is Phase.SERVING
 
     async def _drain(self) -> None:
-        """Close the idle connections first, then reject job requests."""
+        """Close idle connections and, after their responses, the others; later reject job requests."""
         server = self.parts.server
         await asyncio.sleep(self.out_of_service_since + CLOSE_AFTER_S - time.monotonic())
         server.begin_closing()
@@ -62,13 +64,13 @@
         server.context.is_rejecting = True
 
     def stop_draining(self) -> None:
-        """Stop a drain, without returning to service."""
+        """Cancel the steps of a drain that have not run, without returning to service."""
         if self.draining_task is not None:
             self.draining_task.cancel()
             self.draining_task = None
 
     def set_worker_ban(self, worker_id: str, is_banned: bool) -> bool:
-        """Ban a worker, or lift its ban; False for an id that neither the list nor a ban has named."""
+        """Ban a worker or lift its ban.  Return False if the id is neither listed nor banned."""
         coordinator = self.parts.coordinator
         if not coordinator.is_known_worker(worker_id):
             return False
@@ -78,6 +80,6 @@
         return True
 
     def restore_bans(self) -> None:
-        """Ban the workers that were banned when the last process ended."""
+        """Restore the bans that the previous process persisted."""
         for worker_id in self.saved_bans.read():
             self.parts.coordinator.set_worker_ban(worker_id, True)
