--- a/weldquay/net/http_channel.py
+++ b/weldquay/net/http_channel.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 of one connection that a client or a worker opened, without any I/O.
+"""The server side of HTTP/1.1 for one connection, without I/O.
 
-Received bytes become requests, and answers become bytes to send.  A request whose length is ambiguous, or
-whose body is too large, is rejected as soon as that can be seen.
+It parses received bytes into requests and serializes responses.  A request with an ambiguous length or a body
+that is too large is rejected as soon as it is detected.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 class Progress(Enum):
-    """What the received bytes contain."""
+    """The result of parsing the received bytes."""
 
-    NEED_DATA = "need data"
-    REQUEST = "request"  # a complete request
-    CLOSED = "closed"  # the client has ended its half of the connection between two requests
+    NEED_DATA = "need data"  # the request is incomplete
+    REQUEST = "request"  # a request is complete
+    CLOSED = "closed"  # the client shut down its write half between two requests
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A bad request: the status and the text of its answer."""
+    """The status and the text of the response to a bad request."""
 
     status: int
     reason: str
@@ -42,20 +42,20 @@
 
 
 class HttpChannel:
-    """Parses the requests of one connection and serializes their answers, one at a time."""
+    """Parses the requests of one connection and serializes their responses, one at a time."""
 
     def __init__(self) -> None:
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.request: h11.Request | None = None  # the head of the current request, once it is parsed
+        self.request: h11.Request | None = None  # the head of the current request, once it was parsed
         self.body_parts: list[Body] = []
-        self.body_size = 0  # bytes so far
+        self.body_size = 0  # bytes received so far
 
     def feed_data(self, data: bytes) -> None:
-        """Add received bytes; b"" is the end of the stream."""
+        """Add received bytes; b"" marks the end of the stream."""
         self.http.receive_data(data)
 
     def advance(self) -> Progress | Rejection:
-        """Parse up to the end of a request, or to the point where it has to be rejected."""
+        """Parse up to the end of a request, or up to an error that rejects it."""
         rejection: Rejection | None = None
         try:
             while rejection is None:
@@ -75,7 +75,7 @@
         return rejection
 
     def _begin(self, request: h11.Request) -> Rejection | None:
-        """Start a request with its head."""
+        """Start a request from its head.  Return a Rejection if the head is not acceptable."""
         self.request = request
         self.body_parts = []
         self.body_size = 0
@@ -83,12 +83,13 @@
         if b"transfer-encoding" in headers and (
             b"content-length" in headers or request.http_version < b"1.1"
         ):
-            # The end of such a body depends on the header used, so it could hide a second request.
+            # Request smuggling: the end of such a body depends on which header is used, so that the body
+            # could hide a second request.
             return Rejection(400, "the length of the body is ambiguous")
         return TOO_LARGE if int(headers.get(b"content-length", b"0")) > MAX_BODY_BYTES else None
 
     def _collect(self, data: bytes | bytearray) -> Rejection | None:
-        """Add a part of the body."""
+        """Add a part of the body.  Return a Rejection if the body becomes too large."""
         self.body_size += len(data)
         if self.body_size > MAX_BODY_BYTES:
             return TOO_LARGE
@@ -97,24 +98,24 @@
 
     @property
     def body(self) -> Body:
-        """The body of the current request; a view of the received bytes where it arrived in one part."""
+        """The body of the current request; a view of the received bytes if it arrived in one part."""
         if len(self.body_parts) != 1:
-            self.body_parts = [b"".join(self.body_parts)]  # the parts are released
+            self.body_parts = [b"".join(self.body_parts)]  # releases the single parts
         return self.body_parts[0]
 
     @property
     def unparsed_data(self) -> bytes:
-        """Received bytes that are not parsed yet."""
+        """Received bytes after the current request, which are not parsed yet."""
         return self.http.trailing_data[0]
 
     def continue_response(self) -> bytes:
-        """A 100 response where the client waits for it before it sends its body, else b""."""
+        """Serialize a 100 response if the client waits for it before it sends the body; else return b""."""
         if not self.http.they_are_waiting_for_100_continue:
             return b""
         return self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def serialize_response(self, status: int, body: bytes, headers: list[tuple[bytes, bytes]]) -> bytes:
-        """The bytes of the current request's answer."""
+        """Serialize the response to the current request."""
         response = h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES[status])
         data = self.http.send(response) or b""
         if body:
@@ -122,7 +123,7 @@
         return data + (self.http.send(h11.EndOfMessage()) or b"")
 
     def start_next_request(self) -> bool:
-        """Prepare for the next request; False where the connection has to close after the answer."""
+        """Prepare for the next request.  Return False if the connection has to close after the response."""
         self.request = None
         self.body_parts = []
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
@@ -132,7 +133,7 @@
 
 
 def parse_request(data: bytes) -> tuple[h11.Request, bytearray]:
-    """The head and the body of the complete request that data begins with."""
+    """Parse the complete request at the start of data; return its head and its body."""
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     http.receive_data(data)
     request = http.next_event()
--- a/weldquay/net/json_stream.py
+++ b/weldquay/net/json_stream.py
@@ -1,8 +1,8 @@
-"""The parser of a watch: bytes in, JSON values and heartbeats out.  No I/O, no clock.
+"""An incremental parser for the JSON values and heartbeats of a watch, without I/O and without a clock.
 
-Rules: a value is written on one line, or indented on several lines.  An empty line outside a value is a
-heartbeat.  A line that does not begin a value is returned as it is, and rejected by the parser of the value.
-Bytes that never complete a value are limited by MAX_VALUE_BYTES.
+A value stands on one line, or indented on several lines.  An empty line outside a value is a heartbeat.  A
+line that does not start a value is returned unchanged, so that the parser of the value rejects it.
+MAX_VALUE_BYTES limits the buffered bytes of an incomplete value.
 """
 
 from __future__ import annotations
@@ -11,22 +11,26 @@
 
 from weldquay.net.messages import MessageError
 
-MAX_VALUE_BYTES = 4 * 1024 * 1024  # bytes
+MAX_VALUE_BYTES = 4 * 1024 * 1024
 _OPENING = (b"{", b"[")
 _CLOSING = (b"}", b"]")
-_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings as a whole: brackets in them do not count
+_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # matches whole strings, to skip the brackets in them
 
 
 class JsonStreamParser:
-    """Collects bytes, and returns each complete value, and b"" for each heartbeat."""
+    """Buffers received bytes and returns the complete values; b"" stands for a heartbeat."""
 
     def __init__(self) -> None:
         self._partial_line = bytearray()
-        self._partial_value = bytearray()  # the complete lines of a value that has more
-        self._depth = 0  # open brackets of the partial value
+        self._partial_value = bytearray()  # the complete lines of an incomplete value
+        self._depth = 0  # number of open brackets in the partial value
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The values and heartbeats that the data completes.  Raises MessageError if a value is too long."""
+        """Add received bytes, and return the values and heartbeats that they complete.
+
+        Raises:
+            MessageError: the incomplete value exceeds MAX_VALUE_BYTES.
+        """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         completed = []
         for line in lines:
@@ -34,11 +38,11 @@
             if value is not None:
                 completed.append(bytes(value))
         if len(self._partial_value) + len(self._partial_line) > MAX_VALUE_BYTES:
-            raise MessageError("a line is too long")
+            raise MessageError("a JSON value is too long")
         return completed
 
     def _add_line(self, line: bytearray) -> bytearray | None:
-        """The value that a line completes; None while it is incomplete."""
+        """Add a line, and return the value that it completes, or None while the value is incomplete."""
         if not self._depth and (_is_complete(line) or not line.startswith(_OPENING)):
             return line
         for token in _TOKENS.findall(line):
@@ -53,9 +57,9 @@
 
 
 def _is_complete(line: bytearray) -> bool:
-    """True for a value on one line, by the numbers of its brackets.
+    """Return whether a line holds a complete value, by counting its brackets.
 
-    Matching the tokens of a long list takes milliseconds; counting does not.
+    Matching the tokens of a long list takes milliseconds; counting is much faster.
     """
     return (
         line.startswith(b"{")
