--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -1,9 +1,9 @@
-"""The coordinator of one dispatcher: events in, a step of the decision module, actions out.
+"""The coordinator between the network code of one dispatcher and its decision module.
 
-The clients' side, the workers' side and discovery report what happened.  The coordinator collects that in an
-event queue and passes it to the decision module in batches.  It has one part for each job: the open requests,
-the attempts in flight, the endpoint list, the actions, and the migration to another process.  It contains no
-HTTP: the payload of a request passes through it unread.
+The client server, the worker client and the discovery client report events.  The coordinator queues them,
+passes them to the decision module in batches, and executes the actions that the module returns.  Separate
+components hold the open requests, the attempts in flight and the endpoint list, execute the actions, and
+migrate requests to another process.  The coordinator contains no HTTP and does not read request payloads.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class RequestCoordinator:
-    """Runs the decision module of one dispatcher between its network sides.
+    """Runs the decision module of one dispatcher.
 
-    A request's life: `submit`, then attempts by the executor's Send actions, each of which ends once through
-    `attempt_ended` (or a callback, a cancellation, its deadline), then exactly one answer.
+    A request is accepted by `submit`.  Send actions start its attempts, each of which ends once: through
+    `attempt_ended`, a callback, a cancellation or its deadline.  The request gets exactly one answer.
     """
 
     workers: WorkerClient
@@ -57,7 +57,7 @@
         )
 
     def start(self, workers: WorkerClient, discovery: DiscoveryWatcher) -> None:
-        """Connect the network sides, and begin with the endpoint list of the configuration."""
+        """Connect the worker and discovery clients, and apply the endpoint list of the configuration."""
         self.workers = workers
         self.endpoint_list.workers = workers
         self.migration.workers = workers
@@ -66,18 +66,18 @@
         self.apply_endpoint_list(self.config.known, api.EndpointListKind.CACHED, self.config.lease)
 
     def reconfigure(self, config: Config) -> None:
-        """Use other settings; open requests keep those that they were submitted with."""
+        """Apply new settings; open requests keep the settings that they were submitted with."""
         self.config = config
         self.endpoint_list.reconfigure(config)
         self.enqueue_event(api.SettingsChanged(config.settings))
 
     def begin_shutdown(self, time_left_s: float) -> None:
-        """Announce the shutdown to the decision module: all requests are answered within time_left_s."""
+        """Start the shutdown in the decision module, which answers all requests within time_left_s."""
         self.enqueue_event(api.ShutdownStarted(int(time_left_s * 1e9)))
 
     @property
     def has_pending_work(self) -> bool:
-        """True while a request is open or an attempt is in flight."""
+        """Whether a request is open or an attempt is in flight."""
         return bool(self.requests or self.attempts)
 
     # --- requests of clients ---
@@ -89,7 +89,7 @@
         payload: object,
         on_answer: Callable[[Answer], None],
     ) -> ClientRequest | None:
-        """Accept a client's request; None if the limit of open requests is reached."""
+        """Accept a client's request; return None if the limit of open requests is reached."""
         config = self.config
         if len(self.requests.by_number) >= config.max_open:
             self.counters.add("requests_over_limit")
@@ -117,13 +117,13 @@
         return request
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client left before the answer."""
+        """End a request whose client disconnected before the answer."""
         self.requests.disconnect(request)
 
     # --- attempts and probes ---
 
     def handle_callback(self, callback: Callback) -> bool:
-        """Apply a worker's callback; False if it matches no attempt in flight, and so changes nothing."""
+        """Apply a worker's callback; return False if it matches no attempt in flight and is ignored."""
         attempt = self.attempts.by_worker.get((callback.id, callback.worker_id))
         if attempt is None:
             self.counters.add("callbacks_unmatched")
@@ -145,7 +145,7 @@
         latency_ns: int,
         load_report: api.LoadReport | None = None,
     ) -> None:
-        """Report the result of a health check."""
+        """Pass the result of a health check to the decision module."""
         self.counters.add(PROBE_COUNTERS[outcome])
         number = self.endpoint_list.worker_numbers.get(worker_id)
         if number is not None:
@@ -159,43 +159,43 @@
     def apply_endpoint_list(
         self, update: EndpointList, kind: api.EndpointListKind, lease: api.LeaseState = api.NO_LEASE
     ) -> None:
-        """Apply a complete endpoint list, or changes of it; see `EndpointListAdapter.apply`."""
+        """Apply a complete endpoint list, or changes to it; see `EndpointListAdapter.apply`."""
         self.endpoint_list.apply(update, kind, lease)
 
     @property
     def is_endpoint_list_confirmed(self) -> bool:
-        """True once discovery has confirmed the list to this process, or to the one before it."""
+        """Whether discovery has confirmed the list to this process, or to the older one before it."""
         return self.dispatcher.lease.granted
 
     @property
     def banned_worker_ids(self) -> set[str]:
-        """The ids of the workers that operators have banned."""
+        """Ids of the workers that operators have banned."""
         return self.endpoint_list.banned_worker_ids
 
     def is_known_worker(self, worker_id: str) -> bool:
-        """True if the worker has a number or a ban."""
+        """Return whether the worker is known from an endpoint list, an older process or a ban."""
         return self.endpoint_list.is_known_worker(worker_id)
 
     def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
-        """Ban a worker from new attempts, whatever the list says, or lift its ban."""
+        """Ban a worker from new attempts regardless of the endpoint list, or lift its ban."""
         self.endpoint_list.set_worker_ban(worker_id, is_banned)
 
     # --- migration to and from another process ---
 
     def worker_snapshots(self) -> dict[str, api.WorkerSnapshot]:
-        """The state of each worker, by its id."""
+        """Return the state of each worker by its id."""
         return self.migration.worker_snapshots()
 
     def restore_worker(self, worker_id: str, snapshot: api.WorkerSnapshot) -> None:
-        """Restore the state that an earlier process had of a worker."""
+        """Restore a worker's state from an older process."""
         self.migration.restore_worker(worker_id, snapshot)
 
     def can_migrate(self, request: ClientRequest) -> bool:
-        """True if another process can continue the request; see `RequestMigration.can_migrate`."""
+        """Return whether another process can continue the request; see `RequestMigration.can_migrate`."""
         return self.migration.can_migrate(request, self.config)
 
     def migrate_request(self, request: ClientRequest) -> MigratedRequest:
-        """End a request here without an answer, and return what another process needs to continue it."""
+        """End a request without an answer, and return the state that another process continues it from."""
         return self.migration.migrate_request(request, self.config)
 
     def accept_migrated(
@@ -205,12 +205,12 @@
         payload: object,
         on_answer: Callable[[Answer], None],
     ) -> ClientRequest:
-        """Continue a request of an earlier process."""
+        """Continue a request of an older process."""
         self.counters.add("migrated_requests_accepted")
         return self.migration.accept_migrated(migrated, metadata, payload, on_answer, self.config)
 
     def process_pending(self) -> None:
-        """Have the decision module handle what waits for its next step."""
+        """Run a decision step now if events are pending."""
         if self.events.pending:
             self._step()
 
@@ -219,7 +219,7 @@
         started_ns = time.monotonic_ns()
         try:
             actions = self.dispatcher.step(started_ns, events)
-        except Exception:  # the requests of this batch fail at their deadlines, others continue
+        except Exception:  # the requests in this batch fail at their deadlines; others are not affected
             log.exception("decision step failed on %r", events)
             self.counters.add("steps_failed")
             return
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -1,4 +1,4 @@
-"""Handles the parsed requests of one client connection: health checks, callbacks and job requests."""
+"""The handler for the requests of one connection: health checks, callbacks and job requests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RequestConnection(Protocol):
-    """What the handler uses of the connection."""
+    """The connection, as the handler uses it."""
 
     state: ConnectionState
 
@@ -35,17 +35,17 @@
         """Change the state."""
 
     def write(self, data: bytes) -> None:
-        """Write bytes of an answer."""
+        """Write bytes of a response."""
 
     def start_lingering_close(self) -> None:
-        """Close the connection after the answer that was written."""
+        """Close the connection after the response that was written."""
 
     def resume(self) -> Coroutine[Any, Any, None]:
-        """Handle the requests that were read already."""
+        """Handle requests that were already received."""
 
 
 class RequestHandler:
-    """The request of one connection that is being handled, and its answer."""
+    """Handles the requests of one connection, one at a time, and writes their responses."""
 
     __slots__ = ("accepted", "channel", "connection", "context", "open_request", "read_ahead")
 
@@ -56,12 +56,12 @@
         connection: RequestConnection,
         accepted: AcceptedRequest | None,
     ) -> None:
-        """Answer on a connection; accepted: its first request, if the older process had accepted it."""
+        """Respond on a connection; accepted is its open request if the older process has migrated one."""
         self.context = context
         self.channel = channel
         self.connection = connection
         self.accepted = accepted
-        self.open_request: ClientRequest | None = None  # a job request without an answer
+        self.open_request: ClientRequest | None = None  # the job request that waits for its answer
         self.read_ahead = ReadAhead(context.read_ahead_budget)
 
     def handle(self) -> None:
@@ -95,7 +95,7 @@
             self._respond_and_close(503, b"draining")
 
     def _handle_callback(self) -> None:
-        """Report a callback to the coordinator; one that matches nothing may belong to the older process."""
+        """Pass a callback to the coordinator; an unmatched one may belong to the other process."""
         body = self.channel.body
         callback = parse_callback(body, self.context.config.report_fields)
         if not self.context.coordinator.handle_callback(callback):
@@ -103,7 +103,7 @@
         self._respond(204)
 
     def _continue_accepted_request(self, accepted: AcceptedRequest) -> None:
-        """Wait for the answer of a request that the older process had accepted."""
+        """Wait for the answer to a request that the older process accepted."""
         self.accepted = None
         self.open_request = accepted.request
         accepted.request.on_answer = self._answer
@@ -112,7 +112,7 @@
             self._answer(answer)
 
     def _submit_job(self, request: h11.Request, job_class: int) -> None:
-        """Submit a job request to the coordinator, or reject it."""
+        """Submit a job request to the coordinator or reject it."""
         context = self.context
         metadata = parse_request_metadata(request.headers)
         if context.is_rejecting:
@@ -132,7 +132,7 @@
             self.connection.enter(ConnectionState.WAITING)
 
     def _answer(self, answer: Answer) -> None:
-        """Write the final answer of the open request."""
+        """Write the response with the final answer to the open request."""
         assert self.open_request is not None
         self.context.open_request_ids.discard(self.open_request.id)
         self.open_request = None
@@ -146,14 +146,14 @@
             self.context.tasks.start(self.connection.resume(), "next request of a connection")
 
     def _respond_overload(self, retry_after_ns: int) -> None:
-        """Write a 503; retry_after_ns: the value of Retry-After, 0: none."""
+        """Respond with 503; retry_after_ns is the value of Retry-After, 0 omits the header."""
         headers = [(b"Retry-After", format_retry_after(retry_after_ns))] if retry_after_ns else []
         self._respond(503, b"overloaded, come again", headers)
 
     def _respond(
         self, status: int, body: bytes = b"", headers: list[tuple[bytes, bytes]] | None = None
     ) -> None:
-        """Write an answer; the connection closes after it if the client or the server requires that."""
+        """Write a response; the connection closes after it if the client or the server requires that."""
         headers = headers or []
         if status != 204:
             headers.append((b"Content-Length", b"%d" % len(body)))
@@ -166,19 +166,19 @@
             self.connection.start_lingering_close()
 
     def reject(self, status: int, reason: str) -> None:
-        """Answer a bad request and close the connection."""
+        """Respond to a bad request and close the connection."""
         self.context.counters.add(f"http_errors_{status}")
         self._respond_and_close(status, reason.encode())
 
     def _respond_and_close(self, status: int, body: bytes) -> None:
-        """Write an answer and close the connection; without h11, which is slow for so short an answer."""
+        """Write a response and close the connection, without h11, which is slow for a short response."""
         request = self.channel.request
         is_head = request is not None and request.method == b"HEAD"
         self.connection.write(closing_response(status, body, is_head))
         self.connection.start_lingering_close()
 
     def disconnect(self) -> None:
-        """The connection is lost: end its open request."""
+        """End the open request, since the connection is lost."""
         self.read_ahead.reset(0)
         if self.accepted is not None:
             self.context.disconnect(self.accepted.request)
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -1,6 +1,6 @@
-"""The migration of requests and worker states between two processes of one dispatcher, in a hot restart.
+"""The migration of requests and worker states between two processes during a hot restart.
 
-The older process ends a request without an answer, and returns what the newer one needs to continue it.
+The older process ends a request without an answer and exports its state; the newer process continues it.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 class RequestMigration:
-    """Hands requests over to another process, and accepts those of an earlier one.
+    """Exports the state of requests and workers to another process, and imports it from an older one.
 
-    `workers` is set before the first request migrates.
+    `workers` has to be set before a request migrates.
     """
 
     workers: WorkerClient
@@ -43,22 +43,22 @@
         self._endpoint_list = endpoint_list
 
     def worker_snapshots(self) -> dict[str, api.WorkerSnapshot]:
-        """The state of each worker, by its id."""
+        """Return the state of each worker by its id."""
         worker_ids = self._endpoint_list.worker_ids
         snapshots = self._dispatcher.snapshots()
         return {worker_ids[number]: snapshot for number, snapshot in snapshots.items()}
 
     def restore_worker(self, worker_id: str, snapshot: api.WorkerSnapshot) -> None:
-        """Restore the state that an earlier process had of a worker."""
+        """Restore a worker's state from an older process."""
         number = self._endpoint_list.worker_number(worker_id)
         self._enqueue_event(api.WorkerStateRestored(number, snapshot))
 
     def can_migrate(self, request: ClientRequest, config: Config) -> bool:
-        """True if another process can continue the request.
+        """Return whether another process can continue the request.
 
-        The other process has the current settings, and no outcomes of attempts that have ended.  So the
-        request's settings must be the current ones, no message about it may be under way to a worker, and no
-        ended attempt may have executed a job that must not run twice.
+        The other process has the current settings, but not the outcomes of attempts that have ended.  So the
+        request must have the current settings, no message about it may be in transit to a worker, and no
+        attempt that has ended may have executed a non-idempotent job.
         """
         settings = config.settings
         return request.is_open and (
@@ -69,7 +69,7 @@
         )
 
     def migrate_request(self, request: ClientRequest, config: Config) -> MigratedRequest:
-        """End a request here without an answer, and return what another process needs to continue it."""
+        """End a request without an answer, and return the state that another process continues it from."""
         in_flight = list(request.in_flight.values())
         migrated = MigratedRequest(
             class_name=config.class_names[request.job_class],
@@ -106,7 +106,7 @@
         on_answer: Callable[[Answer], None],
         config: Config,
     ) -> ClientRequest:
-        """Continue a request of an earlier process, with its attempts in flight."""
+        """Continue a request of an older process, with its attempts in flight."""
         settings = config.settings
         job_class = config.class_names.index(migrated.class_name)
         request = ClientRequest(
--- a/weldquay/net/request_table.py
+++ b/weldquay/net/request_table.py
@@ -1,4 +1,4 @@
-"""The clients' requests that are open, or have attempts in flight, and their final answers."""
+"""The table of client requests that are open or have attempts in flight, and their final answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_GRACE_NS = 10_000_000  # after its deadline a request without an answer gets one here
+ANSWER_GRACE_NS = 10_000_000  # time for the decision module to answer a request after its deadline
 MAX_REQUEST_NUMBERS = 2**32
 
 ANSWER_COUNTERS: dict[type[Answer], str] = {
@@ -24,7 +24,7 @@
 
 
 class RequestTable:
-    """The requests by their numbers, each with a timer that answers it after its deadline."""
+    """The requests by number.  Each has a timer that answers it if it has no answer after its deadline."""
 
     def __init__(self, counters: Counters, events: EventQueue) -> None:
         self._loop = asyncio.get_running_loop()
@@ -34,14 +34,15 @@
         self.by_number: dict[int, ClientRequest] = {}
 
     def __len__(self) -> int:
-        """The number of requests."""
+        """Return the number of requests."""
         return len(self.by_number)
 
     def add(self, request: ClientRequest) -> None:
-        """Give a request its number, and start its deadline timer."""
+        """Assign a number to a request and start its deadline timer."""
         self._last_number = (self._last_number + 1) % MAX_REQUEST_NUMBERS
         request.number = self._last_number
-        # By way of call_soon: after a stall of the loop, a step that answers in time runs first.
+        # The timer uses call_soon so that, after a stall of the event loop, a decision step that is already
+        # scheduled answers the request first.
         request.deadline_timer = self._loop.call_later(
             max(0, request.deadline_ns + ANSWER_GRACE_NS - time.monotonic_ns()) / 1e9,
             self._loop.call_soon,
@@ -51,21 +52,21 @@
         self.by_number[request.number] = request
 
     def answer(self, request: ClientRequest | None, answer: Answer) -> None:
-        """Give the final answer; nothing happens if the request has ended already."""
+        """Give a request its final answer; ignored if the request has already ended."""
         if request is not None and request.is_open:
             self.close(request)
             self._counters.add(ANSWER_COUNTERS[type(answer)])
             request.on_answer(answer)
 
     def disconnect(self, request: ClientRequest) -> None:
-        """End a request whose client left before the answer."""
+        """End a request whose client disconnected before the answer."""
         if request.is_open:
             self._counters.add("clients_disconnected")
             self.close(request)
             self._events.enqueue(api.ClientDisconnected(request.number))
 
     def close(self, request: ClientRequest) -> None:
-        """Mark a request as ended; it stays in the table until its last attempt has ended."""
+        """Mark a request as ended; it remains in the table until its last attempt has ended."""
         request.is_open = False
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
@@ -75,7 +76,7 @@
     def _on_deadline_passed(self, request: ClientRequest) -> None:
         """Answer a request that the decision module has not answered by its deadline.
 
-        One that no worker can have executed is rejected, so that its client knows that a retry is harmless.
+        A request that no worker can have executed is rejected, which tells the client that a retry is safe.
         """
         if request.is_open:
             answer: Answer = Failed() if request.may_have_been_executed else Rejected()
