--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -1,4 +1,4 @@
-"""The workers' side: the known workers, and the parts that send requests to them."""
+"""The client for match workers: the known workers, and the components that send requests to them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HttpWorkerClient:
-    """The match workers, over HTTP: the coordinator's `WorkerClient`."""
+    """Sends attempts, cancellations and health checks to workers over HTTP; implements `WorkerClient`."""
 
     def __init__(self, config: Config, counters: Counters, coordinator: RequestCoordinator) -> None:
         self.coordinator = coordinator
@@ -30,22 +30,25 @@
         self.health_checks = HealthChecker(config, coordinator, self.connections)
 
     def reconfigure(self, config: Config) -> None:
-        """Use other settings from now on."""
+        """Apply new settings to later requests."""
         self.connections.reconfigure(config)
         self.attempts.reconfigure(config)
         self.health_checks.reconfigure(config)
 
     def limit_connections(self, fraction: float) -> None:
-        """Lower the limit of connections to a fraction of its full value: another process uses the rest."""
+        """Set the limit of connections to a fraction of its full value; another process uses the rest."""
         self.connections.limit(fraction)
 
     @property
     def has_pending_cancellations(self) -> bool:
-        """True while cancellations are under way to workers."""
+        """Whether cancellations are being sent to workers."""
         return self.cancellation.has_pending
 
     def apply_endpoint_list(self, update: EndpointList) -> None:
-        """Apply a complete list, or changes; idle connections to gone and moved workers are closed."""
+        """Apply a complete endpoint list, or changes to it.
+
+        Idle connections to workers that are gone or have a new address are closed.
+        """
         for endpoint in update.endpoints:
             worker = self.workers.get(endpoint.id)
             if worker is None:
@@ -74,11 +77,11 @@
         self.attempts.start(attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its worker is sent a DELETE if it may have the job."""
+        """Cancel an attempt, with a DELETE request if the worker may have received the job."""
         self.attempts.cancel(attempt)
 
     def set_worker_ban(self, worker_id: str, is_banned: bool) -> None:
-        """Ban a worker from new attempts, even from one that is connecting, or lift its ban."""
+        """Ban a worker from new attempts, including one that is still connecting, or lift its ban."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.is_banned = is_banned
@@ -91,11 +94,11 @@
             self.connections.close_idle(worker)
 
     def has_pending_messages(self, request: ClientRequest) -> bool:
-        """True while an attempt of the request, or a DELETE of it, is under way to a worker."""
+        """Return whether an attempt or a DELETE of the request is being sent to a worker."""
         return self.cancellation.is_pending(request.id) or self.attempts.is_sending(request)
 
     def listed_endpoints(self) -> list[Endpoint]:
-        """The endpoints of the workers that the list contains."""
+        """Return the endpoints of the workers in the current list."""
         return [
             worker.endpoint
             for worker in self.workers.values()
@@ -103,12 +106,12 @@
         ]
 
     def address(self, worker_id: str) -> tuple[str, int]:
-        """The host and port of a worker."""
+        """Return the host and port of a worker."""
         endpoint = self.workers[worker_id].endpoint
         return endpoint.host, endpoint.port
 
     def add_unlisted_worker(self, worker_id: str, host: str, port: int) -> None:
-        """Add a worker of an earlier process that the list may not contain: it may still run jobs."""
+        """Add a worker of an older process; it may run jobs even if the endpoint list lacks it."""
         if worker_id not in self.workers:
             self._add_worker(Endpoint(worker_id, host, port, "", "", 0, api.WorkerState.GONE, 1.0, 0))
 
@@ -121,6 +124,6 @@
         self.connections.close_idle(self.workers[worker_id])
 
     async def stop(self) -> None:
-        """Stop everything that is under way, and close the idle connections."""
+        """Stop attempts, health checks and cancellations, and close the idle connections."""
         await asyncio.gather(self.attempts.stop(), self.health_checks.stop(), self.cancellation.stop())
         await self.connections.stop()
--- a/weldquay/net/worker_connection.py
+++ b/weldquay/net/worker_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a match worker: a request, its response, and whether the connection can be reused."""
+"""An HTTP/1.1 client connection to a match worker, which can be reused for later requests."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from weldquay.net.streams import CountingReader, has_unread_bytes
 
 READ_SIZE = 64 * 1024  # bytes
-MAX_HEAD_BYTES = 16 * 1024  # bytes of a response's head
+MAX_HEAD_BYTES = 16 * 1024  # of a response
 
 
 class WorkerRequestError(Exception):
-    """A request to a worker has failed; the text says how."""
+    """A request to a worker failed; the text describes the failure."""
 
 
 class RequestNotSent(WorkerRequestError):
-    """The last byte of the request was not written, so the worker has not started it."""
+    """The request was not written completely, so the worker has not started it."""
 
 
 class AttemptAborted(RequestNotSent):
-    """The request was not written for a reason that lies in this process, not in the worker."""
+    """The request was not written for a reason in this process, not in the worker."""
 
 
 class ConnectionLost(WorkerRequestError):
@@ -47,18 +47,20 @@
     def __init__(self, reader: CountingReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        writer.transport.set_write_buffer_limits(high=0)  # so that drain waits for the last byte
+        writer.transport.set_write_buffer_limits(high=0)  # makes drain wait until all bytes are written
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.idle_since = 0.0  # s, monotonic clock
 
     async def send_request(self, request: h11.Request, body: Body = b"") -> WorkerResponse:
         """Send a request and read its response.
 
-        Raises RequestNotSent if writing fails, and ConnectionLost if the response breaks off or is invalid.
+        Raises:
+            RequestNotSent: the request could not be written.
+            ConnectionLost: the response is incomplete or invalid.
         """
         parts = self.http.send_with_data_passthrough(request) or []
         if body:
-            # h11 passes through anything with a length; only its annotation is narrower.
+            # h11 passes through any object with a length, but its type annotation is narrower.
             parts += self.http.send_with_data_passthrough(h11.Data(data=body)) or []  # type: ignore[arg-type]
         parts += self.http.send_with_data_passthrough(h11.EndOfMessage()) or []
         try:
@@ -92,29 +94,30 @@
                 raise h11.RemoteProtocolError("the connection was closed before the response was complete")
 
     def mark_idle(self) -> bool:
-        """Prepare the connection for the next request; False if it cannot be reused.
+        """Prepare the connection for the next request.  Return False if it cannot be reused.
 
-        Reading is paused, so that everything that happens to an idle connection stays visible at its socket.
+        Reading is paused, so that bytes or a close that arrive on the idle connection remain pending at the
+        socket, where `is_usable` detects them.
         """
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         if self.reader.at_eof() or self.writer.is_closing():
             return False
         if self.reader.buffered_bytes or self.http.trailing_data[0]:
-            return False  # bytes after a response would be read as the response to the next request
+            return False  # excess bytes after a response would be parsed as the next response
         self.http.start_next_cycle()
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
         self.idle_since = time.monotonic()
         return True
 
     def is_usable(self) -> bool:
-        """True if nothing has arrived on the idle connection: neither its end nor unexpected bytes."""
+        """Return whether neither the end of the stream nor unexpected bytes arrived while it was idle."""
         return not self.writer.is_closing() and not has_unread_bytes(self.reader, self.writer)
 
     def resume_reading(self) -> None:
-        """End the idle state: read from the socket again."""
+        """Resume reading from the socket after the idle state."""
         self.writer.transport.resume_reading()  # type: ignore[attr-defined]
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.writer.transport.abort()
--- a/weldquay/net/worker_endpoint.py
+++ b/weldquay/net/worker_endpoint.py
@@ -1,4 +1,4 @@
-"""A match worker as the workers' side holds it."""
+"""A match worker, as the worker client holds it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerEndpoint:
-    """A worker's latest entry in the endpoint list, and its idle connections in the order of last use."""
+    """A worker's latest endpoint list entry, and its idle connections in the order of their last use."""
 
     endpoint: Endpoint
-    is_banned: bool = False  # by operators
+    is_banned: bool = False  # banned by operators
     idle_connections: list[WorkerConnection] = field(default_factory=list)
 
     @property
