--- a/weldquay/net/messages/__init__.py
+++ b/weldquay/net/messages/__init__.py
@@ -1,7 +1,7 @@
-"""Parsers and writers of the HTTP messages of clients, workers, discovery and operators.
+"""Parsers and serializers for the HTTP messages of clients, workers, discovery and operators.
 
-They are pure: bytes and values in, values out.  External names (headers, JSON fields, states, paths) are
-constants and tables in the module of their message, and do not follow the names of classes or fields.
+They are pure functions.  The names on the wire (headers, JSON fields, states and paths) are constants and
+tables in the module of each message, and are independent of the names of classes and fields.
 """
 
 from weldquay.net.messages.callbacks import Callback, parse_callback
--- a/weldquay/net/messages/callbacks.py
+++ b/weldquay/net/messages/callbacks.py
@@ -1,4 +1,4 @@
-"""The callbacks of workers: the progress and the end of a job."""
+"""Callbacks of workers, which report the progress and the end of a job."""
 
 from __future__ import annotations
 
@@ -21,20 +21,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Callback:
-    """What a worker reports of a job; outcome None: the job is running."""
+    """A worker's report on a job; id is that of the request."""
 
     id: str
     worker_id: str
-    outcome: api.Outcome | None
-    progress: float | None = None  # the fraction of the job that is done; None: it has just started
+    outcome: api.Outcome | None  # None: the job is running
+    progress: float | None = None  # the completed fraction of the job; None: the job has just started
     result: str = ""
     load_report: api.LoadReport | None = None
 
 
 def parse_callback(data: Body, report_fields: Mapping[str, str]) -> Callback:
-    """A worker's callback; report_fields: what the names in a load report mean.
+    """Parse a worker's callback.
 
-    Raises MessageError if it is malformed.
+    Args:
+        data: the body of the callback.
+        report_fields: the meaning of each field name in a load report.
+
+    Raises:
+        MessageError: the callback is malformed.
     """
     fields = read_json(data)
     if not isinstance(fields, dict):
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -1,6 +1,6 @@
-"""The head of a client's request: its id, its deadline and the figures of its job.
+"""The head of a client's request: its id, its deadline and the properties of its job.
 
-Source: the page PROTOCOL, clients to dispatchers.  Header names are in lower case, as h11 gives them.
+Source: the page PROTOCOL, clients to dispatchers.  Header names are in lower case, as h11 returns them.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 CORRELATION_ID = b"x-correlation-id"
 TIME_LEFT = b"x-time-left-ms"
 FACTS = b"x-facts"
-RUNTIME_HINT = b"x-weight-hint"  # us
+RUNTIME_HINT = b"x-weight-hint"  # microseconds
 COOKIE = b"cookie"
 REPEAT = b"x-repeat"
 
-# Names in X-Facts; the second one of a pair counts if the first is absent.
+# Names in X-Facts; the second name of a pair is used if the first one is absent.
 SLOTS, WIDTH = "slots", "width"
 MEMORY, RAM_UNITS = "memory", "ram_units"
 KEY_COOKIE = b"obj"
 
-MAX_ID_LENGTH = 128  # characters; the id becomes part of a path
+MAX_ID_LENGTH = 128  # characters; the id becomes part of a request path at the worker
 MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 MAX_FACT = 1e9
 NS_PER_US = 1000
@@ -34,19 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a request's head says of its job.  time_left_ns None: the class's own timeout applies."""
+    """The metadata of a job in the head of its request."""
 
     id: str
-    time_left_ns: int | None
+    time_left_ns: int | None  # None: the timeout of the job class applies
     slots: float = 1.0
     memory: float = 0.0
     runtime_hint_ns: int | None = None
-    object_key: int = 0  # of the object that the job is about; 0: none
+    object_key: int = 0  # key of the object that the job concerns; 0: none
     is_retry: bool = False
 
 
 def parse_request_metadata(headers: Headers) -> RequestMetadata:
-    """The metadata of a client's request.  Raises MessageError if a header is missing or malformed."""
+    """Parse the metadata of a client's request.
+
+    Raises:
+        MessageError: a header is missing or malformed.
+    """
     values = dict(headers)
     facts = _parse_facts(values.get(FACTS, b""))
     left_ms = _parse_time_left_ms(values.get(TIME_LEFT))
@@ -63,7 +67,11 @@
 
 
 def parse_correlation_id(value: bytes) -> str:
-    """A request's id.  Raises MessageError if it cannot be part of a path."""
+    """Parse a request's id.
+
+    Raises:
+        MessageError: the id is missing, too long or cannot be part of a path.
+    """
     text = value.decode("latin-1")
     if not text:
         raise MessageError("X-Correlation-Id is missing")
@@ -74,12 +82,12 @@
 
 
 def parse_class_name(path: bytes) -> bytes:
-    """The job class of a request: the first part of its path."""
+    """Return the name of a request's job class: the first segment of its path."""
     return path.removeprefix(b"/").split(b"/", 1)[0]
 
 
 def serialize_request(request: h11.Request, body: bytes, left_ns: int) -> bytes:
-    """The bytes of a request that was read, with its body in one piece and the remaining time left_ns."""
+    """Serialize a received request, with its body in one part and left_ns as its remaining time."""
     replaced = {
         TIME_LEFT: b"%d" % max(0, left_ns // NS_PER_MS),
         b"content-length": b"%d" % len(body),
@@ -92,12 +100,12 @@
 
 
 def format_retry_after(wait_ns: int) -> bytes:
-    """The value of Retry-After: seconds, as a decimal."""
+    """Format the value of Retry-After: decimal seconds."""
     return f"{wait_ns / 1e9:.3f}".encode()
 
 
 def _parse_time_left_ms(value: bytes | None) -> int | None:
-    """The remaining time: digits only, since float() would accept 1e3 and 1_0 too."""
+    """Parse the remaining time; only digits are valid, although int() and float() accept 1_0 or 1e3."""
     if value is None:
         return None
     if not value.isdigit() or len(value) > len(str(MAX_TIME_LEFT_MS)) or int(value) > MAX_TIME_LEFT_MS:
@@ -106,7 +114,7 @@
 
 
 def _parse_number(name: str, value: bytes | None, max_value: float) -> float | None:
-    """A number from 0 to max_value; None if it is absent."""
+    """Parse a number from 0 to max_value; return None if it is absent."""
     if value is None:
         return None
     try:
@@ -119,7 +127,7 @@
 
 
 def _parse_facts(value: bytes) -> dict[str, float]:
-    """The numbers of X-Facts: name=value,name=value."""
+    """Parse the numbers in X-Facts, which has the form name=value,name=value."""
     facts = {}
     for part in value.split(b","):
         if part.strip():
@@ -129,7 +137,7 @@
 
 
 def _parse_key(cookies: bytes) -> int:
-    """The number of the object that a request is about; 0 if it names none."""
+    """Return the key of the object that a request concerns, or 0 if it names none."""
     for cookie in cookies.split(b";"):
         name, _, value = cookie.strip().partition(b"=")
         if name == KEY_COOKIE and value:
--- a/weldquay/net/messages/common.py
+++ b/weldquay/net/messages/common.py
@@ -1,4 +1,4 @@
-"""What several messages share: their error, their bodies, JSON fields, and the response that closes."""
+"""Shared code of the messages: their error, JSON parsing and the response that closes a connection."""
 
 from __future__ import annotations
 
@@ -10,29 +10,38 @@
 
 from weldquay.errors import OperatorError
 
-MAX_BODY_BYTES = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024
 NS_PER_MS = 1_000_000
 Headers = Iterable[tuple[bytes, bytes]]
 Body = memoryview | bytearray | bytes
 
 
 class MessageError(OperatorError):
-    """A message is malformed; the text says how."""
+    """A message is malformed; the text describes the error."""
 
     error_code = "message-error"
-    remedy = "look at what its sender speaks: another version, or a service that is no part of this site"
+    remedy = "check the sender: it may run another version, or be a service that is not part of this site"
 
 
 def read_json(data: Body) -> Any:
-    """The value of a JSON document.  Raises MessageError if it is malformed."""
+    """Parse a JSON document.
+
+    Raises:
+        MessageError: the document is malformed.
+    """
     try:
-        return ujson.loads(bytes(data) if isinstance(data, memoryview) else data)  # ujson takes no views
+        # ujson does not accept memory views.
+        return ujson.loads(bytes(data) if isinstance(data, memoryview) else data)
     except (ValueError, TypeError) as error:
         raise MessageError(f"not valid JSON: {error}") from None
 
 
 def string_field(fields: Mapping[str, Any], name: str) -> str:
-    """A field of a JSON object that must be a string.  Raises MessageError if it is not."""
+    """Return a string field of a JSON object.
+
+    Raises:
+        MessageError: the field is missing or not a string.
+    """
     value = fields.get(name)
     if not isinstance(value, str):
         raise MessageError(f"{name} is no text")
@@ -40,7 +49,7 @@
 
 
 def closing_response(status: int, body: bytes, is_head: bool = False) -> bytes:
-    """A complete response after which the connection closes; is_head: the request was HEAD, so no body."""
+    """Serialize a complete response that closes the connection; the response to HEAD has no body."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s" % (
         status,
         HTTPStatus(status).phrase.encode(),
--- a/weldquay/net/messages/jobs.py
+++ b/weldquay/net/messages/jobs.py
@@ -1,4 +1,4 @@
-"""A job on its way from a client to a worker.  Source: the page PROTOCOL, dispatchers to match workers."""
+"""Forwarding a job from a client to a worker.  Source: the page PROTOCOL, dispatchers to match workers."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JobPayload:
-    """What passes to a worker unchanged: method, target, body, and the headers that the protocol names.
+    """The parts of a job request that are forwarded unchanged: method, target, body and protocol headers.
 
-    The dispatcher's own headers (Host, the remaining time) are added to it.
+    The dispatcher adds its own headers, such as Host and the remaining time.
     """
 
     target: bytes
     body: Body
     content_type: bytes | None = None
     method: bytes = b"POST"
-    idempotency_key: bytes | None = None  # Idempotency-Key: some workers drop a repeat of it
+    idempotency_key: bytes | None = None  # Idempotency-Key; some workers drop a job with a repeated key
 
 
 def job_payload(request: h11.Request, body: Body) -> JobPayload:
-    """The job of a client's request, from its head as h11 gives it and its body."""
+    """Return the payload of a client's request, from its head as h11 returns it and its body."""
     values = dict(request.headers)
     return JobPayload(
         request.target,
@@ -36,7 +36,7 @@
 
 
 def job_headers(request_id: str, job: JobPayload, time_left_ns: int, host: str) -> list[tuple[bytes, bytes]]:
-    """The headers of a job's request to a worker."""
+    """Return the headers of the request that sends a job to a worker."""
     headers = [
         (b"Host", host.encode()),
         (b"X-Correlation-Id", request_id.encode()),
--- a/weldquay/net/messages/load_reports.py
+++ b/weldquay/net/messages/load_reports.py
@@ -1,4 +1,4 @@
-"""The load reports of workers, in response headers, health checks and callbacks."""
+"""Load reports of workers, in response headers, health check responses and callbacks."""
 
 from __future__ import annotations
 
@@ -10,9 +10,14 @@
 
 
 def load_report_from_json(document: object, report_fields: Mapping[str, str]) -> api.LoadReport | None:
-    """A load report from its JSON object; report_fields: what its names mean.
+    """Convert the JSON object of a load report.
 
-    None if it is absent, lacks a field or has an invalid number.
+    Args:
+        document: the JSON value; None if it is absent.
+        report_fields: the meaning of each field name.
+
+    Returns:
+        The load report, or None if it is absent, lacks a field or contains an invalid number.
     """
     if not isinstance(document, dict) or not report_fields:
         return None
@@ -26,7 +31,7 @@
 
 
 def parse_load_report(data: Body | None, report_fields: Mapping[str, str]) -> api.LoadReport | None:
-    """A load report from a header or a body; None if it is absent or malformed."""
+    """Parse a load report from a header or a body; return None if it is absent or malformed."""
     if not data:
         return None
     try:
--- a/weldquay/net/messages/operator_calls.py
+++ b/weldquay/net/messages/operator_calls.py
@@ -1,4 +1,4 @@
-"""The calls of operators: a method and a path below /control/."""
+"""Operator calls: a method and a path below /control/."""
 
 from __future__ import annotations
 
@@ -19,14 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    """What an operator asks for; worker_id: the id of a worker, empty if the call concerns the dispatcher."""
+    """The operation that an operator requests."""
 
     operation: str
-    worker_id: str = ""
+    worker_id: str = ""  # empty if the operation concerns the dispatcher
 
 
 def parse_operator_call(method: bytes, target: bytes) -> OperatorCall:
-    """The call of a method and a request target.  Raises MessageError if there is no such call."""
+    """Parse the method and the target of an operator's request.
+
+    Raises:
+        MessageError: there is no such call.
+    """
     root, _, path = target.split(b"?", 1)[0].removeprefix(b"/").partition(b"/")
     if root == CONTROL_ROOT:
         operation = DISPATCHER_CALLS.get((method, path))
