--- a/tests/newer_process.py
+++ b/tests/newer_process.py
@@ -1,4 +1,4 @@
-"""A second process beside the one of a test's site, in the same event loop."""
+"""A newer dispatcher process for tests of the hot restart; it shares the event loop of the test site."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from weldquay.net.config import Address
 from weldquay.net.dispatcher_process import DispatcherProcess
 
-DISPATCHER_NAME = "toy-dispatcher"  # in the example's configuration
+DISPATCHER_NAME = "toy-dispatcher"  # the name in the example configuration
 
 
 @asynccontextmanager
-async def newer_process(here: Site) -> AsyncIterator[DispatcherProcess]:
-    """A newer process, started with a hot restart: the same client address, another one for operators."""
-    listen = Address("127.0.0.1", here.program.server.port)
-    newer = DispatcherProcess(replace(here.program.config, listen=listen))
+async def newer_process(test_site: Site) -> AsyncIterator[DispatcherProcess]:
+    """Start a newer process by a hot restart, with the older one's client address; stop it at the end."""
+    listen = Address("127.0.0.1", test_site.program.server.port)
+    newer = DispatcherProcess(replace(test_site.program.config, listen=listen))
     await newer.start()
     try:
         yield newer
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: a newer process takes over from an older one; both run in one event loop."""
+"""Hot restart: a newer process takes over from an older one, in the same event loop in all tests but one."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def test_a_newer_process_takes_over_connections_and_open_requests() -> None:
-    """Connections and their open requests migrate; each callback is handled once."""
+    """Idle, new and busy connections migrate with their open requests; each callback is handled once."""
 
     async def scenario() -> None:
-        async with site(workers=2) as here:
-            older, port = here.program, here.program.server.port
-            worker = here.workers[1]
-            await here.operate("match-workers/w0/offline")
+        async with site(workers=2) as test_site:
+            older, port = test_site.program, test_site.program.server.port
+            worker = test_site.workers[1]
+            await test_site.operate("match-workers/w0/offline")
             idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)
             idle_writer.write(job("c0"))
             assert (await read_message(idle_reader)).body == b"TEXT"
@@ -40,12 +40,12 @@
             job_writer.write(job("c1"))
             await until(lambda: len(older.coordinator.attempts) == 1)
             await worker.tell("c1", state="started")
-            async with newer_process(here) as newer:
+            async with newer_process(test_site) as newer:
                 assert newer.service.is_ready() and older.phase is Phase.MIGRATING
                 assert newer.coordinator.banned_worker_ids == {
                     "w0"
                 } and newer.server.context.peer_request_ids == {"c1"}
-                assert (await here.post("c1")).start.split()[1] == "409"
+                assert (await test_site.post("c1")).start.split()[1] == "409"
                 await until(lambda: newer.counters.counts["client_connections"] >= 2)
                 worker.script = None
                 for number, (reader, writer) in enumerate(
@@ -63,7 +63,7 @@
                 await ending
                 assert (older.counters.counts["requests"], newer.counters.counts["requests"]) == (2, 3)
                 assert (
-                    here.workers[0].methods() == []
+                    test_site.workers[0].methods() == []
                     and newer.counters.counts["hot_restart_worker_states"] == 2
                 )
                 await until(lambda: newer.hot_restart.link is None)
@@ -76,20 +76,20 @@
 
 
 def test_a_request_migrates_only_after_the_202_of_its_attempt() -> None:
-    """A callback that arrives at the newer process before that is forwarded to the older one."""
+    """Before that, the newer process forwards callbacks of the request to the older one."""
 
     async def scenario() -> None:
-        async with site() as here:
-            worker, older, gate = here.workers[0], here.program, asyncio.Event()
+        async with site() as test_site:
+            worker, older, gate = test_site.workers[0], test_site.program, asyncio.Event()
 
             async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
                 await worker.accept(message, writer)
 
             worker.script = slow
-            answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(2)]
+            answers = [asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(2)]
             await until(lambda: len(worker.methods()) == 2)
-            async with newer_process(here) as newer:
+            async with newer_process(test_site) as newer:
                 for _ in range(2):
                     await worker.tell("c0", state="done", result="early")
                 assert (await answers[0]).body == b"early"
@@ -98,31 +98,31 @@
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await worker.tell("c1", state="done", result="late")
                 assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
-                # A callback that matches at neither process comes back once, after the earlier messages.
+                # A callback that matches an attempt at neither process is sent back once.
                 assert newer.counters.counts["hot_restart_callbacks"] == 1
 
     asyncio.run(scenario())
 
 
 def test_a_migrated_idempotent_request_is_retried_when_its_attempt_is_lost() -> None:
-    """Earlier attempts count, and a client that disconnects cancels the retry."""
+    """Attempts before the migration count towards the limit, and a disconnected client cancels the retry."""
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"max_attempts": 2}) as here:
-            for worker in here.workers:
+        async with site(workers=2, caps={"max_attempts": 2}) as test_site:
+            for worker in test_site.workers:
                 worker.script = worker.accept
-            _, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(job("c1"))
             first_worker = await until(
-                lambda: next((worker for worker in here.workers if worker.methods()), None)
+                lambda: next((worker for worker in test_site.workers if worker.methods()), None)
             )
-            async with newer_process(here) as newer:
+            async with newer_process(test_site) as newer:
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await first_worker.tell("c1", state="lost")
-                await until(lambda: sum(len(worker.methods()) for worker in here.workers) == 2)
+                await until(lambda: sum(len(worker.methods()) for worker in test_site.workers) == 2)
                 last_worker = next(
                     worker
-                    for worker in here.workers
+                    for worker in test_site.workers
                     if worker.methods()[-1:] and (worker is not first_worker or len(worker.methods()) == 2)
                 )
                 writer.close()
@@ -133,22 +133,22 @@
 
 
 def test_the_newer_process_adopts_the_endpoint_list() -> None:
-    """A draining worker gets no jobs, although the configuration lists it and discovery does not answer."""
+    """A draining worker gets no jobs, although the configured list has it as ready and discovery is down."""
 
     async def scenario() -> None:
-        async with site(workers=2) as here:
-            await here.discovery.change(here.workers[0], "DRAINING")
-            await until(lambda: here.program.discovery.revision == here.discovery.revision)
-            here.discovery.stop()  # the configuration's list has both as serving
-            async with newer_process(here) as newer:
+        async with site(workers=2) as test_site:
+            await test_site.discovery.change(test_site.workers[0], "DRAINING")
+            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+            test_site.discovery.stop()  # the configured list has both workers as SERVING
+            async with newer_process(test_site) as newer:
                 assert [worker.endpoint.state.value for worker in newer.workers.workers.values()] == [
                     "draining",
                     "ready",
                 ]
-                assert newer.discovery.revision == here.discovery.revision
+                assert newer.discovery.revision == test_site.discovery.revision
                 for number in range(4):
-                    assert (await here.post(f"c{number}")).body == b"TEXT"
-                assert here.workers[0].methods() == []
+                    assert (await test_site.post(f"c{number}")).body == b"TEXT"
+                assert test_site.workers[0].methods() == []
 
     asyncio.run(scenario())
 
@@ -156,17 +156,17 @@
 def test_connections_in_the_listen_queue_are_served_by_the_newer_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The listener migrates: a second one would be reset with its queue when the older process ends."""
+    """Both processes share one listener.  Closing a second one would reset the connections in its queue."""
 
     async def scenario() -> None:
-        async with site() as here:
-            here.program.server.stop_accepting()
-            port = here.program.server.port
+        async with site() as test_site:
+            test_site.program.server.stop_accepting()
+            port = test_site.program.server.port
             waiting = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
             for number, (_, writer) in enumerate(waiting):
                 writer.write(job(f"c{number}"))
-            async with newer_process(here) as newer:
-                await here.program.shut_down()
+            async with newer_process(test_site) as newer:
+                await test_site.program.shut_down()
                 for reader, writer in waiting:
                     assert (await read_message(reader)).body == b"TEXT"
                     writer.close()
@@ -177,17 +177,17 @@
 
 
 async def wait_for_packet(received: list[Packet], kind: str) -> None:
-    """Wait until a packet of this kind is among the received ones."""
+    """Wait until a packet of this kind has been received."""
     await until(lambda: kind in [packet.kind for packet in received])
 
 
 def test_the_older_process_serves_again_if_the_newer_one_ends_too_early() -> None:
-    """Before it is ready, and after; connections that it did not receive come back."""
+    """The newer process ends before or after it is ready; connections that it did not receive are resumed."""
 
     async def scenario() -> None:
-        async with site() as here:
+        async with site() as test_site:
             received: list[Packet] = []
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(job("c0"))
             assert (await read_message(reader)).body == b"TEXT"
             for kinds, last_kind in ((["ask"], "offer"), (["ask", "ready"], "taken")):
@@ -198,9 +198,9 @@
                     link.send(Packet(kind, {"form": PROTOCOL_VERSION}))
                 await wait_for_packet(received, last_kind)
                 link.close()
-                await until(lambda: here.program.hot_restart.link is None)
-                assert here.program.phase is Phase.SERVING
-                assert (await here.post(f"n{len(kinds)}")).body == b"TEXT"
+                await until(lambda: test_site.program.hot_restart.link is None)
+                assert test_site.program.phase is Phase.SERVING
+                assert (await test_site.post(f"n{len(kinds)}")).body == b"TEXT"
             for packet in received:
                 if packet.descriptor >= 0:
                     os.close(packet.descriptor)
@@ -210,33 +210,35 @@
 
 
 def test_a_check_for_an_older_process_does_not_block_a_listener_request() -> None:
-    """Both wait in the queue of the socket when the older process accepts."""
+    """The check and the request are both in the listen queue when the older process accepts."""
 
     async def scenario() -> None:
-        async with site() as here:
+        async with site() as test_site:
             is_listening = hot_restart.is_peer_listening(DISPATCHER_NAME)
-            async with newer_process(here) as newer:
-                assert is_listening and here.program.phase is Phase.MIGRATING and newer.service.is_ready()
+            async with newer_process(test_site) as newer:
+                assert (
+                    is_listening and test_site.program.phase is Phase.MIGRATING and newer.service.is_ready()
+                )
 
     asyncio.run(scenario())
 
 
 def test_the_newer_process_stays_out_of_service() -> None:
-    """A drain that operators have started lasts until they end it."""
+    """A drain by operators lasts until they end it, also across a hot restart."""
 
     async def scenario() -> None:
-        async with site() as here:
-            await here.operate("out-of-service")
-            async with newer_process(here) as newer:
-                assert newer.service.is_ready() and await here.health() == 503
-                assert newer.service.out_of_service_since == here.program.service.out_of_service_since
-                assert newer.service.return_to_service() and await here.health() == 200
+        async with site() as test_site:
+            await test_site.operate("out-of-service")
+            async with newer_process(test_site) as newer:
+                assert newer.service.is_ready() and await test_site.health() == 503
+                assert newer.service.out_of_service_since == test_site.program.service.out_of_service_since
+                assert newer.service.return_to_service() and await test_site.health() == 200
 
     asyncio.run(scenario())
 
 
 def test_a_hot_restart_of_two_system_processes(tmp_path: Path) -> None:
-    """The newer one uses the older one's configuration, as its own file is bad; both exit with status 0."""
+    """The newer process has an invalid file and uses the older one's configuration; both exit with 0."""
 
     async def start(mgmt: int) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
         process = await asyncio.create_subprocess_exec(
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -1,4 +1,4 @@
-"""The external form of the hot-restart messages, compared with packets that release 725bba5 wrote."""
+"""The wire format of the hot-restart messages, compared with recorded packets of release 725bba5."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
 RECORDED = Path(__file__).parent / "data" / "hot_restart_725bba5.json"
-DESCRIPTOR = 77  # a descriptor's number; nothing is opened or closed here
+DESCRIPTOR = 77  # a number that stands for a descriptor; no descriptor is opened or closed
 
-# A worker's state with another value for each name.
+# A worker's state with a distinct value for each name.
 STATE: dict[str, Any] = {
     "free": 1.5, "free_memory": 2.5, "size": 3.5, "report_ns": 4, "changes": [[5, 1.0, 2.0]], "changed": 6.5,
     "changed_memory": 7.5, "job_sign_ns": 8, "refusals": 9, "errors": 10.5, "rest_ns": 11,
@@ -51,7 +51,7 @@
 
 
 def recorded() -> Iterator[RecordedPacket]:
-    """The packets of two hot restarts, in the order in which they were sent."""
+    """Yield the packets of two hot restarts in the order in which they were sent."""
     for row in json.loads(RECORDED.read_text()):
         yield RecordedPacket(
             row["kind"], row["packet"].encode("latin-1"), DESCRIPTOR if row["descriptor"] else -1
@@ -62,20 +62,20 @@
 
 
 def of_kind(kind: str) -> list[Any]:
-    """The recorded messages of a kind, decoded."""
+    """Decode the recorded messages of a kind."""
     return [
         decode(Packet.decode(packet.data, packet.descriptor)) for packet in PACKETS if packet.kind == kind
     ]
 
 
 def received(kind: str, **fields: Any) -> Any:
-    """The message of a packet with these fields."""
+    """Decode a packet of this kind with these fields."""
     return decode(Packet.decode(json.dumps({"kind": kind, **fields}).encode() + b"\nbody", DESCRIPTOR))
 
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
 def test_a_decoded_message_is_encoded_to_the_same_bytes(packet: RecordedPacket) -> None:
-    """Names, their order, numbers and the descriptor are those of the recorded packet."""
+    """Names, their order, values and the descriptor equal those of the recorded packet."""
     message = decode(Packet.decode(packet.data, packet.descriptor))
     encoded = encode(message)
     assert encoded.encode() == packet.data
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
 def test_unknown_names_are_ignored(packet: RecordedPacket) -> None:
-    """A later release may send more: at the top, in a worker's state, in a request, and in the lease."""
+    """A later release may add fields to a message, a worker's state or a request, and values to a lease."""
     head, _, data = packet.data.partition(b"\n")
     fields = json.loads(head)
     more = {**fields, "__class__": "x", "snapshot": 1}
@@ -98,7 +98,7 @@
 
 
 def test_all_kinds_are_recorded() -> None:
-    """Each kind of message is among the recorded ones, by its name and by its type."""
+    """The recorded packets include each kind and each message type."""
     kinds = {packet.kind for packet in PACKETS}
     assert kinds == {
         "ask", "offer", "members", "ready", "taken", "worker", "open", "held", "client", "ban", "call-back",
@@ -122,7 +122,7 @@
 
 
 def test_the_listener_and_the_list() -> None:
-    """The request, the list with its lease, and the offer in service and out of service."""
+    """Listener requests, offers in service and out of service, and an endpoint list with its lease."""
     assert of_kind("ask") == [messages.ListenerRequest(1)]
     assert of_kind("offer") == [
         messages.ListenerOffer(DESCRIPTOR, ("w0",), None),
@@ -135,7 +135,7 @@
 
 
 def test_a_worker_that_is_warming_up() -> None:
-    """The ban of w1 had been lifted before; it has an attempt out and several sends that count."""
+    """The worker w1, whose ban was lifted, has an attempt in flight and several slow-start sends."""
     (warming,) = [each for each in of_kind("worker") if each.worker_id == "w1"]
     assert (warming.host, warming.port) == ("127.0.0.1", 45839)
     state = warming.snapshot
@@ -151,7 +151,7 @@
 
 
 def test_each_name_of_a_workers_state_has_its_field() -> None:
-    """With a value of its own for each name, none is mistaken for another."""
+    """Distinct values show that no two names are mixed up."""
     state = received("worker", id="w", at=["h", 1], memory=STATE).snapshot
     assert state == WorkerSnapshot(
         free_slots=1.5,
@@ -181,27 +181,25 @@
 
 
 def test_a_worker_restores_its_snapshot() -> None:
-    """The state that 725bba5 sent is restored, and the worker's next snapshot equals it."""
+    """After a restore of a state that 725bba5 sent, the worker's snapshot equals that state."""
     for message in of_kind("worker"):
         worker = Worker(WorkerEntry(1, WorkerState.READY))
-        worker.consecutive_probe_failures, worker.failure_score = (
-            3,
-            1.0,
-        )  # what a health check before it may have left
+        # A health check before the restore may have changed these.
+        worker.consecutive_probe_failures, worker.failure_score = (3, 1.0)
         restore_snapshot(worker, message.snapshot)
         assert take_snapshot(worker) == message.snapshot
-        worker.record_change(300_000_000_000, 1.0, 0.0)  # the lists can be appended to
+        worker.record_change(300_000_000_000, 1.0, 0.0)  # the restored collections are mutable
         worker.slow_start_sends.clear()
 
 
 def test_a_fresh_worker_has_the_defaults_of_a_snapshot() -> None:
-    """So a name that is missing leaves what a worker starts with."""
+    """A missing name therefore has the initial value of a worker."""
     assert take_snapshot(Worker(WorkerEntry(1, WorkerState.READY))) == UNKNOWN_WORKER
 
 
 @pytest.mark.parametrize(("name", "field"), [*zip(STATE, fields(WorkerSnapshot), strict=True)])
 def test_a_missing_name_of_a_workers_state_has_its_default(name: str, field: Field[Any]) -> None:
-    """One name is missing at a time; the others are read."""
+    """One name is missing at a time; the other values are decoded."""
     complete = decode_worker_state(STATE)
     partial = decode_worker_state({key: value for key, value in STATE.items() if key != name})
     default = getattr(UNKNOWN_WORKER, field.name)
@@ -209,7 +207,7 @@
 
 
 def test_a_clients_connection_with_its_request() -> None:
-    """One between two requests, one whose attempt has started, one whose attempt has not."""
+    """An idle connection, and connections with an attempt before and after its start."""
     idle, waiting, started, *_ = of_kind("client")
     assert idle == messages.MigratedConnection(DESCRIPTOR, b"", True, 272.174916748, None)
     assert waiting.descriptor == DESCRIPTOR and not waiting.is_idle and waiting.state_since == 272.056656803
@@ -221,7 +219,7 @@
 
 
 def test_the_other_messages() -> None:
-    """Open requests, the count of connections, a ban that was lifted, and a callback."""
+    """Open requests, connection counts, a lifted ban and a callback."""
     assert of_kind("open") == [messages.OpenRequests(("h0", "d0", "c1", "c0"))]
     assert of_kind("held") == [messages.ClientConnectionCount(5), messages.ClientConnectionCount(0)]
     assert of_kind("ban") == [messages.BanChange("w0", False)]
@@ -250,7 +248,7 @@
     ],
 )
 def test_missing_names_have_their_defaults(kind: str, fields: dict[str, Any], expected: object) -> None:
-    """An earlier release may send less."""
+    """An earlier release may send fewer fields."""
     assert received(kind, **fields) == expected
 
 
@@ -259,19 +257,19 @@
     [("worker", {"at": ["h", 1]}), ("worker", {"id": "w"}), ("ban", {"on": True})],
 )
 def test_a_message_without_its_id_or_address_is_refused(kind: str, fields: dict[str, Any]) -> None:
-    """There is no default for them."""
+    """Ids and addresses have no default."""
     with pytest.raises(MalformedMessage):
         received(kind, **fields)
 
 
 def test_an_unknown_kind_is_refused() -> None:
-    """The codec names it."""
+    """The error names the kind."""
     with pytest.raises(UnknownMessageKind, match="later"):
         received("later")
 
 
 def test_a_packet_that_cannot_be_decoded_is_dropped_with_its_descriptor() -> None:
-    """An unknown kind is counted; neither it nor a malformed message reaches the process."""
+    """An unknown kind is counted; neither it nor a malformed message reaches the delegate."""
     process, counters = Mock(), Counters()
     hot_restart = HotRestart("toy", counters, process)
     for kind in ("later", "worker"):
@@ -296,7 +294,7 @@
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: packet.kind)
 def test_received_messages_are_counted_by_their_external_kind(packet: RecordedPacket) -> None:
-    """Each kind has a counter of its own; what the link itself handles is not counted."""
+    """Each kind has its own counter; the messages of the handshake are not counted."""
     counters = Counters()
     hot_restart = HotRestart("toy", counters, Mock(offer_listener=Mock(return_value=None)))
     hot_restart._receive(Packet.decode(packet.data, packet.descriptor))
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -1,4 +1,4 @@
-"""The socket between two processes of a hot restart: its packets, and peers that do not answer."""
+"""The link between two processes of a hot restart: its packets, and peers that are absent or faulty."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def test_a_process_starts_alone_where_no_older_one_answers(
     peer: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A stale socket, another file, and a peer that sends nothing or nonsense do not prevent the start."""
+    """A stale socket, a regular file, and a peer that sends nothing or garbage do not prevent the start."""
 
     async def scenario() -> None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -37,10 +37,10 @@
         if peer == "nonsense":
             loop = asyncio.get_running_loop()
             loop.add_reader(sock, lambda: sock.accept()[0].send(b"nonsense"))
-        async with site() as here:
-            assert (await here.post()).body == b"TEXT"
-            async with newer_process(here) as second:
-                assert second.phase is Phase.SERVING and here.program.phase is Phase.MIGRATING
+        async with site() as test_site:
+            assert (await test_site.post()).body == b"TEXT"
+            async with newer_process(test_site) as second:
+                assert second.phase is Phase.SERVING and test_site.program.phase is Phase.MIGRATING
         if peer == "nonsense":
             loop.remove_reader(sock)
         sock.close()
@@ -50,7 +50,7 @@
 
 
 def test_packets_with_descriptors_wait_for_their_reader() -> None:
-    """More than the system's buffer takes; all arrive in order, and no descriptor stays open."""
+    """Packets beyond the kernel's buffer are queued; all arrive in order, and no descriptor is leaked."""
 
     async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -73,7 +73,7 @@
 
 
 def test_packets_that_were_sent_before_a_reset_are_received() -> None:
-    """A process that ends with unread packets resets the link; the system reports the reset first."""
+    """A process that exits with unread packets resets the link; the kernel reports the reset first."""
 
     async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -90,8 +90,8 @@
     asyncio.run(scenario())
 
 
-class NoUnix(socket.socket):
-    """A system that refuses new unix sockets, as a filter of system calls may; socket pairs are allowed."""
+class SocketWithoutUnixFamily(socket.socket):
+    """A socket class that fails for new unix sockets, as under a seccomp filter; socket pairs still work."""
 
     def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
         if family == socket.AF_UNIX and fileno is None:
@@ -102,15 +102,18 @@
 def test_a_process_serves_alone_without_unix_sockets(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One log line reports each end of the hot restart that is unavailable."""
+    """The process logs that it found no older process, and that no newer process can connect."""
 
     async def scenario() -> None:
-        async with site() as here:
-            assert here.program.phase is Phase.SERVING and here.program.hot_restart.listening_socket is None
-            assert (await here.post()).body == b"TEXT" and await here.health() == 200
+        async with site() as test_site:
+            assert (
+                test_site.program.phase is Phase.SERVING
+                and test_site.program.hot_restart.listening_socket is None
+            )
+            assert (await test_site.post()).body == b"TEXT" and await test_site.health() == 200
             assert not hot_restart.is_peer_listening(DISPATCHER_NAME)
 
-    monkeypatch.setattr(socket, "socket", NoUnix)
+    monkeypatch.setattr(socket, "socket", SocketWithoutUnixFamily)
     with caplog.at_level("INFO", logger=hot_restart.__name__):
         asyncio.run(scenario())
     lines = [record.getMessage() for record in caplog.records]
@@ -120,29 +123,29 @@
     assert any(line.startswith("hot restart unavailable, no newer process can connect") for line in lines)
 
 
-class ListenerOwner:
+class StubDelegate:
     """A delegate that offers a duplicate of standard input and ignores all messages."""
 
     def offer_listener(self) -> ListenerOffer:
-        """A descriptor that the receiver closes."""
+        """Return an offer whose descriptor the receiver closes."""
         return ListenerOffer(descriptor=os.dup(0))
 
     def start_migration(self) -> None:
-        """Nothing migrates."""
+        """Migrate nothing."""
 
     def handle_message(self, message: HotRestartMessage) -> None:
-        """The message is ignored."""
+        """Ignore the message."""
 
     def on_peer_lost(self, unsent: object) -> None:
-        """Unsent messages are ignored."""
+        """Ignore the unsent messages."""
 
 
 def test_a_second_hot_restart_waits_for_its_own_confirmation() -> None:
-    """The end of the first link sets its events; those of the second link are new."""
+    """The end of the first link sets the events of its handshake; the second link must not use them."""
 
     async def scenario() -> None:
         first, second = (
-            hot_restart.HotRestart(DISPATCHER_NAME, Counters(), ListenerOwner()) for _ in range(2)
+            hot_restart.HotRestart(DISPATCHER_NAME, Counters(), StubDelegate()) for _ in range(2)
         )
         first.listen()
         offer = await second.request_listener()
