--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -1,4 +1,4 @@
-"""A worker receives a job as the client sent it (PROTOCOL, dispatchers to match workers)."""
+"""Jobs are forwarded to workers unchanged (PROTOCOL, dispatchers to match workers)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def job_request(call: str, target: str) -> bytes:
-    """A job request with all headers of PROTOCOL."""
+    """Return a job request with all headers of PROTOCOL."""
     return write_message(
         f"POST {target} HTTP/1.1",
         b'{"route": [1, 2, 3]}',
@@ -27,19 +27,19 @@
 
 
 def jobs(seen: list[Message]) -> list[Message]:
-    """The jobs among the requests that a worker received."""
+    """Return the jobs among the requests that a worker received."""
     return [message for message in seen if message.method == "POST"]
 
 
 @pytest.mark.parametrize("target", ["/lookup/a?b=1", "/lookup", "/lookup/x/y?z=%20&w="])
 def test_a_job_is_forwarded_unchanged(target: str) -> None:
-    """Method, path, query, body, id and idempotency key."""
+    """The worker receives the method, path, query, body, id and idempotency key of the client."""
 
     async def scenario() -> None:
-        async with site() as here:
-            answer = await request(here.address, job_request("c1", target))
+        async with site() as test_site:
+            answer = await request(test_site.address, job_request("c1", target))
             assert answer.status == 200
-            (job,) = jobs(here.workers[0].seen)
+            (job,) = jobs(test_site.workers[0].seen)
             assert job.start == f"POST {target} HTTP/1.1"
             assert job.body == b'{"route": [1, 2, 3]}'
             assert job.headers["x-correlation-id"] == "c1"
@@ -49,20 +49,20 @@
 
 
 def test_a_retry_has_the_same_idempotency_key() -> None:
-    """A job that a worker returns unstarted is sent to the next one with the same key and body."""
+    """A job that a worker returns without starting it is retried with the same key and body."""
 
     async def scenario() -> None:
-        async with site(workers=2) as here:
+        async with site(workers=2) as test_site:
 
             async def return_unstarted(_message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(RETURNED_UNSTARTED)
 
-            for worker in here.workers:
+            for worker in test_site.workers:
                 worker.script = return_unstarted
-            answer = await request(here.address, job_request("c2", "/lookup/a"))
+            answer = await request(test_site.address, job_request("c2", "/lookup/a"))
             assert answer.status in (429, 503)
-            attempts = [job for worker in here.workers for job in jobs(worker.seen)]
-            assert len(attempts) >= 2, "both workers returned it, so it was sent to both"
+            attempts = [job for worker in test_site.workers for job in jobs(worker.seen)]
+            assert len(attempts) >= 2, "the job was not retried after the first worker returned it"
             assert {job.headers.get("idempotency-key") for job in attempts} == {IDEMPOTENCY_KEY}
             assert {job.body for job in attempts} == {b'{"route": [1, 2, 3]}'}
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""The parsers and writers of messages, by tables of cases."""
+"""Tables of cases for the parsers and serializers of messages."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
     ],
 )
 def test_request_metadata(headers: list[tuple[bytes, bytes]], expected: RequestMetadata) -> None:
-    """The metadata in a request's head."""
+    """Each header has its field in the metadata."""
     assert messages.parse_request_metadata([ID, *headers]) == expected
 
 
 def test_key_is_stable() -> None:
-    """Requests about the same object have one key, wherever the cookie is."""
+    """The key depends only on the object, not on the position of its cookie."""
     one, two, other = (
         messages.parse_request_metadata([ID, (b"cookie", value)]).object_key
         for value in (b"obj=7f3a", b"x=1; obj=7f3a", b"obj=7f3b")
@@ -89,12 +89,12 @@
     ],
 )
 def test_class_of_request(path: bytes, name: bytes) -> None:
-    """The class is the first part of the path."""
+    """The class is the first segment of the path."""
     assert messages.parse_class_name(path) == name
 
 
 def test_closing_response() -> None:
-    """It is complete; in response to HEAD it has no body."""
+    """The response is complete; it has no body in response to HEAD."""
     head = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\nConnection: close\r\n\r\n"
     assert messages.closing_response(503, b"text") == head + b"text"
     assert messages.closing_response(503, b"text", is_head=True) == head
@@ -116,7 +116,7 @@
     ],
 )
 def test_callbacks(fields: dict[str, Any], expected: Callback) -> None:
-    """Each state, from a view of a buffer and from bytes."""
+    """Each state is parsed from bytes and from a memory view."""
     data = json.dumps({"id": "c", "from": "w", **fields}).encode()
     assert (
         messages.parse_callback(data, FIELDS) == messages.parse_callback(memoryview(data), FIELDS) == expected
@@ -163,13 +163,13 @@
     ],
 )
 def test_malformed_load_report_is_none(data: bytes | None) -> None:
-    """A malformed report never becomes capacity."""
+    """A malformed report is ignored, so that it does not count as capacity."""
     assert messages.parse_load_report(data, FIELDS) is None
     assert messages.parse_load_report(json.dumps(LOAD).encode(), FIELDS) == REPORT
 
 
 def member(**changes: Any) -> dict[str, Any]:
-    """A member of discovery's list."""
+    """Return a member of discovery's list with changed fields."""
     return {
         "id": "s-1",
         "host_port": "127.0.0.1:80",
@@ -192,7 +192,7 @@
     ],
 )
 def test_endpoint_list(phase: str, state: api.WorkerState) -> None:
-    """Revision, completeness and every field of a member."""
+    """The revision, the completeness and all fields of a member are parsed."""
     data = json.dumps({"revision": 4, "complete": False, "members": [member(phase=phase)]}).encode()
     assert messages.parse_endpoint_list(data) == messages.EndpointList(
         4, False, (messages.Endpoint("s-1", "127.0.0.1", 80, "a", "m", 3, state, 1.5, 7),)
@@ -222,7 +222,7 @@
 
 
 def error_text(parse: Callable[[], object]) -> str | None:
-    """The text of the MessageError that a parser raises; None if it raises none."""
+    """Return the text of the MessageError that a parser raises, or None."""
     try:
         parse()
     except MessageError as error:
@@ -245,7 +245,7 @@
 
 
 def test_job_headers() -> None:
-    """The headers of a job for a worker, with and without optional ones."""
+    """The headers of a job with a content type, and the values of Retry-After and of a watch target."""
     job = messages.JobPayload(b"/x", b"abc", b"text/plain")
     assert messages.job_headers("c1", job, 1_999_999, "h:1") == [
         (b"Host", b"h:1"),
@@ -287,7 +287,7 @@
 
 
 def test_request_is_serialized_with_remaining_time() -> None:
-    """A chunked body becomes one piece; other headers stay."""
+    """A chunked body becomes one part; the other headers are unchanged."""
     http = h11.Connection(h11.SERVER)
     http.receive_data(
         b"POST /a?b=1 HTTP/1.1\r\nHost: a\r\nX-Time-Left-Ms: 900\r\nX-Correlation-Id: c1\r\n"
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -1,4 +1,4 @@
-"""Two processes of one dispatcher's name with different addresses: no hot restart between them."""
+"""Two processes with the same dispatcher name and different addresses do not perform a hot restart."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 @asynccontextmanager
-async def start(
-    folder: Path, listen: str, by: str, discovery: Discovery
+async def start_dispatcher(
+    folder: Path, listen: str, address_source: str, discovery: Discovery
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Start a dispatcher that listens at an address, given in its file or in GW_LISTEN; end it at last."""
+    """Start a dispatcher with its address in its file or in GW_LISTEN; kill it at the end if it runs."""
     path = folder / f"{listen.replace(':', '-')}.json"
-    in_file = listen if by == "file" else "127.0.0.1:1"
+    in_file = listen if address_source == "file" else "127.0.0.1:1"
     contents = document() | {
         "listen": in_file,
         "mgmt": f"127.0.0.1:{free_port()}",
@@ -34,7 +34,7 @@
         "known": discovery.told(),
     }
     path.write_text(json.dumps(contents))
-    variables = {"GW_CONFIG": str(path)} | ({} if by == "file" else {"GW_LISTEN": listen})
+    variables = {"GW_CONFIG": str(path)} | ({} if address_source == "file" else {"GW_LISTEN": listen})
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "weldquay", env={**os.environ, **variables}, stderr=asyncio.subprocess.PIPE
     )
@@ -48,15 +48,18 @@
 
 @asynccontextmanager
 async def first_process(
-    folder: Path, listen: str, by: str
+    folder: Path, listen: str, address_source: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Discovery, Scripted]]:
-    """A dispatcher with a worker, and its discovery."""
+    """Start a dispatcher with a worker and a discovery, and wait until it is serving."""
     discovery, worker = Discovery(), Scripted("w0", listen)
     await discovery.start()
     await worker.start()
     discovery.add(worker)
     try:
-        async with asyncio.timeout(TIMEOUT_S), start(folder, listen, by, discovery) as process:
+        async with (
+            asyncio.timeout(TIMEOUT_S),
+            start_dispatcher(folder, listen, address_source, discovery) as process,
+        ):
             await wait_until_serving(process)
             yield process, discovery, worker
     finally:
@@ -65,32 +68,32 @@
 
 
 async def health(listen: str) -> int:
-    """The status of a health check; 0 where no connection is accepted."""
+    """Return the status of a health check, or 0 if the connection is refused."""
     try:
         return (await request(listen, write_message("GET /_health HTTP/1.1"))).status
     except OSError:
         return 0
 
 
-@pytest.mark.parametrize("by", ["file", "GW_LISTEN"])
+@pytest.mark.parametrize("address_source", ["file", "GW_LISTEN"])
 @pytest.mark.parametrize("is_reversed", [False, True])
 def test_second_address_ends_with_one_line_and_the_first_process_serves_on(
-    by: str, is_reversed: bool, tmp_path: Path
+    address_source: str, is_reversed: bool, tmp_path: Path
 ) -> None:
-    """The second process took over the first one's listener, and its own address refused connections."""
+    """The second process must not take over the listener, since its own address would refuse connections."""
 
     async def scenario() -> None:
         first, second = sorted((f"127.0.0.1:{free_port()}" for _ in range(2)), reverse=is_reversed)
-        async with first_process(tmp_path, first, by) as (_process, discovery, worker):
+        async with first_process(tmp_path, first, address_source) as (_process, discovery, worker):
             await until_healthy(first)
-            async with start(tmp_path, second, by, discovery) as other:
+            async with start_dispatcher(tmp_path, second, address_source, discovery) as other:
                 _, log = await other.communicate()
             (line,) = [line for line in log.decode().splitlines() if line.startswith("weldquay:")]
             assert other.returncode == 1 and first in line and second in line and "what to do" in line
             assert await health(first) == 200 and await health(second) == 0
             assert (await request(first, job("c1"))).status == 200 and worker.methods() == ["POST"]
-            # The first process still hands over to one with its own address.
-            async with start(tmp_path, first, by, discovery) as newer:
+            # The first process still accepts a hot restart by a process with its own address.
+            async with start_dispatcher(tmp_path, first, address_source, discovery) as newer:
                 await wait_until_serving(newer)
                 assert await health(first) == 200
 
@@ -98,7 +101,7 @@
 
 
 def test_second_address_serves_while_the_first_process_is_draining(tmp_path: Path) -> None:
-    """An address is moved by a stop and a start: the process that drains hands nothing over."""
+    """A stop and a start change the address, since a draining process does not offer its listener."""
 
     async def scenario() -> None:
         first, second = (f"127.0.0.1:{free_port()}" for _ in range(2))
@@ -107,7 +110,7 @@
             waiting = asyncio.create_task(request(first, job("c1", left_ms=3000)))
             await worker.until("POST")
             process.send_signal(signal.SIGTERM)
-            async with start(tmp_path, second, "file", discovery) as other:
+            async with start_dispatcher(tmp_path, second, "file", discovery) as other:
                 await wait_until_serving(other)
                 assert process.returncode is None
                 await worker.tell("c1", state="done", result="late")
@@ -118,6 +121,6 @@
 
 
 async def until_healthy(listen: str) -> None:
-    """Wait until the process has its endpoint list."""
+    """Wait until the health check succeeds, which requires an endpoint list."""
     while await health(listen) != 200:  # noqa: ASYNC110  # there is no event to wait for
         await asyncio.sleep(0.02)
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,4 +1,4 @@
-"""The phases and the events between them, as the table of docs/architecture.md has them."""
+"""The lifecycle phases and their transitions, compared with the table in docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from tests.newer_process import newer_process
 from tests.site import document, site, until
-from weldquay.net import dispatcher_process as program
+from weldquay.net import dispatcher_process
 from weldquay.net.config import read
 from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.lifecycle import Phase
@@ -20,7 +20,7 @@
 
 
 def read_table() -> list[tuple[str, str, str]]:
-    """The cells as (phase, event, following phase or "no")."""
+    """Return the cells of the table as (phase, event, next phase or "no")."""
     text = PAGE.read_text().split("## Phases\n", 1)[1].split("\n## ", 1)[0]
     lines = [line for line in text.splitlines() if line[:1] == "|"]
     head, _, *rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
@@ -28,71 +28,71 @@
 
 
 async def enter_phase(phase: str, stack: AsyncExitStack) -> DispatcherProcess:
-    """A process in that phase."""
+    """Start a process and bring it into a phase."""
     if phase == "starting":
         return DispatcherProcess(read({}, document()))
-    here = await stack.enter_async_context(site())
+    test_site = await stack.enter_async_context(site())
     if phase == "out of service":
-        here.program.service.take_out_of_service()
+        test_site.program.service.take_out_of_service()
     elif phase == "handed over":
-        await stack.enter_async_context(newer_process(here))
+        await stack.enter_async_context(newer_process(test_site))
     elif phase != "serving":
-        stack.callback(asyncio.create_task(here.program.shut_down()).cancel)
-        if phase == "closing":  # and stay there
-            here.workers[0].script = here.workers[0].accept
-            request = asyncio.create_task(here.post())
+        stack.callback(asyncio.create_task(test_site.program.shut_down()).cancel)
+        if phase == "closing":  # an open request keeps the process in this phase
+            test_site.workers[0].script = test_site.workers[0].accept
+            request = asyncio.create_task(test_site.post())
             stack.callback(request.cancel)
-        await until(lambda: here.program.phase.value == phase)
-    return here.program
+        await until(lambda: test_site.program.phase.value == phase)
+    return test_site.program
 
 
-async def apply_event(here: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
-    """Apply an event; False where operators are refused."""
+async def apply_event(process: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
+    """Apply an event; return False if it is an operator request that is refused."""
     if event in ("out-of-service", "in-service"):
         return (
-            here.service.take_out_of_service()
+            process.service.take_out_of_service()
             if event == "out-of-service"
-            else here.service.return_to_service()
+            else process.service.return_to_service()
         )
     if event == "SIGHUP":
-        here.reloader.requested.set()
-        if here.phase is not Phase.STARTING:
-            await until(lambda: not here.reloader.requested.is_set())
+        process.reloader.requested.set()
+        if process.phase is not Phase.STARTING:
+            await until(lambda: not process.reloader.requested.is_set())
     elif event == "a newer process is ready":
-        here.migration.start_migration()
+        process.migration.start_migration()
     else:
-        here.request_shutdown()
-        if here.phase not in (Phase.STARTING, Phase.DRAINING, Phase.CLOSING):
-            ending = asyncio.create_task(here.shut_down())
-            await asyncio.sleep(0)  # the phase that follows at once; after a handover it is soon over
+        process.request_shutdown()
+        if process.phase not in (Phase.STARTING, Phase.DRAINING, Phase.CLOSING):
+            ending = asyncio.create_task(process.shut_down())
+            await asyncio.sleep(0)  # the next phase is entered at once, and after a hot restart ends soon
             stack.callback(ending.cancel)
     return True
 
 
-@pytest.mark.parametrize(("phase", "event", "follows"), read_table())
+@pytest.mark.parametrize(("phase", "event", "next_phase"), read_table())
 def test_each_event_leads_to_the_phase_of_the_table(
-    phase: str, event: str, follows: str, monkeypatch: pytest.MonkeyPatch
+    phase: str, event: str, next_phase: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The operators' answer, and the phase that follows."""
+    """The result of the event and the next phase are those of the table."""
 
     async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            here = await enter_phase(phase, stack)
-            assert here.phase.value == phase
-            is_done = await apply_event(here, event, stack)
+            process = await enter_phase(phase, stack)
+            assert process.phase.value == phase
+            succeeded = await apply_event(process, event, stack)
             if phase == "starting" and event == "SIGTERM":
-                assert here.lifecycle.shutdown_requested.is_set()  # `run` drains once the start is over
+                assert process.lifecycle.shutdown_requested.is_set()  # `run` drains after the start
             else:
-                assert is_done == (follows != "no")
-                assert here.phase.value == (phase if follows == "no" else follows)
+                assert succeeded == (next_phase != "no")
+                assert process.phase.value == (phase if next_phase == "no" else next_phase)
 
-    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1 if phase == "closing" else 1.0)
-    monkeypatch.setenv("GW_CONFIG", "/nowhere")  # a reload is refused, and goes through its phase
+    monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1 if phase == "closing" else 1.0)
+    monkeypatch.setenv("GW_CONFIG", "/nowhere")  # the reload fails, but passes through its phase
     asyncio.run(scenario())
 
 
 def test_the_table_has_all_phases_that_last() -> None:
-    """All but RELOADING, which ends within a turn of the loop, and the phases of the end."""
+    """The table lacks RELOADING, which ends within one event-loop iteration, and the last two phases."""
     rows = {phase for phase, _, _ in read_table()}
     assert rows == {phase.value for phase in Phase} - {"reloading", "stopping", "stopped"}
     seen: Any = {event for _, event, _ in read_table()}
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -1,4 +1,4 @@
-"""The limits of what clients send ahead of their open requests."""
+"""The limits on the read-ahead of client connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_the_allowance_does_not_depend_on_the_budget() -> None:
-    """Each connection has it, also where the others have used up the budget."""
+    """Each connection has its allowance, even if others have used up the budget."""
     budget = ReadAheadBudget(0)
     read_aheads = [ReadAhead(budget) for _ in range(3)]
     assert all(read_ahead.accept(READ_AHEAD_ALLOWANCE_BYTES) for read_ahead in read_aheads)
@@ -20,7 +20,7 @@
 
 
 def test_above_the_allowance_the_budget_is_shared() -> None:
-    """Bytes of one connection leave less for another; once they are released, there is room again."""
+    """The bytes of one connection reduce the budget of the others until they are released."""
     budget = ReadAheadBudget(3 * READ_AHEAD_ALLOWANCE_BYTES)
     first, second, third = (ReadAhead(budget) for _ in range(3))
     assert first.accept(2 * READ_AHEAD_ALLOWANCE_BYTES)
@@ -30,7 +30,7 @@
 
 
 def test_no_connection_exceeds_its_maximum() -> None:
-    """Once bytes are dropped all later ones are as well: the rest of the stream would have a gap."""
+    """After the first dropped bytes all later ones are dropped, since the stream would have a gap."""
     read_ahead = ReadAhead(ReadAheadBudget(10 * MAX_READ_AHEAD_BYTES))
     assert read_ahead.accept(MAX_READ_AHEAD_BYTES) and not read_ahead.accept(1)
     read_ahead.reset(0)
@@ -38,7 +38,7 @@
 
 
 def test_only_bytes_within_the_allowance_migrate() -> None:
-    """A hot-restart packet has to hold them."""
+    """The read-ahead has to fit into a hot-restart packet."""
     read_ahead = ReadAhead(ReadAheadBudget(MAX_READ_AHEAD_BYTES))
     assert read_ahead.accept(READ_AHEAD_ALLOWANCE_BYTES) and read_ahead.is_migratable
     assert read_ahead.accept(1) and not read_ahead.is_migratable
--- a/tests/test_request_table.py
+++ b/tests/test_request_table.py
@@ -1,4 +1,4 @@
-"""The answer to a request for which the decision module has given none by its deadline."""
+"""The answer to a request that the decision module has not answered by its deadline."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     ("is_in_flight", "possibly_sent", "possibly_executed", "expected"),
     [
         (False, False, False, Rejected()),
-        (True, False, False, Rejected()),  # its connection does not come up
+        (True, False, False, Rejected()),  # the attempt is still connecting
         (True, True, False, Failed()),
         (False, False, True, Failed()),  # an attempt has ended
     ],
@@ -28,7 +28,7 @@
 def test_request_that_no_worker_can_have_executed_is_rejected(
     is_in_flight: bool, possibly_sent: bool, possibly_executed: bool, expected: Answer
 ) -> None:
-    """It was answered as failed, 502, so that its client could not know that a retry is harmless."""
+    """A failure (502) would not tell the client that a retry is safe."""
 
     async def scenario() -> None:
         counters = Counters()
