--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -15,8 +15,8 @@
     RESERVATION_COUNTERS,
 )
 from weldquay.net.operators import OPERATION_COUNTERS
-from weldquay.net.request_table import ANSWER_COUNTERS
-from weldquay.net.requests import Answer
+from weldquay.net.request_table import RESULT_COUNTERS
+from weldquay.net.requests import RequestResult
 from weldquay.reservations.records import ReservationEndReason
 
 OUTCOMES = [
@@ -43,8 +43,8 @@
 
 def test_answers_and_lists() -> None:
     """Each answer to a client, and each kind of endpoint list update."""
-    assert set(ANSWER_COUNTERS) == set(get_args(Answer))
-    assert sorted(ANSWER_COUNTERS.values()) == ["requests_completed", "requests_failed", "requests_rejected"]
+    assert set(RESULT_COUNTERS) == set(get_args(RequestResult))
+    assert sorted(RESULT_COUNTERS.values()) == ["requests_completed", "requests_failed", "requests_rejected"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
     assert sorted(LIST_COUNTERS.values()) == [
         "discovery_address_changes",
--- a/weldquay/net/action_executor.py
+++ b/weldquay/net/action_executor.py
@@ -98,12 +98,12 @@
         )
 
     def _reject(self, action: api.Reject) -> None:
-        self._requests.answer(
+        self._requests.finish(
             self._requests.by_number.get(action.request_id), Rejected(action.retry_after_ns)
         )
 
     def _fail(self, action: api.Fail) -> None:
-        self._requests.answer(self._requests.by_number.get(action.request_id), Failed())
+        self._requests.finish(self._requests.by_number.get(action.request_id), Failed())
 
     def _cancel(self, action: api.Cancel) -> None:
         attempt = self._attempts.by_number.get((action.request_id, action.attempt))
--- a/weldquay/net/attempt_table.py
+++ b/weldquay/net/attempt_table.py
@@ -78,7 +78,7 @@
         if not outcome.never_executed:
             request.possibly_executed = True
         if outcome is api.Outcome.OK:
-            self._requests.answer(request, Completed(result))
+            self._requests.finish(request, Completed(result))
         is_finished = not request.is_open
         if is_finished and not request.in_flight:
             self._requests.by_number.pop(request.number, None)
--- a/weldquay/net/client_context.py
+++ b/weldquay/net/client_context.py
@@ -11,7 +11,7 @@
 from weldquay.net.messages import job_payload, parse_request_metadata
 from weldquay.net.read_ahead import ReadAheadBudget
 from weldquay.net.request_coordinator import RequestCoordinator
-from weldquay.net.requests import AcceptedRequest, Answer, ClientRequest
+from weldquay.net.requests import AcceptedRequest, ClientRequest, RequestResult
 from weldquay.net.tasks import Tasks
 
 
@@ -68,9 +68,9 @@
         """Continue an open request of the older process; unparsed begins with its bytes."""
         request, body = parse_request(unparsed)
         metadata = parse_request_metadata(request.headers)
-        answers: list[Answer] = []
+        results: list[RequestResult] = []
         payload = job_payload(request, body)
         self.peer_request_ids.discard(metadata.id)
         self.open_request_ids.add(metadata.id)
-        client_request = self.coordinator.accept_migrated(migrated, metadata, payload, answers.append)
-        return AcceptedRequest(client_request, answers)
+        client_request = self.coordinator.accept_migrated(migrated, metadata, payload, results.append)
+        return AcceptedRequest(client_request, results)
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -24,7 +24,7 @@
 from weldquay.net.messages import Callback, EndpointList, RequestMetadata
 from weldquay.net.request_migration import RequestMigration
 from weldquay.net.request_table import RequestTable
-from weldquay.net.requests import Answer, Attempt, ClientRequest, DiscoveryWatcher, WorkerClient
+from weldquay.net.requests import Attempt, ClientRequest, DiscoveryWatcher, RequestResult, WorkerClient
 from weldquay.policy.dispatcher import Dispatcher
 
 log = logging.getLogger(__name__)
@@ -87,7 +87,7 @@
         job_class: int,
         metadata: RequestMetadata,
         payload: object,
-        on_answer: Callable[[Answer], None],
+        on_result: Callable[[RequestResult], None],
     ) -> ClientRequest | None:
         """Accept a client's request; return None if the limit of open requests is reached."""
         config = self.config
@@ -105,7 +105,7 @@
             metadata.id,
             payload,
             now_ns + time_left_ns,
-            on_answer,
+            on_result,
             metadata,
             job_class,
             class_settings,
@@ -203,11 +203,11 @@
         migrated: MigratedRequest,
         metadata: RequestMetadata,
         payload: object,
-        on_answer: Callable[[Answer], None],
+        on_result: Callable[[RequestResult], None],
     ) -> ClientRequest:
         """Continue a request of an older process."""
         self.counters.add("migrated_requests_accepted")
-        return self.migration.accept_migrated(migrated, metadata, payload, on_answer, self.config)
+        return self.migration.accept_migrated(migrated, metadata, payload, on_result, self.config)
 
     def process_pending(self) -> None:
         """Run a decision step now if events are pending."""
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -20,7 +20,7 @@
     parse_request_metadata,
 )
 from weldquay.net.read_ahead import ReadAhead
-from weldquay.net.requests import AcceptedRequest, Answer, ClientRequest, Completed, Rejected
+from weldquay.net.requests import AcceptedRequest, ClientRequest, Completed, Rejected, RequestResult
 
 HEALTH_PATH = b"/_health"
 CALLBACK_PATH = b"/callback"
@@ -106,9 +106,9 @@
         """Wait for the answer to a request that the older process accepted."""
         self.accepted = None
         self.open_request = accepted.request
-        accepted.request.on_answer = self._answer
+        accepted.request.on_result = self._answer
         self.connection.enter(ConnectionState.WAITING)
-        for answer in accepted.answers:
+        for answer in accepted.results:
             self._answer(answer)
 
     def _submit_job(self, request: h11.Request, job_class: int) -> None:
@@ -131,7 +131,7 @@
             context.open_request_ids.add(metadata.id)
             self.connection.enter(ConnectionState.WAITING)
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: RequestResult) -> None:
         """Write the response with the final answer to the open request."""
         assert self.open_request is not None
         self.context.open_request_ids.discard(self.open_request.id)
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -16,7 +16,7 @@
 from weldquay.net.hot_restart_messages import MigratedAttempt, MigratedRequest
 from weldquay.net.messages import RequestMetadata
 from weldquay.net.request_table import RequestTable
-from weldquay.net.requests import Answer, Attempt, ClientRequest, WorkerClient
+from weldquay.net.requests import Attempt, ClientRequest, RequestResult, WorkerClient
 from weldquay.policy.dispatcher import Dispatcher
 
 
@@ -103,7 +103,7 @@
         migrated: MigratedRequest,
         metadata: RequestMetadata,
         payload: object,
-        on_answer: Callable[[Answer], None],
+        on_result: Callable[[RequestResult], None],
         config: Config,
     ) -> ClientRequest:
         """Continue a request of an older process, with its attempts in flight."""
@@ -113,7 +113,7 @@
             metadata.id,
             payload,
             migrated.deadline_ns,
-            on_answer,
+            on_result,
             metadata,
             job_class,
             settings.classes[job_class],
--- a/weldquay/net/request_table.py
+++ b/weldquay/net/request_table.py
@@ -9,14 +9,14 @@
 from weldquay import interface as api
 from weldquay.net.counters import Counters
 from weldquay.net.event_queue import EventQueue
-from weldquay.net.requests import Answer, ClientRequest, Completed, Failed, Rejected
+from weldquay.net.requests import ClientRequest, Completed, Failed, Rejected, RequestResult
 
 log = logging.getLogger(__name__)
 
-ANSWER_GRACE_NS = 10_000_000  # time for the decision module to answer a request after its deadline
+RESULT_GRACE_NS = 10_000_000  # time for the decision module to answer a request after its deadline
 MAX_REQUEST_NUMBERS = 2**32
 
-ANSWER_COUNTERS: dict[type[Answer], str] = {
+RESULT_COUNTERS: dict[type[RequestResult], str] = {
     Completed: "requests_completed",
     Rejected: "requests_rejected",
     Failed: "requests_failed",
@@ -44,19 +44,19 @@
         # The timer uses call_soon so that, after a stall of the event loop, a decision step that is already
         # scheduled answers the request first.
         request.deadline_timer = self._loop.call_later(
-            max(0, request.deadline_ns + ANSWER_GRACE_NS - time.monotonic_ns()) / 1e9,
+            max(0, request.deadline_ns + RESULT_GRACE_NS - time.monotonic_ns()) / 1e9,
             self._loop.call_soon,
             self._on_deadline_passed,
             request,
         )
         self.by_number[request.number] = request
 
-    def answer(self, request: ClientRequest | None, answer: Answer) -> None:
+    def finish(self, request: ClientRequest | None, answer: RequestResult) -> None:
         """Give a request its final answer; ignored if the request has already ended."""
         if request is not None and request.is_open:
             self.close(request)
-            self._counters.add(ANSWER_COUNTERS[type(answer)])
-            request.on_answer(answer)
+            self._counters.add(RESULT_COUNTERS[type(answer)])
+            request.on_result(answer)
 
     def disconnect(self, request: ClientRequest) -> None:
         """End a request whose client disconnected before the answer."""
@@ -79,9 +79,9 @@
         A request that no worker can have executed is rejected, which tells the client that a retry is safe.
         """
         if request.is_open:
-            answer: Answer = Failed() if request.may_have_been_executed else Rejected()
+            answer: RequestResult = Failed() if request.may_have_been_executed else Rejected()
             kind = type(answer).__name__.lower()
             log.error("request %s had no answer by its deadline: %s", request.id, kind)
             self._counters.add("requests_past_deadline")
-            self.answer(request, answer)
+            self.finish(request, answer)
             self._events.enqueue(api.ClientDisconnected(request.number))
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -30,7 +30,7 @@
     """The request failed; the job may or may not have been executed."""
 
 
-Answer = Completed | Rejected | Failed
+RequestResult = Completed | Rejected | Failed
 
 
 @dataclass(slots=True, eq=False)
@@ -44,7 +44,7 @@
     id: str
     payload: object
     deadline_ns: int
-    on_answer: Callable[[Answer], None]
+    on_result: Callable[[RequestResult], None]
     metadata: RequestMetadata
     job_class: int
     class_settings: api.JobClass
@@ -104,7 +104,7 @@
     """A migrated request; answers holds the answers given before its connection is set up."""
 
     request: ClientRequest
-    answers: list[Answer]
+    results: list[RequestResult]
 
 
 class WorkerClient(Protocol):
