--- a/tests/test_request_table.py
+++ b/tests/test_request_table.py
@@ -1,4 +1,4 @@
-"""The answer to a request that the decision module has not answered by its deadline."""
+"""The result of a request that the decision module has not finished by its deadline."""
 
 from __future__ import annotations
 
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -137,7 +137,7 @@
         self.connections[writer] = None
         try:
             async with PeerTimeout(REQUEST_TIMEOUT_S):
-                writer.write(await self._answer(reader))
+                writer.write(await self._serve_request(reader))
                 await writer.drain()
                 writer.write_eof()
                 # Closing with unread bytes would reset the connection and could discard the response.
@@ -152,7 +152,7 @@
             self.connections.pop(writer, None)
             writer.transport.abort()
 
-    async def _answer(self, reader: asyncio.StreamReader) -> bytes:
+    async def _serve_request(self, reader: asyncio.StreamReader) -> bytes:
         """Read one request and return the response."""
         try:
             request = await _read_request(reader)
--- a/weldquay/net/read_ahead.py
+++ b/weldquay/net/read_ahead.py
@@ -1,4 +1,4 @@
-"""Limits on read-ahead: the bytes that clients send while a request of theirs waits for its answer."""
+"""Limits on read-ahead: the bytes that clients send while a request of theirs waits for its response."""
 
 from __future__ import annotations
 
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -34,7 +34,7 @@
     """Runs the decision module of one dispatcher.
 
     A request is accepted by `submit`.  Send actions start its attempts, each of which ends once: through
-    `attempt_ended`, a callback, a cancellation or its deadline.  The request gets exactly one answer.
+    `attempt_ended`, a callback, a cancellation or its deadline.  The request gets exactly one result.
     """
 
     workers: WorkerClient
@@ -72,7 +72,7 @@
         self.enqueue_event(api.SettingsChanged(config.settings))
 
     def begin_shutdown(self, time_left_s: float) -> None:
-        """Start the shutdown in the decision module, which answers all requests within time_left_s."""
+        """Start the shutdown in the decision module, which finishes all requests within time_left_s."""
         self.enqueue_event(api.ShutdownStarted(int(time_left_s * 1e9)))
 
     @property
@@ -117,7 +117,7 @@
         return request
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client disconnected before the answer."""
+        """End a request whose client disconnected before the result."""
         self.requests.disconnect(request)
 
     # --- attempts and probes ---
@@ -195,7 +195,7 @@
         return self.migration.can_migrate(request, self.config)
 
     def migrate_request(self, request: ClientRequest) -> MigratedRequest:
-        """End a request without an answer, and return the state that another process continues it from."""
+        """End a request without a result, and return the state that another process continues it from."""
         return self.migration.migrate_request(request, self.config)
 
     def accept_migrated(
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -61,7 +61,7 @@
         self.channel = channel
         self.connection = connection
         self.accepted = accepted
-        self.open_request: ClientRequest | None = None  # the job request that waits for its answer
+        self.open_request: ClientRequest | None = None  # the job request that waits for its result
         self.read_ahead = ReadAhead(context.read_ahead_budget)
 
     def handle(self) -> None:
@@ -72,7 +72,7 @@
         job_class = self.context.classes.get(parse_class_name(path))
         try:
             if path == HEALTH_PATH:
-                self._answer_health_check(request.method)
+                self._respond_to_health_check(request.method)
             elif path != CALLBACK_PATH and job_class is None:
                 self.reject(404, "no such class or path")
             elif request.method != b"POST":
@@ -86,7 +86,7 @@
         except MessageError as error:
             self.reject(400, str(error))
 
-    def _answer_health_check(self, method: bytes) -> None:
+    def _respond_to_health_check(self, method: bytes) -> None:
         if method not in (b"GET", b"HEAD"):
             self.reject(405, "only GET and HEAD")
         elif self.context.is_serving():
@@ -103,13 +103,13 @@
         self._respond(204)
 
     def _continue_accepted_request(self, accepted: AcceptedRequest) -> None:
-        """Wait for the answer to a request that the older process accepted."""
+        """Wait for the result of a request that the older process accepted."""
         self.accepted = None
         self.open_request = accepted.request
-        accepted.request.on_result = self._answer
+        accepted.request.on_result = self._respond_with_result
         self.connection.enter(ConnectionState.WAITING)
-        for answer in accepted.results:
-            self._answer(answer)
+        for result in accepted.results:
+            self._respond_with_result(result)
 
     def _submit_job(self, request: h11.Request, job_class: int) -> None:
         """Submit a job request to the coordinator or reject it."""
@@ -124,22 +124,24 @@
             return
         payload = job_payload(request, self.channel.body)
         self.read_ahead.reset(len(self.channel.unparsed_data))
-        self.open_request = context.coordinator.submit(job_class, metadata, payload, self._answer)
+        self.open_request = context.coordinator.submit(
+            job_class, metadata, payload, self._respond_with_result
+        )
         if self.open_request is None:
             self._respond_overload(context.config.settings.max_retry_after_ns)
         else:
             context.open_request_ids.add(metadata.id)
             self.connection.enter(ConnectionState.WAITING)
 
-    def _answer(self, answer: RequestResult) -> None:
-        """Write the response with the final answer to the open request."""
+    def _respond_with_result(self, result: RequestResult) -> None:
+        """Write the response to the open request."""
         assert self.open_request is not None
         self.context.open_request_ids.discard(self.open_request.id)
         self.open_request = None
-        if isinstance(answer, Completed):
-            self._respond(200, answer.result.encode())
-        elif isinstance(answer, Rejected):
-            self._respond_overload(answer.retry_after_ns)
+        if isinstance(result, Completed):
+            self._respond(200, result.result.encode())
+        elif isinstance(result, Rejected):
+            self._respond_overload(result.retry_after_ns)
         else:
             self._respond(502, b"failed")
         if self.connection.state is ConnectionState.IDLE and self.channel.unparsed_data:
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -1,6 +1,6 @@
 """The migration of requests and worker states between two processes during a hot restart.
 
-The older process ends a request without an answer and exports its state; the newer process continues it.
+The older process ends a request without a result and exports its state; the newer process continues it.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         )
 
     def migrate_request(self, request: ClientRequest, config: Config) -> MigratedRequest:
-        """End a request without an answer, and return the state that another process continues it from."""
+        """End a request without a result, and return the state that another process continues it from."""
         in_flight = list(request.in_flight.values())
         migrated = MigratedRequest(
             class_name=config.class_names[request.job_class],
--- a/weldquay/net/request_table.py
+++ b/weldquay/net/request_table.py
@@ -1,4 +1,4 @@
-"""The table of client requests that are open or have attempts in flight, and their final answers."""
+"""The table of client requests that are open or have attempts in flight, and their results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-RESULT_GRACE_NS = 10_000_000  # time for the decision module to answer a request after its deadline
+RESULT_GRACE_NS = 10_000_000  # how long after its deadline a request waits for the decision module's result
 MAX_REQUEST_NUMBERS = 2**32
 
 RESULT_COUNTERS: dict[type[RequestResult], str] = {
@@ -24,7 +24,7 @@
 
 
 class RequestTable:
-    """The requests by number.  Each has a timer that answers it if it has no answer after its deadline."""
+    """The requests by number.  Each has a timer that finishes it if it has no result after its deadline."""
 
     def __init__(self, counters: Counters, events: EventQueue) -> None:
         self._loop = asyncio.get_running_loop()
@@ -42,7 +42,7 @@
         self._last_number = (self._last_number + 1) % MAX_REQUEST_NUMBERS
         request.number = self._last_number
         # The timer uses call_soon so that, after a stall of the event loop, a decision step that is already
-        # scheduled answers the request first.
+        # scheduled can finish the request first.
         request.deadline_timer = self._loop.call_later(
             max(0, request.deadline_ns + RESULT_GRACE_NS - time.monotonic_ns()) / 1e9,
             self._loop.call_soon,
@@ -51,15 +51,15 @@
         )
         self.by_number[request.number] = request
 
-    def finish(self, request: ClientRequest | None, answer: RequestResult) -> None:
-        """Give a request its final answer; ignored if the request has already ended."""
+    def finish(self, request: ClientRequest | None, result: RequestResult) -> None:
+        """Report the result of a request to its client; ignored if the request has already ended."""
         if request is not None and request.is_open:
             self.close(request)
-            self._counters.add(RESULT_COUNTERS[type(answer)])
-            request.on_result(answer)
+            self._counters.add(RESULT_COUNTERS[type(result)])
+            request.on_result(result)
 
     def disconnect(self, request: ClientRequest) -> None:
-        """End a request whose client disconnected before the answer."""
+        """End a request whose client disconnected before the result."""
         if request.is_open:
             self._counters.add("clients_disconnected")
             self.close(request)
@@ -74,14 +74,14 @@
             del self.by_number[request.number]
 
     def _on_deadline_passed(self, request: ClientRequest) -> None:
-        """Answer a request that the decision module has not answered by its deadline.
+        """Finish a request that the decision module has not finished by its deadline.
 
         A request that no worker can have executed is rejected, which tells the client that a retry is safe.
         """
         if request.is_open:
-            answer: RequestResult = Failed() if request.may_have_been_executed else Rejected()
-            kind = type(answer).__name__.lower()
-            log.error("request %s had no answer by its deadline: %s", request.id, kind)
+            result: RequestResult = Failed() if request.may_have_been_executed else Rejected()
+            kind = type(result).__name__.lower()
+            log.error("request %s had no result by its deadline: %s", request.id, kind)
             self._counters.add("requests_past_deadline")
-            self.finish(request, answer)
+            self.finish(request, result)
             self._events.enqueue(api.ClientDisconnected(request.number))
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -1,4 +1,4 @@
-"""Client requests, their attempts and answers, and the network interfaces that the coordinator uses."""
+"""Client requests, their attempts and results, and the network interfaces that the coordinator uses."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A client request that has no answer yet or has attempts in flight.
+    """A client request that has no result yet or has attempts in flight.
 
-    Times are in nanoseconds of the monotonic clock.  on_answer is called exactly once, or never if the client
-    disconnects before the answer.
+    Times are in nanoseconds of the monotonic clock.  on_result is called exactly once, or never if the client
+    disconnects first.
     """
 
     id: str
@@ -51,11 +51,11 @@
     received_ns: int
     max_attempts: int
     number: int = 0  # id in the decision module, assigned by the request table
-    is_open: bool = True  # it has no answer and its client is connected
+    is_open: bool = True  # it has no result and its client is connected
     attempts_started: int = 0
     possibly_executed: bool = False  # an attempt that has ended may have executed the job
     in_flight: dict[int, Attempt] = field(default_factory=dict)  # the attempts in flight by number
-    deadline_timer: asyncio.TimerHandle | None = None  # answers the request after its deadline
+    deadline_timer: asyncio.TimerHandle | None = None  # finishes the request after its deadline
 
     @property
     def is_idempotent(self) -> bool:
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRequest:
-    """A migrated request; answers holds the answers given before its connection is set up."""
+    """A migrated request; results holds the results that were reported before its connection is set up."""
 
     request: ClientRequest
     results: list[RequestResult]
