--- a/weldquay/net/attempt_table.py
+++ b/weldquay/net/attempt_table.py
@@ -86,7 +86,7 @@
             api.AttemptEnded(
                 request.number,
                 attempt.number,
-                attempt.worker,
+                attempt.worker_number,
                 outcome,
                 time.monotonic_ns() - attempt.sent_ns,
                 is_finished,
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -132,7 +132,9 @@
         if callback.outcome is None:
             attempt.started_ns = attempt.started_ns or time.monotonic_ns()
             self.enqueue_event(
-                api.AttemptProgress(attempt.request.number, attempt.number, attempt.worker, callback.progress)
+                api.AttemptProgress(
+                    attempt.request.number, attempt.number, attempt.worker_number, callback.progress
+                )
             )
         else:
             self.attempt_ended(attempt, callback.outcome, callback.load_report, callback.result)
--- a/weldquay/net/request_migration.py
+++ b/weldquay/net/request_migration.py
@@ -91,7 +91,7 @@
             self._attempts.remove(attempt)
             self._enqueue_event(
                 api.AttemptEnded(
-                    request.number, attempt.number, attempt.worker, api.Outcome.CANCELLED, 0, True
+                    request.number, attempt.number, attempt.worker_number, api.Outcome.CANCELLED, 0, True
                 )
             )
         self._requests.close(request)
@@ -130,7 +130,7 @@
                 request.received_event(request.deadline_ns - time.monotonic_ns()),
                 request.received_ns,
                 request.attempts_started,
-                last_attempt.worker if last_attempt is not None else 0,
+                last_attempt.worker_number if last_attempt is not None else 0,
                 last_attempt.sent_ns if last_attempt is not None else 0,
                 last_attempt.started_ns if last_attempt is not None else 0,
             )
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -88,7 +88,7 @@
 
     request: ClientRequest
     number: int
-    worker: int
+    worker_number: int
     worker_id: str
     sent_ns: int
     deadline_ns: int
