--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -25,7 +25,7 @@
     first, second, third = (ReadAhead(budget) for _ in range(3))
     assert first.accept(2 * READ_AHEAD_ALLOWANCE_BYTES)
     assert not second.accept(2 * READ_AHEAD_ALLOWANCE_BYTES) and second.size == 0
-    first.reset(0)
+    first.set_size(0)
     assert budget.used_bytes == 0 and third.accept(2 * READ_AHEAD_ALLOWANCE_BYTES)
 
 
@@ -33,7 +33,7 @@
     """After the first dropped bytes all later ones are dropped, since the stream would have a gap."""
     read_ahead = ReadAhead(ReadAheadBudget(10 * MAX_READ_AHEAD_BYTES))
     assert read_ahead.accept(MAX_READ_AHEAD_BYTES) and not read_ahead.accept(1)
-    read_ahead.reset(0)
+    read_ahead.set_size(0)
     assert read_ahead.is_exceeded and not read_ahead.accept(1)
 
 
--- a/weldquay/net/hot_restart.py
+++ b/weldquay/net/hot_restart.py
@@ -88,7 +88,7 @@
 
     def __init__(self, name: str, counters: Counters, delegate: HotRestartDelegate) -> None:
         """Use the socket of the dispatcher with this name."""
-        self.path = state_path(name, ".sock")
+        self.socket_path = state_path(name, ".sock")
         self.counters = counters
         self.delegate = delegate
         self.listening_socket: socket.socket | None = None
@@ -123,11 +123,11 @@
             log.warning("hot restart unavailable, starting without an older process: %s", error)
             return None
         try:
-            sock.connect(str(self.path))
+            sock.connect(str(self.socket_path))
         except OSError as error:
             sock.close()
             if not isinstance(error, FileNotFoundError):
-                log.info("no older process at %s: %s", self.path, error)
+                log.info("no older process at %s: %s", self.socket_path, error)
             return None
         return sock
 
@@ -140,7 +140,7 @@
 
     def listen(self) -> None:
         """Listen for a newer process; a rename replaces the socket of an earlier process atomically."""
-        temporary_path = self.path.with_suffix(f".{os.getpid()}")
+        temporary_path = self.socket_path.with_suffix(f".{os.getpid()}")
         try:
             sock = open_socket()
         except OSError as error:
@@ -150,9 +150,9 @@
             temporary_path.unlink(missing_ok=True)
             sock.bind(str(temporary_path))
             sock.listen(1)
-            temporary_path.replace(self.path)
+            temporary_path.replace(self.socket_path)
         except OSError as error:
-            log.warning("hot restart unavailable, cannot listen at %s: %s", self.path, error)
+            log.warning("hot restart unavailable, cannot listen at %s: %s", self.socket_path, error)
             sock.close()
             return
         self.listening_socket = sock
@@ -177,7 +177,7 @@
         self.send(MigrationEnded())
         await self._wait(self.migration_confirmed, CONFIRMATION_TIMEOUT_S)
 
-    def _answer_request(self, request: ListenerRequest) -> None:
+    def _handle_listener_request(self, request: ListenerRequest) -> None:
         """Offer the listener, or close the link if that is not possible."""
         offer = None
         if request.protocol_version == PROTOCOL_VERSION:
@@ -234,7 +234,7 @@
     def _handle(self, message: HotRestartMessage) -> None:
         match message:
             case ListenerRequest():
-                self._answer_request(message)
+                self._handle_listener_request(message)
             case ListenerOffer():
                 self.listener_offer = message
                 self.offer_received.set()
--- a/weldquay/net/json_stream.py
+++ b/weldquay/net/json_stream.py
@@ -12,8 +12,8 @@
 from weldquay.net.messages import MessageError
 
 MAX_VALUE_BYTES = 4 * 1024 * 1024
-_OPENING = (b"{", b"[")
-_CLOSING = (b"}", b"]")
+_OPENING_BRACKETS = (b"{", b"[")
+_CLOSING_BRACKETS = (b"}", b"]")
 _TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # matches whole strings, to skip the brackets in them
 
 
@@ -43,10 +43,10 @@
 
     def _add_line(self, line: bytearray) -> bytearray | None:
         """Add a line, and return the value that it completes, or None while the value is incomplete."""
-        if not self._depth and (_is_complete(line) or not line.startswith(_OPENING)):
+        if not self._depth and (_is_complete(line) or not line.startswith(_OPENING_BRACKETS)):
             return line
         for token in _TOKENS.findall(line):
-            self._depth += (token in _OPENING) - (token in _CLOSING)
+            self._depth += (token in _OPENING_BRACKETS) - (token in _CLOSING_BRACKETS)
         self._partial_value += line
         if self._depth > 0:
             return None
--- a/weldquay/net/messages/callbacks.py
+++ b/weldquay/net/messages/callbacks.py
@@ -12,7 +12,7 @@
 STARTED = "started"
 RUNNING = "running"
 DONE = "done"
-FAILURES: dict[str, api.Outcome] = {
+FAILURE_OUTCOMES: dict[str, api.Outcome] = {
     "failed": api.Outcome.ERROR,
     "returned": api.Outcome.OVERLOADED,
     "lost": api.Outcome.RESET,
@@ -55,9 +55,9 @@
         return Callback(request_id, worker_id, None)
     if state == RUNNING:
         return Callback(request_id, worker_id, None, progress=_parse_progress(fields.get("share")))
-    if not isinstance(state, str) or state not in FAILURES:
+    if not isinstance(state, str) or state not in FAILURE_OUTCOMES:
         raise MessageError("a call-back's state is unknown")
-    return Callback(request_id, worker_id, FAILURES[state], load_report=load_report)
+    return Callback(request_id, worker_id, FAILURE_OUTCOMES[state], load_report=load_report)
 
 
 def _parse_progress(value: object) -> float:
--- a/weldquay/net/process_link.py
+++ b/weldquay/net/process_link.py
@@ -140,22 +140,22 @@
             # reset before the packets that this process had sent.  So the first reset does not end the
             # link: the packets are read after it.
             if self.was_reset:
-                self._close_lost(error)
+                self._log_and_close(error)
             self.was_reset = True
             return
         except OSError as error:
-            self._close_lost(error)
+            self._log_and_close(error)
             return
         if not encoded:
-            self._close_lost("end of stream")
+            self._log_and_close("end of stream")
             return
         try:
             packet = Packet.decode(encoded, descriptors[0] if descriptors else NO_DESCRIPTOR)
         except ValueError as error:
-            self._close_lost(error)
+            self._log_and_close(error)
             return
         self.on_packet(packet)
 
-    def _close_lost(self, reason: object) -> None:
+    def _log_and_close(self, reason: object) -> None:
         log.info("hot-restart link closed: %s", reason)
         self.close()
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -245,7 +245,7 @@
         parts.server.context.peer_request_ids.clear()
         parts.server.context.migrate_connection = None
         for message in unsent:
-            self._recover(message)
+            self._resume_unsent(message)
         if parts.lifecycle.phase is Phase.DRAINING:
             parts.server.begin_closing()
         elif parts.lifecycle.phase is Phase.MIGRATING:
@@ -254,7 +254,7 @@
             if self.phase_before_migration is Phase.OUT_OF_SERVICE:
                 self.service.take_out_of_service(self.service.out_of_service_since)
 
-    def _recover(self, message: HotRestartMessage) -> None:
+    def _resume_unsent(self, message: HotRestartMessage) -> None:
         """Resume a connection that was not sent, unless this process is stopping; close other descriptors."""
         if not isinstance(message, MigratedConnection | ListenerOffer):
             return
--- a/weldquay/net/read_ahead.py
+++ b/weldquay/net/read_ahead.py
@@ -36,10 +36,10 @@
         ):
             self.is_exceeded = True
         if not self.is_exceeded:
-            self.reset(size)
+            self.set_size(size)
         return not self.is_exceeded
 
-    def reset(self, size: int) -> None:
+    def set_size(self, size: int) -> None:
         """Set the size of the read-ahead, and adjust the shared budget."""
         self.budget.used_bytes += size - self.size
         self.size = size
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -123,7 +123,7 @@
             self.reject(409, "a call with this id is in hand")
             return
         payload = job_payload(request, self.channel.body)
-        self.read_ahead.reset(len(self.channel.unparsed_data))
+        self.read_ahead.set_size(len(self.channel.unparsed_data))
         self.open_request = context.coordinator.submit(
             job_class, metadata, payload, self._respond_with_result
         )
@@ -181,7 +181,7 @@
 
     def disconnect(self) -> None:
         """End the open request, since the connection is lost."""
-        self.read_ahead.reset(0)
+        self.read_ahead.set_size(0)
         if self.accepted is not None:
             self.context.disconnect(self.accepted.request)
         if self.open_request is not None:
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -58,9 +58,9 @@
             if has_moved or endpoint.state is api.WorkerState.GONE:
                 self.connections.close_idle(worker)
         if update.is_complete:
-            self._remove_unlisted({endpoint.id for endpoint in update.endpoints})
+            self._mark_unlisted_as_gone({endpoint.id for endpoint in update.endpoints})
 
-    def _remove_unlisted(self, listed_ids: set[str]) -> None:
+    def _mark_unlisted_as_gone(self, listed_ids: set[str]) -> None:
         """Mark the workers that a complete list does not contain as gone."""
         for worker_id, worker in self.workers.items():
             if worker_id not in listed_ids and worker.endpoint.state is not api.WorkerState.GONE:
