--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -98,7 +98,7 @@
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await worker.tell("c1", state="done", result="late")
                 assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
-                # A callback that matches an attempt at neither process is sent back once.
+                # A callback that matches at neither process is sent back once, after the earlier messages.
                 assert newer.counters.counts["hot_restart_callbacks"] == 1
 
     asyncio.run(scenario())
--- a/weldquay/net/requests.py
+++ b/weldquay/net/requests.py
@@ -84,7 +84,10 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to have a worker execute a request.  Times are in nanoseconds of the monotonic clock."""
+    """One attempt to have a worker execute a request.  It ends exactly once.
+
+    Times are in nanoseconds of the monotonic clock.
+    """
 
     request: ClientRequest
     number: int
