--- a/weldquay/net/request_table.py
+++ b/weldquay/net/request_table.py
@@ -1,4 +1,4 @@
-"""The clients' requests that are open, or have attempts in flight, and their final answers."""
+"""The table of client requests that are open or have attempts in flight, and their results."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from weldquay import interface as api
 from weldquay.net.counters import Counters
 from weldquay.net.event_queue import EventQueue
-from weldquay.net.requests import Answer, ClientRequest, Completed, Failed, Rejected
+from weldquay.net.requests import ClientRequest, Completed, Failed, Rejected, RequestResult
 
 log = logging.getLogger(__name__)
 
-ANSWER_GRACE_NS = 10_000_000  # after its deadline a request without an answer gets one here
+RESULT_GRACE_NS = 10_000_000  # how long after its deadline a request waits for the decision module's result
 MAX_REQUEST_NUMBERS = 2**32
 
-ANSWER_COUNTERS: dict[type[Answer], str] = {
+RESULT_COUNTERS: dict[type[RequestResult], str] = {
     Completed: "requests_completed",
     Rejected: "requests_rejected",
     Failed: "requests_failed",
@@ -24,7 +24,7 @@
 
 
 class RequestTable:
-    """The requests by their numbers, each with a timer that answers it after its deadline."""
+    """The requests by number.  Each has a timer that finishes it if it has no result after its deadline."""
 
     def __init__(self, counters: Counters, events: EventQueue) -> None:
         self._loop = asyncio.get_running_loop()
@@ -34,38 +34,39 @@
         self.by_number: dict[int, ClientRequest] = {}
 
     def __len__(self) -> int:
-        """The number of requests."""
+        """Return the number of requests."""
         return len(self.by_number)
 
     def add(self, request: ClientRequest) -> None:
-        """Give a request its number, and start its deadline timer."""
+        """Assign a number to a request and start its deadline timer."""
         self._last_number = (self._last_number + 1) % MAX_REQUEST_NUMBERS
         request.number = self._last_number
-        # By way of call_soon: after a stall of the loop, a step that answers in time runs first.
+        # The timer uses call_soon so that, after a stall of the event loop, a decision step that is already
+        # scheduled can finish the request first.
         request.deadline_timer = self._loop.call_later(
-            max(0, request.deadline_ns + ANSWER_GRACE_NS - time.monotonic_ns()) / 1e9,
+            max(0, request.deadline_ns + RESULT_GRACE_NS - time.monotonic_ns()) / 1e9,
             self._loop.call_soon,
             self._on_deadline_passed,
             request,
         )
         self.by_number[request.number] = request
 
-    def answer(self, request: ClientRequest | None, answer: Answer) -> None:
-        """Give the final answer; nothing happens if the request has ended already."""
+    def finish(self, request: ClientRequest | None, result: RequestResult) -> None:
+        """Report the result of a request to its client; ignored if the request has already ended."""
         if request is not None and request.is_open:
             self.close(request)
-            self._counters.add(ANSWER_COUNTERS[type(answer)])
-            request.on_answer(answer)
+            self._counters.add(RESULT_COUNTERS[type(result)])
+            request.on_result(result)
 
     def disconnect(self, request: ClientRequest) -> None:
-        """End a request whose client left before the answer."""
+        """End a request whose client disconnected before the result."""
         if request.is_open:
             self._counters.add("clients_disconnected")
             self.close(request)
             self._events.enqueue(api.ClientDisconnected(request.number))
 
     def close(self, request: ClientRequest) -> None:
-        """Mark a request as ended; it stays in the table until its last attempt has ended."""
+        """Mark a request as ended; it remains in the table until its last attempt has ended."""
         request.is_open = False
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
@@ -73,14 +74,14 @@
             del self.by_number[request.number]
 
     def _on_deadline_passed(self, request: ClientRequest) -> None:
-        """Answer a request that the decision module has not answered by its deadline.
+        """Finish a request that the decision module has not finished by its deadline.
 
-        One that no worker can have executed is rejected, so that its client knows that a retry is harmless.
+        A request that no worker can have executed is rejected, which tells the client that a retry is safe.
         """
         if request.is_open:
-            answer: Answer = Failed() if request.may_have_been_executed else Rejected()
-            kind = type(answer).__name__.lower()
-            log.error("request %s had no answer by its deadline: %s", request.id, kind)
+            result: RequestResult = Failed() if request.may_have_been_executed else Rejected()
+            kind = type(result).__name__.lower()
+            log.error("request %s had no result by its deadline: %s", request.id, kind)
             self._counters.add("requests_past_deadline")
-            self.answer(request, answer)
+            self.finish(request, result)
             self._events.enqueue(api.ClientDisconnected(request.number))
