--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -55,12 +55,12 @@
         for worker in dispatcher.table.recently_reported.values()
         if dispatcher.context.now_ns - worker.reported_ns <= LOAD_REPORT_MAX_AGE_NS
         and worker.free_slots is not None
-        and dispatcher.parts.ejection.is_healthy(worker)
+        and dispatcher.components.ejection.is_healthy(worker)
     ]
     not_slow = [
         worker
         for worker in reported
-        if dispatcher.parts.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO
+        if dispatcher.components.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO
     ]
     return not_slow if 2 * len(not_slow) >= len(reported) else reported
 
@@ -71,7 +71,7 @@
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job_class = dispatcher.settings.classes[number % 3]
     job = Job(request, job_class, now_ns, 5, answer_due_ns=now_ns + 5_000_000_000)
-    dispatcher.parts.index_refresh.begin_placement()
+    dispatcher.components.index_refresh.begin_placement()
     check_reported(dispatcher, job)
     check_unreported(dispatcher, job)
     check_warming_and_probed(dispatcher)
@@ -79,26 +79,28 @@
 
 def check_reported(dispatcher: Dispatcher, job: Job) -> None:
     """The workers with a recent report, and those of them that may run the job."""
-    index = dispatcher.parts.index
+    index = dispatcher.components.index
     settings = dispatcher.settings
     workers = usable_workers(dispatcher)
     memory = job.request.memory
     with_room = [
         worker
         for worker in workers
-        if dispatcher.parts.load_estimates.load(worker) + job.request.slots <= 0.5
-        and dispatcher.parts.eligibility.is_eligible(job, worker)
+        if dispatcher.components.load_estimates.load(worker) + job.request.slots <= 0.5
+        and dispatcher.components.eligibility.is_eligible(job, worker)
         and (worker.free_memory is None or worker.free_memory - worker.unreported_memory >= memory)
     ]
     assert index.usable_count == len(workers) and index.all_healthy_reported() == workers
     found = index.reported_candidates(
-        job, lambda worker: dispatcher.parts.eligibility.is_eligible(job, worker)
+        job, lambda worker: dispatcher.components.eligibility.is_eligible(job, worker)
     )
     assert worker_count(found) == len(with_room)
     probes_report = settings.may_probe and settings.reports_in_probes
     for group in found:
         assert all(worker in with_room for worker in group.members)
-        assert all(dispatcher.parts.load_estimates.load(worker) == group.load for worker in group.members)
+        assert all(
+            dispatcher.components.load_estimates.load(worker) == group.load for worker in group.members
+        )
         fresh = {dispatcher.context.now_ns - worker.reported_ns <= 300_000_000 for worker in group.members}
         in_subset = {worker in dispatcher.table.subset for worker in group.members}
         assert not probes_report or (fresh, in_subset) == ({group.is_fresh}, {group.in_subset})
@@ -110,24 +112,24 @@
         worker.entry.worker
         for worker in dispatcher.ready_workers
         if worker.entry.worker not in dispatcher.table.recently_reported
-        and dispatcher.parts.ejection.is_healthy(worker)
+        and dispatcher.components.ejection.is_healthy(worker)
         and not (worker.probe_pending and dispatcher.context.now_ns < worker.next_probe_ns)
-        and dispatcher.parts.load_estimates.load(worker) + job.request.slots <= -0.5
-        and dispatcher.parts.eligibility.is_eligible(job, worker)
+        and dispatcher.components.load_estimates.load(worker) + job.request.slots <= -0.5
+        and dispatcher.components.eligibility.is_eligible(job, worker)
     }
-    found = dispatcher.parts.index.unreported_candidates(
-        job.request, lambda worker: dispatcher.parts.eligibility.is_eligible(job, worker), -0.5
+    found = dispatcher.components.index.unreported_candidates(
+        job.request, lambda worker: dispatcher.components.eligibility.is_eligible(job, worker), -0.5
     )
     assert {worker.entry.worker for group in found for worker in group.members} == unreported
 
 
 def check_warming_and_probed(dispatcher: Dispatcher) -> None:
     """The workers that are warming up, and those with a health check in flight."""
-    index = dispatcher.parts.index
+    index = dispatcher.components.index
     warming = [
         worker
         for worker in dispatcher.ready_workers
-        if dispatcher.parts.slow_start.remaining_ns(worker) < math.inf
+        if dispatcher.components.slow_start.remaining_ns(worker) < math.inf
     ]
     assert index.warming_workers() == warming
     probed = {w.entry.worker for w in dispatcher.table.recently_reported.values() if w.probe_pending}
@@ -158,17 +160,19 @@
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
     dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
-    dispatcher.parts.index_refresh.begin_placement()
+    dispatcher.components.index_refresh.begin_placement()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
-    found = dispatcher.parts.index.reported_candidates(job, lambda _: True)
+    found = dispatcher.components.index.reported_candidates(job, lambda _: True)
     members = [CandidateGroup([worker], group.load) for group in found for worker in group.members]
     assert len(found) < len(members) // 2
     monkeypatch.setattr(candidate_group, "MAX_SINGLE_CANDIDATES", 0)
     drawn = Counter(
-        dispatcher.parts.placement.choose(candidate_group.split_small_groups(found), 60.0).entry.worker
+        dispatcher.components.placement.choose(candidate_group.split_small_groups(found), 60.0).entry.worker
         for _ in range(20_000)
     )
-    rates = [1 / dispatcher.parts.runtimes.relative_runtime(member.first.entry.kind) for member in members]
+    rates = [
+        1 / dispatcher.components.runtimes.relative_runtime(member.first.entry.kind) for member in members
+    ]
     loads = [member.load + round(member.first.estimated_slots) for member in members]
     shares = water_fill(loads, 60.0, [rate * len(rates) / sum(rates) for rate in rates])
     expected = {
@@ -186,7 +190,7 @@
     """After a hundred lists of 40 new workers each, with unanswered health checks, one list remains."""
     script = Script(40, 1, True, seed=2)
     dispatcher = script.dispatcher
-    index = dispatcher.parts.index
+    index = dispatcher.components.index
     groups = index.groups
     for day in range(1, 101):
         entries = tuple(api.WorkerEntry(1000 * day + n, api.WorkerState.READY, start_id=n) for n in range(40))
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -212,7 +212,8 @@
     )
     assert later.dispatcher.snapshots() == drive.dispatcher.snapshots()
     before, after = (
-        driver.dispatcher.parts.load_estimates.load(driver.dispatcher.workers[1]) for driver in (drive, later)
+        driver.dispatcher.components.load_estimates.load(driver.dispatcher.workers[1])
+        for driver in (drive, later)
     )
     assert before == after
 
@@ -252,8 +253,8 @@
     dispatcher = drive.dispatcher
     dispatcher.context.now_ns = drive.now
     ranked = sorted(
-        dispatcher.parts.requests.queued.values(),
-        key=dispatcher.parts.priorities.queue_priority,
+        dispatcher.components.requests.queued.values(),
+        key=dispatcher.components.priorities.queue_priority,
         reverse=True,
     )
     assert [job.request.request_id for job in ranked] == order
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -195,7 +195,7 @@
         workers=2,
     )
     if old:
-        drive.dispatcher.parts.runtimes.slowness[1] = (1.0, 1000)
+        drive.dispatcher.components.runtimes.slowness[1] = (1.0, 1000)
         entries = [api.WorkerEntry(w, api.WorkerState.READY, kind=2 - w) for w in (1, 2)]
         drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries)))
     for worker in drive.worker_ids:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -114,8 +114,8 @@
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sorting 1,400 workers anew for each of 1,400 changes would take seconds."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", counted)
     drive.step(*(changes(range(number, number + 1), GONE) for number in range(1, 701)))
     assert counted.call_count == 1 and len(drive.dispatcher.ready_workers) == 700
     assert {worker.entry.worker for worker in drive.dispatcher.table.subset} <= set(range(701, 1401))
@@ -131,8 +131,8 @@
 ) -> None:
     """An empty line comes every 2 s."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", counted)
     drive.step(api.EndpointListUpdate(kind))
     assert counted.call_count == 0 and len(drive.dispatcher.ready_workers) == 1400
 
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -93,7 +93,7 @@
     async def scenario() -> None:
         async with site(**FIRST) as here:
             program, policy = here.program, here.program.coordinator.dispatcher
-            assert policy.parts.runtimes.mean_runtime_ns() > 400e9
+            assert policy.components.runtimes.mean_runtime_ns() > 400e9
             told = {**program.config.document, "settings": document(**SECOND)["settings"]}
             path.write_text(json.dumps(told))
             program.reloader.requested.set()
@@ -101,12 +101,17 @@
             await until(lambda: policy.settings.dispatcher_count == 20)
             offered = [
                 mean_ns
-                for mean_ns, rules in zip(policy.parts.runtimes.mean_ns, policy.settings.classes, strict=True)
+                for mean_ns, rules in zip(
+                    policy.components.runtimes.mean_ns, policy.settings.classes, strict=True
+                )
                 if rules.is_offered
             ]
-            assert len(offered) == 3 and policy.parts.runtimes.mean_runtime_ns() == sum(offered) / 3
-            parts = policy.parts
-            assert parts.backoff.dispatcher_count == 20 and parts.slow_start.policy.overload_multiple == 4.5
+            assert len(offered) == 3 and policy.components.runtimes.mean_runtime_ns() == sum(offered) / 3
+            components = policy.components
+            assert (
+                components.backoff.dispatcher_count == 20
+                and components.slow_start.policy.overload_multiple == 4.5
+            )
             assert program.discovery.config is program.config
             assert (await here.post("c1", "/lookup")).status == 404
             assert (await here.post("c2", "/print")).body == b"TEXT"
--- a/weldquay/policy/assembly.py
+++ b/weldquay/policy/assembly.py
@@ -1,4 +1,4 @@
-"""Building the parts of a dispatcher, each with the others that it uses."""
+"""Builds the components of a dispatcher and wires them together."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 from weldquay.reservations.scheduler import BackfillScheduler
 
 
-class DispatcherParts:
-    """The parts of one dispatcher. It has no behaviour of its own, and no part has a reference to it.
+class PolicyComponents:
+    """Holds the components of one dispatcher. It has no behaviour, and no component refers to it.
 
     Attributes:
         context: the step.
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the parts, without workers and requests.
+        """Build the components, without workers and requests.
 
         Args:
             settings: the first settings.
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -25,7 +25,7 @@
     WorkerSnapshot,
     WorkerStateRestored,
 )
-from weldquay.policy.assembly import DispatcherParts
+from weldquay.policy.assembly import PolicyComponents
 from weldquay.policy.timers import NOT_SCHEDULED
 from weldquay.state.records import Worker
 
@@ -36,7 +36,7 @@
     It does no I/O and reads no clock. Events about unknown requests, attempts and workers are ignored.
 
     Attributes:
-        parts: the objects that make the decisions.
+        components: the objects that make the decisions.
         context: the step.
         table: the workers and the sets of them.
         scheduler: the reservations.
@@ -54,28 +54,28 @@
             settings: the settings, until a `SettingsChanged` event.
             seed: of the random generator.
         """
-        parts = self.parts = DispatcherParts(settings, seed)
-        self.context = parts.context
-        self.table = parts.table
-        self.scheduler = parts.scheduler
-        self.lease = parts.lease
-        self.workers = parts.table.workers
-        self.jobs = parts.requests.jobs
-        self.attempts = parts.requests.attempts
+        components = self.components = PolicyComponents(settings, seed)
+        self.context = components.context
+        self.table = components.table
+        self.scheduler = components.scheduler
+        self.lease = components.lease
+        self.workers = components.table.workers
+        self.jobs = components.requests.jobs
+        self.attempts = components.requests.attempts
         self.handlers: dict[type, Callable[[Any], object]] = {
-            RequestReceived: parts.open_requests.accept,
-            AttemptEnded: parts.outcomes.apply,
-            AttemptProgress: parts.outcomes.record_progress,
-            ShutdownStarted: parts.open_requests.start_shutdown,
-            ProbeEnded: parts.probe_results.apply,
-            EndpointListUpdate: parts.endpoint_list.apply_update,
-            DiscoveryObservation: parts.endpoint_list.apply_observation,
+            RequestReceived: components.open_requests.accept,
+            AttemptEnded: components.outcomes.apply,
+            AttemptProgress: components.outcomes.record_progress,
+            ShutdownStarted: components.open_requests.start_shutdown,
+            ProbeEnded: components.probe_results.apply,
+            EndpointListUpdate: components.endpoint_list.apply_update,
+            DiscoveryObservation: components.endpoint_list.apply_observation,
             SettingsChanged: self.reconfigure,
-            WorkerBanChanged: parts.endpoint_list.change_ban,
-            WorkerStateRestored: parts.table.restore,
-            RequestMigrated: parts.open_requests.adopt,
-            ResponseStarted: parts.open_requests.begin_response,
-            ClientDisconnected: parts.open_requests.disconnect,
+            WorkerBanChanged: components.endpoint_list.change_ban,
+            WorkerStateRestored: components.table.restore,
+            RequestMigrated: components.open_requests.adopt,
+            ResponseStarted: components.open_requests.begin_response,
+            ClientDisconnected: components.open_requests.disconnect,
         }
 
     @property
@@ -102,7 +102,7 @@
         Raises:
             IndexError: a request names an unknown class.
         """
-        context, endpoint_list, index = self.context, self.parts.endpoint_list, self.parts.index
+        context, endpoint_list, index = self.context, self.components.endpoint_list, self.components.index
         is_first = not context.started_ns
         context.started_ns = context.started_ns or now_ns
         context.now_ns = now_ns
@@ -127,12 +127,12 @@
             settings.dispatcher_count,
             settings.workers_queue_in_order,
         )
-        self.parts.runtimes.configure_classes(
+        self.components.runtimes.configure_classes(
             (rules.latency_objective_ns for rules in settings.classes),
             (rules.is_offered for rules in settings.classes),
         )
-        self.parts.slow_start.reconfigure()
-        self.parts.endpoint_list.reconfigure()
+        self.components.slow_start.reconfigure()
+        self.components.endpoint_list.reconfigure()
 
     def run_due_work(self, may_place: bool) -> None:
         """Do what is due at this time.
@@ -140,17 +140,19 @@
         Args:
             may_place: whether queued requests are placed; False where the step had only progress notes.
         """
-        parts, context, scheduler = self.parts, self.context, self.scheduler
-        queued = parts.requests.queued
-        if parts.endpoint_list.next_poll_ns != NOT_SCHEDULED:
-            parts.endpoint_list.poll_if_due(bool(queued))
-        parts.open_requests.answer_due()
-        if 0 <= parts.periodic_check.next_check_ns <= context.now_ns:
-            parts.periodic_check.run()
+        components, context, scheduler = self.components, self.context, self.scheduler
+        queued = components.requests.queued
+        if components.endpoint_list.next_poll_ns != NOT_SCHEDULED:
+            components.endpoint_list.poll_if_due(bool(queued))
+        components.open_requests.answer_due()
+        if 0 <= components.periodic_check.next_check_ns <= context.now_ns:
+            components.periodic_check.run()
         if scheduler.by_request:
-            scheduler.expire(context.now_ns, lambda number: parts.ejection.is_healthy(self.workers[number]))
+            scheduler.expire(
+                context.now_ns, lambda number: components.ejection.is_healthy(self.workers[number])
+            )
         if queued and may_place:
-            parts.queue.place_queued()
+            components.queue.place_queued()
         if scheduler.results:
             context.actions += [
                 ReservationEnded(
@@ -158,4 +160,4 @@
                 )
                 for result in scheduler.take_results()
             ]
-        parts.periodic_check.schedule()
+        components.periodic_check.schedule()
