--- a/weldquay/candidates/group_key.py
+++ b/weldquay/candidates/group_key.py
@@ -19,8 +19,9 @@
     """What the members of a group have in common.
 
     is_reported: there is a recent load report; load: by that report, 0.0 without one; slots: UNKNOWN_SLOTS
-    where no report has ever come; own_slots: used by own attempts, 0.0 with a report; memory: whole units of
-    free memory, None where unknown.  is_fresh, in_subset: False where health checks return no load report.
+    where no report has ever come; in_flight_slots: used by own attempts, 0.0 with a report; memory: whole
+    units of free memory, None where unknown.  is_fresh, in_subset: False where health checks return no load
+    report.
     """
 
     is_reported: bool
@@ -30,7 +31,7 @@
     zone: int
     load: float
     slots: int
-    own_slots: float
+    in_flight_slots: float
     memory: int | None
 
 
@@ -102,7 +103,7 @@
             zone=worker.entry.zone,
             load=self.load(worker),
             slots=round(worker.estimated_slots),
-            own_slots=0.0,
+            in_flight_slots=0.0,
             memory=_free_memory(worker),
         )
         return key, valid_until_ns
@@ -133,7 +134,7 @@
         zone=worker.entry.zone,
         load=0.0,
         slots=round(worker.estimated_slots) if worker.estimated_slots else UNKNOWN_SLOTS,
-        own_slots=worker.own_slots,
+        in_flight_slots=worker.in_flight_slots,
         memory=None,
     )
 
--- a/weldquay/policy/load.py
+++ b/weldquay/policy/load.py
@@ -32,10 +32,10 @@
         report counts as the mean of its zone; counted as empty it would attract every request.
         """
         slots = worker.estimated_slots if worker.estimated_slots >= 0.5 else self.mean_slots
-        own_load = worker.own_slots - round(slots)
+        own_load = worker.in_flight_slots - round(slots)
         if worker.free_slots is None or self.context.now_ns - worker.reported_ns > LOAD_REPORT_MAX_AGE_NS:
             zone_load = self.mean_zone_load.get(worker.entry.zone, -DEFAULT_SLOTS)
-            return max(own_load, worker.own_slots + zone_load)
+            return max(own_load, worker.in_flight_slots + zone_load)
         return max(own_load, worker.unreported_slots - worker.free_slots)
 
     def record_zone_load(self, zone: int, load: float) -> None:
--- a/weldquay/policy/open_requests.py
+++ b/weldquay/policy/open_requests.py
@@ -110,7 +110,7 @@
             worker = self.table.workers.setdefault(event.worker, unlisted)
             attempt = Attempt(job, job.attempts - 1, worker, event.sent_ns, started_ns=event.started_ns)
             self.requests.add_attempt(attempt)
-            worker.own_slots += request.slots
+            worker.in_flight_slots += request.slots
 
     def begin_response(self, event: ResponseStarted) -> None:
         """Note that the client gets a response: the request has no other attempt from now on."""
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -138,7 +138,7 @@
         unreported_changes: own load changes that the last report may not contain: (time, slots, memory).
         unreported_slots: sum of their slots.
         unreported_memory: sum of their memory.
-        own_slots: slots of own attempts in flight.
+        in_flight_slots: slots of own attempts in flight.
         in_flight: own attempts without an outcome, by request id and attempt number.
         last_response_ns: when one of them last gave a sign of life.
         connection_idle_since_ns: since when an attempt's connection has been idle; 0: none is.
@@ -172,7 +172,7 @@
     unreported_changes: deque[tuple[int, float, float]] = field(default_factory=deque)
     unreported_slots: float = 0.0
     unreported_memory: float = 0.0
-    own_slots: float = 0.0
+    in_flight_slots: float = 0.0
     in_flight: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     last_response_ns: int = 0
     connection_idle_since_ns: int = 0
@@ -253,7 +253,7 @@
             free = self.estimated_slots - report.busy_requests
         if free is None:
             return
-        busy = report.busy_requests if report.busy_requests is not None else self.own_slots
+        busy = report.busy_requests if report.busy_requests is not None else self.in_flight_slots
         self._learn_capacity(free, busy, report.busy_requests is not None)
         queued = report.queued_requests
         is_queue_blocked = in_order and (queued or 0.0) >= 0.5
@@ -294,5 +294,5 @@
         self.unreported_changes.append((now_ns, slots, memory))
         self.unreported_slots += slots
         self.unreported_memory += memory
-        self.own_slots += slots
+        self.in_flight_slots += slots
         self.discard_changes(now_ns - LOAD_REPORT_MAX_AGE_NS)
