--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -70,7 +70,7 @@
     now_ns = dispatcher.context.now_ns
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job_class = dispatcher.settings.classes[number % 3]
-    job = Job(request, job_class, now_ns, 5, answer_due_ns=now_ns + 5_000_000_000)
+    job = Job(request, job_class, now_ns, 5, deadline_ns=now_ns + 5_000_000_000)
     dispatcher.components.index_refresh.begin_placement()
     check_reported(dispatcher, job)
     check_unreported(dispatcher, job)
--- a/weldquay/policy/capacity_reservation.py
+++ b/weldquay/policy/capacity_reservation.py
@@ -72,7 +72,7 @@
         request, rules = job.request, job.class_settings
         run_ns = self.runtime_model.expected_ns(job)
         objective_ns = rules.latency_objective_ns + rules.runtime_allowance * run_ns
-        end_ns = min(job.first_received_ns + objective_ns, job.answer_due_ns, self.context.shutdown_ns)
+        end_ns = min(job.first_received_ns + objective_ns, job.deadline_ns, self.context.shutdown_ns)
         return CapacityRequest(
             request.request_id,
             request.slots,
--- a/weldquay/policy/eligibility.py
+++ b/weldquay/policy/eligibility.py
@@ -51,7 +51,7 @@
         if context.settings.reports_start and worker.has_unstarted_attempt(context.now_ns - START_NOTICE_NS):
             return False
         if request.runtime_hint_ns:
-            time_left_ns = min(job.answer_due_ns, context.shutdown_ns) - context.now_ns
+            time_left_ns = min(job.deadline_ns, context.shutdown_ns) - context.now_ns
             if self.runtime_model.expected_at_worker_ns(job, worker) > time_left_ns:
                 return False
         work_ns = request.slots * self.runtime_model.expected_ns(job)
--- a/weldquay/policy/open_requests.py
+++ b/weldquay/policy/open_requests.py
@@ -89,8 +89,8 @@
         # The answer is due one clock tick before the client's time runs out.
         time_left_ns = request.time_left_ns - settings.clock_resolution_ns
         time_left_ns = int(max(0, min(time_left_ns, context.shutdown_ns - now_ns)))
-        job.answer_due_ns = now_ns + time_left_ns
-        heapq.heappush(self.deadlines, (job.answer_due_ns, request.request_id))
+        job.deadline_ns = now_ns + time_left_ns
+        heapq.heappush(self.deadlines, (job.deadline_ns, request.request_id))
         context.actions.append(SetTimer(time_left_ns, TimerToken.REQUEST_DEADLINE))
         self.probing.add_budget()
 
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -34,7 +34,7 @@
         class_settings: the settings of its class when it was received.
         first_received_ns: when it, or the rejected request that it repeats, was received.
         max_attempts: maximum number of attempts.
-        answer_due_ns: when its final answer is due.
+        deadline_ns: when its final answer is due.
         attempts: attempts sent so far.
         in_flight: attempts without an outcome, by number.
         possibly_executed: the first attempt that a worker may have executed.
@@ -56,7 +56,7 @@
     class_settings: JobClass
     first_received_ns: int
     max_attempts: int
-    answer_due_ns: int = 0
+    deadline_ns: int = 0
     attempts: int = 0
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     possibly_executed: Attempt | None = None
