--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -19,7 +19,7 @@
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.policy import worker_table
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.policy.limits import SLOW_LOG_RATIO
+from weldquay.policy.limits import MAX_SLOWNESS
 from weldquay.policy.water_fill import water_fill
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Attempt, Job, Worker
 
@@ -60,7 +60,7 @@
     not_slow = [
         worker
         for worker in reported
-        if dispatcher.components.runtime_model.worker_slowness(worker) < SLOW_LOG_RATIO
+        if dispatcher.components.runtime_model.worker_slowness(worker) < MAX_SLOWNESS
     ]
     return not_slow if 2 * len(not_slow) >= len(reported) else reported
 
@@ -167,7 +167,9 @@
     assert len(found) < len(members) // 2
     monkeypatch.setattr(candidate_group, "MAX_SINGLE_CANDIDATES", 0)
     drawn = Counter(
-        dispatcher.components.placement.choose(candidate_group.split_small_groups(found), 60.0).entry.worker
+        dispatcher.components.placement.draw_worker(
+            candidate_group.split_small_groups(found), 60.0
+        ).entry.worker
         for _ in range(20_000)
     )
     rates = [
--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -190,7 +190,7 @@
         )  # what a health check before it may have left
         restore_snapshot(worker, message.snapshot)
         assert take_snapshot(worker) == message.snapshot
-        worker.record_change(300_000_000_000, 1.0, 0.0)  # the lists can be appended to
+        worker.record_load_change(300_000_000_000, 1.0, 0.0)  # the lists can be appended to
         worker.slow_start_sends.clear()
 
 
--- a/weldquay/policy/limits.py
+++ b/weldquay/policy/limits.py
@@ -16,7 +16,7 @@
 PROBE_BACKOFF_NS: Final = 1_000_000_000  # pause between probes of one worker, unless it answers earlier
 MAX_BACKOFF_NS: Final = 8_000_000_000  # maximum pause before an ejected or overloaded worker is tried again
 MAX_FAILURE_SCORE: Final = 0.3  # above it only requests that may run twice are sent to the worker
-SLOW_LOG_RATIO: Final = math.log(2.5)  # workers this much slower than their kind get no requests
+MAX_SLOWNESS: Final = math.log(2.5)  # workers this much slower than their kind get no requests
 CANDIDATE_LIMITS: Final = CandidateLimits(
-    FRESH_REPORT_NS, START_NOTICE_NS, RUNTIME_TOLERANCE_NS, SLOW_LOG_RATIO, MAX_FAILURE_SCORE
+    FRESH_REPORT_NS, START_NOTICE_NS, RUNTIME_TOLERANCE_NS, MAX_SLOWNESS, MAX_FAILURE_SCORE
 )
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -58,7 +58,7 @@
             return
         now_ns, worker, request = self.context.now_ns, attempt.worker, attempt.job.request
         rule = OUTCOME_RULES[event.outcome]
-        worker.record_change(now_ns, -request.slots, -request.memory)
+        worker.record_load_change(now_ns, -request.slots, -request.memory)
         if event.report is not None:
             self.load_reports.apply(worker, event.report)
         if rule.is_sign_of_life:
--- a/weldquay/policy/placement.py
+++ b/weldquay/policy/placement.py
@@ -52,7 +52,7 @@
     send_rate: SendRate
     report_interval: ReportIntervalEstimator
 
-    def place(self, job: Job) -> Worker | None:
+    def select_worker(self, job: Job) -> Worker | None:
         """Return a worker for the request; None where none may take it or it waits for probe results."""
         settings = self.context.settings
         groups = self.index.reported_candidates(job, partial(self.eligibility.is_eligible, job))
@@ -74,7 +74,7 @@
             groups = fresh or groups or self.unreported_candidates(job)
         else:
             groups += self.unreported_candidates(job)
-        return self.choose(split_small_groups(groups), arrivals) if groups else None
+        return self.draw_worker(split_small_groups(groups), arrivals) if groups else None
 
     def _arrival_fraction(self, used: list[CandidateGroup], groups: list[CandidateGroup]) -> float:
         """Return the part of all dispatchers' requests that comes to the used candidates.
@@ -98,7 +98,7 @@
             job.request, partial(self.eligibility.is_eligible, job), max_load
         )
 
-    def choose(self, groups: list[CandidateGroup], arrivals: float) -> Worker:
+    def draw_worker(self, groups: list[CandidateGroup], arrivals: float) -> Worker:
         """Draw a worker by the shares of the water-fill.
 
         Args:
--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -77,7 +77,7 @@
             kind = (request.job_class, request.slots)
             is_first_attempt = possibly_executed is None
             is_blocked = is_first_attempt and request.memory >= blocked_memory.get(kind, math.inf)
-            worker = None if is_blocked else self.placement.place(job)
+            worker = None if is_blocked else self.placement.select_worker(job)
             if worker is None and self.scheduler.handles(request.slots):
                 worker = self.reservation.reserve_capacity(job)
             if worker is not None:
--- a/weldquay/policy/sending.py
+++ b/weldquay/policy/sending.py
@@ -57,7 +57,7 @@
         self.requests.add_attempt(Attempt(job, job.attempts, worker, now_ns, idle_ns))
         self.table.reinstated.discard(number)
         self.index.mark_changed(number)
-        worker.record_change(now_ns, request.slots, request.memory)
+        worker.record_load_change(now_ns, request.slots, request.memory)
         work_ns = request.slots * self.runtime_model.expected_ns(job)
         self.scheduler.cancel(now_ns, request.request_id, "placed")
         self.scheduler.record_send(self.priorities.weight_per_work(job), work_ns)
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -225,7 +225,7 @@
         self.failure_score = 0
         self.backoff_until_ns = 0
         self.next_probe_ns = 0
-        self.discard_changes(now_ns + 1)
+        self.discard_load_changes(now_ns + 1)
         self.slow_start_sends.clear()
         self.mark_alive()
 
@@ -264,7 +264,7 @@
         else:
             self.free_slots = float(round(free))
         self.free_memory = report.free_memory
-        self.discard_changes(now_ns - cover_ns)
+        self.discard_load_changes(now_ns - cover_ns)
 
     def _learn_capacity(self, free: float, busy: float, is_busy_reported: bool) -> None:
         """Update the estimated capacity.
@@ -281,7 +281,7 @@
             rate = CAPACITY_DECREASE_RATE if is_busy_reported else ASSUMED_DECREASE_RATE
         self.estimated_slots += rate * (sample - self.estimated_slots)
 
-    def discard_changes(self, before_ns: int) -> None:
+    def discard_load_changes(self, before_ns: int) -> None:
         """Discard own load changes before this time."""
         changes = self.unreported_changes
         while changes and changes[0][0] < before_ns:
@@ -289,10 +289,10 @@
             self.unreported_slots -= slots
             self.unreported_memory -= memory
 
-    def record_change(self, now_ns: int, slots: float, memory: float) -> None:
+    def record_load_change(self, now_ns: int, slots: float, memory: float) -> None:
         """Record an own send (positive) or the end of an attempt (negative)."""
         self.unreported_changes.append((now_ns, slots, memory))
         self.unreported_slots += slots
         self.unreported_memory += memory
         self.in_flight_slots += slots
-        self.discard_changes(now_ns - LOAD_REPORT_MAX_AGE_NS)
+        self.discard_load_changes(now_ns - LOAD_REPORT_MAX_AGE_NS)
