--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -210,7 +210,7 @@
         assert len(groups.calendar.entries) <= 40 * 8 and len(groups.by_key) <= 40
         assert set(groups.probing) <= set(dispatcher.workers)
     idle = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
-    assert len(idle) <= worker_table.MAX_DEPARTED + 40  # of 4,000
+    assert len(idle) <= worker_table.MAX_REMOVED_WORKERS + 40  # of 4,000
     assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -330,8 +330,8 @@
             assert all(len(table) <= 8 for table in known) and coordinator.is_known_worker("old0")
             assert (await here.post()).body == b"TEXT"
 
-    monkeypatch.setattr(worker_table, "MAX_DEPARTED", 2)
-    monkeypatch.setattr(endpoint_list_adapter, "MAX_DEPARTED", 2)
+    monkeypatch.setattr(worker_table, "MAX_REMOVED_WORKERS", 2)
+    monkeypatch.setattr(endpoint_list_adapter, "MAX_REMOVED_WORKERS", 2)
     play(scenario())
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -30,7 +30,7 @@
 from weldquay.net.config import read
 from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
-from weldquay.policy.worker_table import MAX_DEPARTED
+from weldquay.policy.worker_table import MAX_REMOVED_WORKERS
 
 SOCKETS, MEMORY_MB = 576, 88
 SPARE = 2  # descriptors that are never taken
@@ -102,10 +102,12 @@
     drive.step(drive.list_of(api.EndpointListKind.FULL))
     assert len(here.ready_workers) == count and here.workers[7].is_ejected
     drive.step(changes(range(push.worker, push.worker + 1), GONE))
-    for first in range(count + 1, count + 1 + 3 * MAX_DEPARTED, 512):  # ids that change at each restart
+    for first in range(
+        count + 1, count + 1 + 3 * MAX_REMOVED_WORKERS, 512
+    ):  # ids that change at each restart
         drive.step(changes(range(first, first + 512), READY))
         drive.step(changes(range(first, first + 512), GONE))
-        assert len(here.workers) <= count + MAX_DEPARTED
+        assert len(here.workers) <= count + MAX_REMOVED_WORKERS
     assert push.worker in here.workers and {worker.entry.worker for worker in here.ready_workers} == {
         number for number in range(1, count + 1) if number != push.worker
     }
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -18,7 +18,7 @@
 from weldquay.net.messages import Endpoint, EndpointList
 from weldquay.net.requests import WorkerClient
 from weldquay.policy.dispatcher import Dispatcher
-from weldquay.policy.worker_table import MAX_DEPARTED
+from weldquay.policy.worker_table import MAX_REMOVED_WORKERS
 
 log = logging.getLogger(__name__)
 
@@ -139,7 +139,9 @@
 
         Pending events may still use a number, so nothing is dropped while there are any.
         """
-        max_numbers = len(self._dispatcher.workers) + MAX_DEPARTED  # a hot restart adds departed workers
+        max_numbers = (
+            len(self._dispatcher.workers) + MAX_REMOVED_WORKERS
+        )  # a hot restart adds departed workers
         if len(self.worker_numbers) <= max_numbers or self._events.pending:
             return
         for worker_id, number in list(self.worker_numbers.items()):
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -123,7 +123,7 @@
         """Compute the ready workers and the preferred subset anew."""
         self.has_changed = False
         settings, table = self.context.settings, self.table
-        table.discard_departed()
+        table.discard_removed()
         table.list_ready()
         positions = subset(
             [worker.entry.start_id for worker in table.ready_workers],
--- a/weldquay/policy/worker_table.py
+++ b/weldquay/policy/worker_table.py
@@ -8,7 +8,9 @@
 from weldquay.state.records import Worker
 from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
-MAX_DEPARTED = 2048  # workers kept after they left the list, so that a list that comes back loses no state
+MAX_REMOVED_WORKERS = (
+    2048  # workers kept after they left the list, so that a list that comes back loses no state
+)
 
 
 @dataclass(slots=True, eq=False)
@@ -40,14 +42,14 @@
         if (worker := self.workers.get(event.worker)) is not None:
             restore_snapshot(worker, event.snapshot)
 
-    def discard_departed(self) -> None:
+    def discard_removed(self) -> None:
         """Drop the oldest workers that left the list and have no attempt in flight, beyond the limit."""
-        departed = [
+        removed = [
             number
             for number, worker in self.workers.items()
             if worker.entry.state is WorkerState.GONE and not worker.in_flight
         ]
-        for number in departed[:-MAX_DEPARTED]:
+        for number in removed[:-MAX_REMOVED_WORKERS]:
             del self.workers[number]
 
     def list_ready(self) -> None:
