--- a/weldquay/policy/capacity_reservation.py
+++ b/weldquay/policy/capacity_reservation.py
@@ -17,7 +17,7 @@
 from weldquay.reservations.scheduler import BackfillScheduler, CapacityRequest, FleetLoad, WorkerOffer
 from weldquay.state.records import Job, Worker
 
-RESERVATION_INTERVAL_NS = 10_000_000  # least time between two tries for one request
+RESERVATION_RETRY_INTERVAL_NS = 10_000_000  # least time between two tries for one request
 MAX_OFFERS = 16  # least loaded workers that are considered for a reservation
 
 
@@ -50,7 +50,7 @@
     def reserve_capacity(self, job: Job) -> Worker | None:
         """Reserve capacity for a request; return the worker that it is sent to now, if there is one."""
         now_ns = self.context.now_ns
-        if now_ns < job.reservation_tried_ns + RESERVATION_INTERVAL_NS:
+        if now_ns < job.reservation_tried_ns + RESERVATION_RETRY_INTERVAL_NS:
             return None
         job.reservation_tried_ns = now_ns
         workers = self.index.all_healthy_reported()
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -71,11 +71,11 @@
             EndpointListUpdate: components.endpoint_list.apply_update,
             DiscoveryObservation: components.endpoint_list.apply_observation,
             SettingsChanged: self.reconfigure,
-            WorkerBanChanged: components.endpoint_list.change_ban,
+            WorkerBanChanged: components.endpoint_list.apply_ban_change,
             WorkerStateRestored: components.table.restore,
-            RequestMigrated: components.open_requests.adopt,
-            ResponseStarted: components.open_requests.begin_response,
-            ClientDisconnected: components.open_requests.disconnect,
+            RequestMigrated: components.open_requests.resume_migrated,
+            ResponseStarted: components.open_requests.record_response_start,
+            ClientDisconnected: components.open_requests.handle_disconnect,
         }
 
     @property
@@ -144,7 +144,7 @@
         queued = components.requests.queued
         if components.endpoint_list.next_poll_ns != NOT_SCHEDULED:
             components.endpoint_list.poll_if_due(bool(queued))
-        components.open_requests.answer_due()
+        components.open_requests.answer_expired()
         if 0 <= components.periodic_check.next_check_ns <= context.now_ns:
             components.periodic_check.run()
         if scheduler.by_request:
--- a/weldquay/policy/eligibility.py
+++ b/weldquay/policy/eligibility.py
@@ -7,7 +7,7 @@
 
 from weldquay.candidates.index import CandidateIndex
 from weldquay.interface import DeduplicationScope, Idempotency
-from weldquay.policy.limits import MAX_FAILURE_SCORE, START_NOTICE_NS
+from weldquay.policy.limits import MAX_FAILURE_SCORE, START_REPORT_TIMEOUT_NS
 from weldquay.policy.runtime_model import RuntimeModel
 from weldquay.policy.slow_start import SlowStart
 from weldquay.policy.step_context import StepContext
@@ -45,10 +45,12 @@
             return False
         if worker.failure_score > MAX_FAILURE_SCORE and rules.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        if job.possibly_executed is not None and not _is_in_scope(job, worker):
+        if job.possibly_executed is not None and not _is_in_deduplication_scope(job, worker):
             return False
         context = self.context
-        if context.settings.reports_start and worker.has_unstarted_attempt(context.now_ns - START_NOTICE_NS):
+        if context.settings.reports_start and worker.has_unstarted_attempt(
+            context.now_ns - START_REPORT_TIMEOUT_NS
+        ):
             return False
         if request.runtime_hint_ns:
             time_left_ns = min(job.deadline_ns, context.shutdown_ns) - context.now_ns
@@ -71,7 +73,7 @@
         return self.scheduler.admits(self.context.now_ns, backfill_job, worker.entry.worker, timetable)
 
 
-def _is_in_scope(job: Job, worker: Worker) -> bool:
+def _is_in_deduplication_scope(job: Job, worker: Worker) -> bool:
     """Return whether the worker drops a repeat of the attempt that may have been executed."""
     rules, attempt = job.class_settings, job.possibly_executed
     if attempt is None or rules.idempotency is not Idempotency.IDEMPOTENT_BY_KEY:
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -124,7 +124,7 @@
         self.has_changed = False
         settings, table = self.context.settings, self.table
         table.discard_removed()
-        table.list_ready()
+        table.update_ready_workers()
         positions = subset(
             [worker.entry.start_id for worker in table.ready_workers],
             settings.dispatcher_index,
@@ -132,7 +132,7 @@
         )
         table.subset = [table.ready_workers[position] for position in positions]
 
-    def change_ban(self, event: WorkerBanChanged) -> None:
+    def apply_ban_change(self, event: WorkerBanChanged) -> None:
         """Ban a worker, whatever the list says, or lift its ban.
 
         A worker whose ban is lifted may have been restarted: it warms up, and it is probed and used soon.
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -8,7 +8,7 @@
 from weldquay.candidates.index import CandidateIndex
 from weldquay.estimators.report_interval import ReportIntervalEstimator
 from weldquay.interface import LoadReport
-from weldquay.policy.limits import REPORT_COVER_NS
+from weldquay.policy.limits import MAX_REPORT_LAG_NS
 from weldquay.policy.load import LoadEstimates
 from weldquay.policy.runtime_model import RuntimeModel
 from weldquay.policy.slow_start import SlowStart
@@ -25,7 +25,7 @@
         context: the step.
         table: workers that reported recently are noted here.
         index: the candidates.
-        interval: learns how often workers refresh their reports.
+        report_interval: learns how often workers refresh their reports.
         load_estimates: means of loads and capacities.
         runtime_model: slowness of workers, and the usual service time by machine kind.
         slow_start: which workers are warming up.
@@ -34,7 +34,7 @@
     context: StepContext
     table: WorkerTable
     index: CandidateIndex
-    interval: ReportIntervalEstimator
+    report_interval: ReportIntervalEstimator
     load_estimates: LoadEstimates
     runtime_model: RuntimeModel
     slow_start: SlowStart
@@ -45,12 +45,12 @@
         One with the same figures as the last only renews its time: attempts sent since stay counted.
         """
         now_ns = self.context.now_ns
-        gap_ns, is_new = now_ns - worker.reported_ns, report != worker.report
+        since_last_report_ns, is_new = now_ns - worker.reported_ns, report != worker.report
         if worker.report is not None:
-            self.interval.learn(gap_ns, is_new)
+            self.report_interval.learn(since_last_report_ns, is_new)
         worker.reported_ns = now_ns
         if is_new:
-            self._apply_new(worker, report, gap_ns)
+            self._apply_new(worker, report, since_last_report_ns)
         number = worker.entry.worker
         self.table.recently_reported.pop(number, None)
         self.table.recently_reported[number] = worker
@@ -59,11 +59,11 @@
             self.load_estimates.record_zone_load(worker.entry.zone, -worker.free_slots)
             self.load_estimates.record_capacity(worker.estimated_slots)
 
-    def _apply_new(self, worker: Worker, report: LoadReport, gap_ns: int) -> None:
+    def _apply_new(self, worker: Worker, report: LoadReport, since_last_report_ns: int) -> None:
         now_ns, settings = self.context.now_ns, self.context.settings
         worker.report = report
-        cover_ns = REPORT_COVER_NS + min(gap_ns, int(self.interval.ns)) // 2
-        worker.apply_load_report(now_ns, report, cover_ns, settings.workers_queue_in_order)
+        report_lag_ns = MAX_REPORT_LAG_NS + min(since_last_report_ns, int(self.report_interval.ns)) // 2
+        worker.apply_load_report(now_ns, report, report_lag_ns, settings.workers_queue_in_order)
         if report.service_ms is None or self.slow_start.remaining_ns(worker) < math.inf:
             return  # the service time of a warming worker does not show how fast it is
         slowness = self.runtime_model.worker_slowness(worker)
--- a/weldquay/policy/open_requests.py
+++ b/weldquay/policy/open_requests.py
@@ -30,7 +30,7 @@
 from weldquay.reservations.scheduler import BackfillScheduler
 from weldquay.state.records import Attempt, Job, Worker
 
-MAX_REJECTED = 4096  # rejected requests that are recognised when the client sends them again
+MAX_REMEMBERED_REJECTIONS = 4096  # rejected requests that are recognised when the client sends them again
 Fingerprint = tuple[int, int, int | None, float, float]
 
 
@@ -58,7 +58,7 @@
         report_interval: the mean of retry delays that clients are given.
         probing: its budget grows with each request.
         deadlines: heap of (time by which an answer is due, request id).
-        rejected_since: when a rejected request was first received, by fingerprint, oldest rejection first.
+        rejected_first_received_ns: when a rejected request was first received, by fingerprint, oldest first.
     """
 
     context: StepContext
@@ -70,7 +70,7 @@
     report_interval: ReportIntervalEstimator
     probing: Probing
     deadlines: list[tuple[int, int]] = field(default_factory=list)
-    rejected_since: dict[Fingerprint, int] = field(default_factory=dict)
+    rejected_first_received_ns: dict[Fingerprint, int] = field(default_factory=dict)
 
     def accept(self, request: RequestReceived) -> None:
         """Queue a request; a repeat of a rejected one is as old as that.
@@ -82,7 +82,7 @@
         now_ns, settings = context.now_ns, context.settings
         first_received_ns = now_ns
         if fingerprint := request_fingerprint(request):
-            first_received_ns = self.rejected_since.pop(fingerprint, now_ns)
+            first_received_ns = self.rejected_first_received_ns.pop(fingerprint, now_ns)
         job = Job(request, settings.classes[request.job_class], first_received_ns, settings.max_attempts)
         self.requests.jobs[request.request_id] = self.requests.queued[request.request_id] = job
         self.runtime_model.estimator.record_request(request.slots * self.runtime_model.expected_ns(job))
@@ -94,7 +94,7 @@
         context.actions.append(SetTimer(time_left_ns, TimerToken.REQUEST_DEADLINE))
         self.probing.add_budget()
 
-    def adopt(self, event: RequestMigrated) -> None:
+    def resume_migrated(self, event: RequestMigrated) -> None:
         """Continue a request of an earlier process, with the attempt that may be in flight.
 
         The load of that attempt is part of the restored worker state.
@@ -112,12 +112,12 @@
             self.requests.add_attempt(attempt)
             worker.in_flight_slots += request.slots
 
-    def begin_response(self, event: ResponseStarted) -> None:
+    def record_response_start(self, event: ResponseStarted) -> None:
         """Note that the client gets a response: the request has no other attempt from now on."""
         if event.request_id in self.requests.jobs:
-            self.requests.jobs[event.request_id].streaming = True
+            self.requests.jobs[event.request_id].response_started = True
 
-    def disconnect(self, event: ClientDisconnected) -> None:
+    def handle_disconnect(self, event: ClientDisconnected) -> None:
         """Drop a request whose client has left."""
         self.finish(event.request_id)
 
@@ -130,35 +130,35 @@
             for attempt in job.in_flight.values():
                 self.retries.cancel(attempt)
 
-    def answer(self, job: Job) -> None:
+    def give_final_answer(self, job: Job) -> None:
         """Give the final answer to a request that was not served.
 
         It is rejected, with a delay after which workers will have reported anew, where a repeat by the client
         does no harm; otherwise it fails.
         """
         request = job.request
-        may_repeat = not job.unprocessable and (
+        may_client_retry = not job.unprocessable and (
             job.class_settings.idempotency is Idempotency.IDEMPOTENT
             or not (job.possibly_executed or job.in_flight)
         )
         self.finish(request.request_id)
         if (fingerprint := request_fingerprint(request)) is not None:
-            self.rejected_since[fingerprint] = job.first_received_ns
-        if len(self.rejected_since) > MAX_REJECTED:
-            del self.rejected_since[next(iter(self.rejected_since))]
+            self.rejected_first_received_ns[fingerprint] = job.first_received_ns
+        if len(self.rejected_first_received_ns) > MAX_REMEMBERED_REJECTIONS:
+            del self.rejected_first_received_ns[next(iter(self.rejected_first_received_ns))]
         delay_ns = jittered_delay_ns(self.context.random, self.report_interval.ns)
         delay_ns = min(delay_ns, self.context.settings.max_retry_after_ns)
         self.context.actions.append(
-            Reject(request.request_id, delay_ns) if may_repeat else Fail(request.request_id)
+            Reject(request.request_id, delay_ns) if may_client_retry else Fail(request.request_id)
         )
 
-    def answer_due(self) -> None:
+    def answer_expired(self) -> None:
         """Answer the requests whose time has run out, but for those whose response has started."""
         now_ns, deadlines = self.context.now_ns, self.deadlines
         while deadlines and deadlines[0][0] <= now_ns:
             job = self.requests.jobs.get(heapq.heappop(deadlines)[1])
-            if job is not None and not job.streaming:
-                self.answer(job)
+            if job is not None and not job.response_started:
+                self.give_final_answer(job)
 
     def start_shutdown(self, event: ShutdownStarted) -> None:
         """Answer all requests by the end of the dispatcher."""
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -61,17 +61,17 @@
         worker.record_load_change(now_ns, -request.slots, -request.memory)
         if event.report is not None:
             self.load_reports.apply(worker, event.report)
-        if rule.is_sign_of_life:
-            self.ejection.record_sign_of_life(worker)
+        if rule.proves_liveness:
+            self.ejection.record_liveness(worker)
         worker.connection_idle_since_ns = now_ns if rule.is_connection_reusable else 0
-        if rule.learn is not None:
-            rule.learn(self, event, attempt)
+        if rule.handler is not None:
+            rule.handler(self, event, attempt)
         if event.request_finished or rule.finishes_request:
             self.open_requests.finish(event.request_id)
         elif event.request_id in self.requests.jobs:
-            self._continue(attempt.job, attempt, event.outcome)
+            self._retry_or_answer(attempt.job, attempt, event.outcome)
 
-    def _continue(self, job: Job, attempt: Attempt, outcome: Outcome) -> None:
+    def _retry_or_answer(self, job: Job, attempt: Attempt, outcome: Outcome) -> None:
         """Queue the request again where it may have a further attempt, else give its final answer."""
         if not outcome.never_executed and job.possibly_executed is None:
             job.possibly_executed = attempt
@@ -83,7 +83,7 @@
         if (was_not_executed and has_attempts_left) or self.retries.may_retry(job, attempt):
             self.requests.queued[job.request.request_id] = job
         else:
-            self.open_requests.answer(job)
+            self.open_requests.give_final_answer(job)
 
     def record_progress(self, event: AttemptProgress) -> None:
         """Record a sign of life of a running attempt, and its start."""
@@ -91,18 +91,18 @@
         if attempt is not None:
             if event.progress is None:
                 attempt.started_ns = self.context.now_ns
-            self.ejection.record_sign_of_life(attempt.worker)
+            self.ejection.record_liveness(attempt.worker)
 
-    def learn_success(self, event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_success(self, event: AttemptEnded, attempt: Attempt) -> None:
         """Decay the worker's failure score and learn the running time."""
         attempt.worker.failure_score *= FAILURE_SCORE_DECAY
         self.runtime_model.record_success(attempt, event.latency_ns)
 
-    def learn_error(self, _event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_error(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Raise the worker's failure score."""
         self.ejection.record_error(attempt.worker)
 
-    def learn_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Pause sends to the worker, and from the second overload on the request too.
 
         The pause of a worker doubles, as its reports may show free slots that it does not give.
@@ -114,11 +114,11 @@
         job.retry_not_before_ns = self.context.now_ns + FRESH_REPORT_NS * ((1 << doublings) - 1)
         self.ejection.record_overload(attempt.worker)
 
-    def learn_connect_failure(self, _event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_connect_failure(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Eject the worker."""
         self.ejection.eject(attempt.worker)
 
-    def learn_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
         """Learn how long an idle connection may be reused."""
         self.idle_timeout.record_reset(
             self.context.now_ns,
@@ -133,32 +133,32 @@
     """What an outcome means. Whether a worker began the request is `Outcome.never_executed`.
 
     Attributes:
-        is_sign_of_life: the worker has answered, so an ejection ends.
+        proves_liveness: the worker has answered, so an ejection ends.
         is_connection_reusable: the attempt leaves an idle connection to the worker.
         finishes_request: the client has its answer.
-        learn: what is learned from the outcome; None: nothing.
+        handler: what is learned from the outcome; None: nothing.
     """
 
-    is_sign_of_life: bool = False
+    proves_liveness: bool = False
     is_connection_reusable: bool = False
     finishes_request: bool = False
-    learn: Callable[[AttemptOutcomes, AttemptEnded, Attempt], None] | None = None
+    handler: Callable[[AttemptOutcomes, AttemptEnded, Attempt], None] | None = None
 
 
 OUTCOME_RULES: Final[dict[Outcome, OutcomeRule]] = {
     Outcome.OK: OutcomeRule(
-        is_sign_of_life=True,
+        proves_liveness=True,
         is_connection_reusable=True,
         finishes_request=True,
-        learn=AttemptOutcomes.learn_success,
+        handler=AttemptOutcomes.apply_success,
     ),
     Outcome.ERROR: OutcomeRule(
-        is_sign_of_life=True, is_connection_reusable=True, learn=AttemptOutcomes.learn_error
+        proves_liveness=True, is_connection_reusable=True, handler=AttemptOutcomes.apply_error
     ),
-    Outcome.UNPROCESSABLE: OutcomeRule(is_sign_of_life=True, is_connection_reusable=True),
-    Outcome.OVERLOADED: OutcomeRule(is_connection_reusable=True, learn=AttemptOutcomes.learn_overload),
-    Outcome.CONNECT_FAILED: OutcomeRule(learn=AttemptOutcomes.learn_connect_failure),
-    Outcome.RESET: OutcomeRule(learn=AttemptOutcomes.learn_reset),
+    Outcome.UNPROCESSABLE: OutcomeRule(proves_liveness=True, is_connection_reusable=True),
+    Outcome.OVERLOADED: OutcomeRule(is_connection_reusable=True, handler=AttemptOutcomes.apply_overload),
+    Outcome.CONNECT_FAILED: OutcomeRule(handler=AttemptOutcomes.apply_connect_failure),
+    Outcome.RESET: OutcomeRule(handler=AttemptOutcomes.apply_reset),
     Outcome.TIMEOUT: OutcomeRule(),
     Outcome.CANCELLED: OutcomeRule(),
     Outcome.ABORTED_BEFORE_SEND: OutcomeRule(),
--- a/weldquay/policy/outlier_ejection.py
+++ b/weldquay/policy/outlier_ejection.py
@@ -14,8 +14,8 @@
 from weldquay.state.records import INITIAL_TRIAL_BACKOFF_NS, SECOND_NS, Attempt, Worker
 
 FAILURE_SCORE_DECAY = 0.5  # factor on a worker's failure score at each success
-MAX_MISSED_NOTES = 2.2  # progress intervals without a sign of life after which a worker counts as silent
-MIN_SILENCE_NS = SECOND_NS  # the least silence that counts, where progress intervals are shorter
+MAX_MISSED_PROGRESS_INTERVALS = 2.2  # intervals without a sign of life that eject a worker
+MIN_UNRESPONSIVE_NS = SECOND_NS  # the least silence that counts, where progress intervals are shorter
 MAX_BACKOFF_DOUBLINGS = 8
 
 
@@ -49,11 +49,11 @@
             return True
         return not self.context.settings.may_probe and now_ns >= worker.next_trial_ns
 
-    def is_silent(self, worker: Worker) -> bool:
+    def is_unresponsive(self, worker: Worker) -> bool:
         """Return whether own attempts are in flight and the worker has missed its progress notes."""
         interval_ns = self.context.settings.progress_interval_ns
-        max_silence_ns = max(MIN_SILENCE_NS, MAX_MISSED_NOTES * interval_ns)
-        return interval_ns > 0 and worker.silence_ns(self.context.now_ns) > max_silence_ns
+        max_unresponsive_ns = max(MIN_UNRESPONSIVE_NS, MAX_MISSED_PROGRESS_INTERVALS * interval_ns)
+        return interval_ns > 0 and worker.unresponsive_ns(self.context.now_ns) > max_unresponsive_ns
 
     def eject(self, worker: Worker) -> None:
         """Eject the worker until a sign of life or a trial, and cancel its retryable attempts.
@@ -68,16 +68,16 @@
             worker.trial_backoff_ns = min(MAX_BACKOFF_NS, worker.trial_backoff_ns * 2)
             self.retries.cancel_retryable(worker)
 
-    def eject_silent(self, attempts: Iterable[Attempt]) -> None:
+    def eject_unresponsive(self, attempts: Iterable[Attempt]) -> None:
         """Eject the workers of these attempts that are silent."""
         for attempt in attempts:
-            if not attempt.worker.is_ejected and self.is_silent(attempt.worker):
+            if not attempt.worker.is_ejected and self.is_unresponsive(attempt.worker):
                 self.eject(attempt.worker)
 
-    def record_sign_of_life(self, worker: Worker) -> None:
+    def record_liveness(self, worker: Worker) -> None:
         """End the ejection of a worker that has given a sign of life on an attempt."""
         worker.last_response_ns = self.context.now_ns
-        worker.mark_alive()
+        worker.clear_ejection()
 
     def record_overload(self, worker: Worker) -> None:
         """Pause sends to a worker that rejected an attempt; the pause doubles with rejections in a row."""
--- a/weldquay/policy/periodic_check.py
+++ b/weldquay/policy/periodic_check.py
@@ -10,7 +10,7 @@
 from weldquay.policy.step_context import StepContext
 from weldquay.policy.timers import NOT_SCHEDULED, TimerToken
 
-QUEUE_INTERVAL_NS = 100_000_000  # queued requests are placed again this often: below a report interval
+PLACEMENT_INTERVAL_NS = 100_000_000  # queued requests are placed again this often: below a report interval
 HEALTH_CHECK_INTERVAL_NS = 250_000_000  # attempts are checked this often: well below the silence that ejects
 
 
@@ -22,28 +22,28 @@
         context: the step.
         requests: the queue and the attempts in flight.
         ejection: ejects workers.
-        checked_ns: when workers were last checked.
+        last_checked_ns: when workers were last checked.
         next_check_ns: when the timer that is set is due; `NOT_SCHEDULED` while none is.
     """
 
     context: StepContext
     requests: RequestTable
     ejection: OutlierEjection
-    checked_ns: int = 0
+    last_checked_ns: int = 0
     next_check_ns: int = NOT_SCHEDULED
 
     def run(self) -> None:
         """Eject the workers of attempts that have been silent for too long; the timer is due."""
         now_ns = self.context.now_ns
         self.next_check_ns = NOT_SCHEDULED
-        if now_ns - self.checked_ns >= HEALTH_CHECK_INTERVAL_NS:
-            self.checked_ns = now_ns
-            self.ejection.eject_silent(list(self.requests.attempts.values()))
+        if now_ns - self.last_checked_ns >= HEALTH_CHECK_INTERVAL_NS:
+            self.last_checked_ns = now_ns
+            self.ejection.eject_unresponsive(list(self.requests.attempts.values()))
 
     def schedule(self) -> None:
         """Set the timer of the next check, where one is needed and none is set that is due as early."""
         now_ns, requests = self.context.now_ns, self.requests
-        interval_ns = QUEUE_INTERVAL_NS if requests.queued else HEALTH_CHECK_INTERVAL_NS
+        interval_ns = PLACEMENT_INTERVAL_NS if requests.queued else HEALTH_CHECK_INTERVAL_NS
         is_set = now_ns < self.next_check_ns <= now_ns + interval_ns
         if (requests.queued or requests.attempts) and not is_set:
             self.next_check_ns = now_ns + interval_ns
--- a/weldquay/policy/priorities.py
+++ b/weldquay/policy/priorities.py
@@ -9,7 +9,7 @@
 from weldquay.policy.step_context import StepContext
 from weldquay.state.records import Job
 
-FREE_WAIT_FRACTION = 0.5  # of the latency objective: a request may wait so long without losing priority
+PRIORITY_GRACE_FRACTION = 0.5  # of the latency objective: a request may wait so long without losing priority
 
 
 @dataclass(slots=True, eq=False)
@@ -54,7 +54,7 @@
         weight, latest_start_ns = self.weight_per_work(job), self.latest_start_ns(job)
         has_hint = job.request.runtime_hint_ns
         now_ns, objective_ns = self.context.now_ns, job.class_settings.latency_objective_ns
-        excess_wait_ns = now_ns - job.first_received_ns - FREE_WAIT_FRACTION * objective_ns
+        excess_wait_ns = now_ns - job.first_received_ns - PRIORITY_GRACE_FRACTION * objective_ns
         job.latest_start_ns = latest_start_ns
         job.priority_valid_until_ns = math.inf
         if now_ns > latest_start_ns:
--- a/weldquay/policy/probe_results.py
+++ b/weldquay/policy/probe_results.py
@@ -52,7 +52,7 @@
 
     def _apply_success(self, worker: Worker, event: ProbeEnded) -> None:
         worker.consecutive_probe_failures = 0
-        if worker.is_ejected and not self.ejection.is_silent(worker):
+        if worker.is_ejected and not self.ejection.is_unresponsive(worker):
             worker.is_ejected = False
             worker.trial_backoff_ns = INITIAL_TRIAL_BACKOFF_NS
         if event.report is not None:
--- a/weldquay/policy/probing.py
+++ b/weldquay/policy/probing.py
@@ -57,7 +57,7 @@
                 return True
             if job.probe_rounds > 1 and since_ns < FRESH_REPORT_NS:
                 return False
-        workers = self._select(job)
+        workers = self._select_workers(job)
         for worker in workers:
             worker.probe_pending = True
             worker.next_probe_ns = now_ns + PROBE_BACKOFF_NS
@@ -73,7 +73,7 @@
             self.context.actions.append(SetTimer(PROBE_WAIT_NS, TimerToken.PROBE_WAIT))
         return bool(workers)
 
-    def _select(self, job: Job) -> list[Worker]:
+    def _select_workers(self, job: Job) -> list[Worker]:
         """Return the workers to probe: those that are warming up first, then a random sample."""
         now_ns, is_eligible = self.context.now_ns, self.eligibility.is_eligible
         probe_count = int(min(MAX_PROBES, self.budget))
--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -70,7 +70,7 @@
             if is_too_late or (
                 possibly_executed is not None and not self.retries.may_retry(job, possibly_executed)
             ):
-                self.open_requests.answer(job)
+                self.open_requests.give_final_answer(job)
                 continue
             if is_list_expired or now_ns < job.retry_not_before_ns:
                 continue
--- a/weldquay/policy/retries.py
+++ b/weldquay/policy/retries.py
@@ -25,7 +25,7 @@
 
     def may_retry(self, job: Job, attempt: Attempt) -> bool:
         """Return whether the request may be sent again though the attempt may have been executed."""
-        if job.attempts >= job.max_attempts or job.streaming or job.unprocessable:
+        if job.attempts >= job.max_attempts or job.response_started or job.unprocessable:
             return False
         return self.context.now_ns < self.retry_deadline_ns(job, attempt)
 
@@ -43,7 +43,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt, once, where the settings allow it and no response has started."""
-        if self.context.settings.may_cancel and not attempt.cancelled and not attempt.job.streaming:
+        if self.context.settings.may_cancel and not attempt.cancelled and not attempt.job.response_started:
             attempt.cancelled = True
             self.context.actions.append(Cancel(attempt.job.request.request_id, attempt.number))
 
--- a/weldquay/policy/water_fill.py
+++ b/weldquay/policy/water_fill.py
@@ -34,18 +34,18 @@
     arrivals = max(arrivals, MIN_ARRIVALS)
     rates = rates or [1.0] * len(loads)
     counts = counts or [1] * len(loads)
-    heights = [load / rate for load, rate in zip(loads, rates, strict=True)]
-    order = sorted(range(len(loads)), key=lambda index: (heights[index], index))
+    relative_loads = [load / rate for load, rate in zip(loads, rates, strict=True)]
+    order = sorted(range(len(loads)), key=lambda index: (relative_loads[index], index))
     load_sum = rate_sum = level = 0.0
-    filled = 0
+    filled_count = 0
     for index in order:
         load_sum += loads[index] * counts[index]
         rate_sum += rates[index] * counts[index]
         level = (load_sum / 2 + arrivals - 1) / rate_sum
-        filled += 1
-        if filled < len(order) and level < heights[order[filled]] / 2:
+        filled_count += 1
+        if filled_count < len(order) and level < relative_loads[order[filled_count]] / 2:
             break
     shares = [0.0] * len(loads)
-    for index in order[:filled]:
+    for index in order[:filled_count]:
         shares[index] = max(0.0, (level * rates[index] - loads[index] / 2) / (arrivals - 1))
     return shares
--- a/weldquay/policy/worker_table.py
+++ b/weldquay/policy/worker_table.py
@@ -8,9 +8,7 @@
 from weldquay.state.records import Worker
 from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
-MAX_REMOVED_WORKERS = (
-    2048  # workers kept after they left the list, so that a list that comes back loses no state
-)
+MAX_REMOVED_WORKERS = 2048  # workers kept after they left the list, in case it lists them again
 
 
 @dataclass(slots=True, eq=False)
@@ -52,7 +50,7 @@
         for number in removed[:-MAX_REMOVED_WORKERS]:
             del self.workers[number]
 
-    def list_ready(self) -> None:
+    def update_ready_workers(self) -> None:
         """Compute `ready_workers` anew."""
         self.ready_workers = [
             worker
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -22,7 +22,7 @@
 INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # first pause before an ejected worker is tried again; it doubles
 CAPACITY_INCREASE_RATE = 0.3  # weight of a sample above the estimated capacity
 CAPACITY_DECREASE_RATE = 0.1  # weight of a sample below it, where the worker reports its busy requests
-ASSUMED_DECREASE_RATE = 0.002  # the same where it does not: requests of other dispatchers lower the sample
+UNREPORTED_BUSY_DECREASE_RATE = 0.002  # the same where it does not: others lower the sample
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +38,7 @@
         attempts: attempts sent so far.
         in_flight: attempts without an outcome, by number.
         possibly_executed: the first attempt that a worker may have executed.
-        streaming: a response has started.
+        response_started: a response has started.
         unprocessable: a worker could not process it, so no other worker could.
         overload_count: attempts that were rejected as overloaded; from the second on retries back off.
         retry_not_before_ns: no attempt before this time.
@@ -60,7 +60,7 @@
     attempts: int = 0
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     possibly_executed: Attempt | None = None
-    streaming: bool = False
+    response_started: bool = False
     unprocessable: bool = False
     overload_count: int = 0
     retry_not_before_ns: int = 0
@@ -207,7 +207,7 @@
             [not attempt.started_ns and attempt.sent_ns < before_ns for attempt in self.in_flight.values()]
         )
 
-    def silence_ns(self, now_ns: int) -> int:
+    def unresponsive_ns(self, now_ns: int) -> int:
         """Return how long own attempts have been in flight without a sign of life; 0 where none is."""
         sent_times = [attempt.sent_ns for attempt in self.in_flight.values() if not attempt.cancelled]
         return now_ns - max(self.last_response_ns, min(sent_times)) if sent_times else 0
@@ -227,9 +227,9 @@
         self.next_probe_ns = 0
         self.discard_load_changes(now_ns + 1)
         self.slow_start_sends.clear()
-        self.mark_alive()
+        self.clear_ejection()
 
-    def mark_alive(self) -> None:
+    def clear_ejection(self) -> None:
         """End its ejection, as it has given a sign of life."""
         self.is_ejected = False
         self.consecutive_probe_failures = 0
@@ -237,7 +237,7 @@
         self.consecutive_rejections = 0
 
     def apply_load_report(
-        self, now_ns: int, report: LoadReport, cover_ns: int, in_order: bool = False
+        self, now_ns: int, report: LoadReport, report_lag_ns: int, queues_in_order: bool = False
     ) -> None:
         """Apply a load report with new figures.
 
@@ -245,8 +245,8 @@
             now_ns: time of the step.
             report: the report. Without free slots, and without busy requests or a known capacity, it changes
                 nothing.
-            cover_ns: own load changes of this last time remain, as the report may not contain them.
-            in_order: the worker serves its queue in order, so that free slots behind it cannot be used.
+            report_lag_ns: own load changes of this last time remain, as the report may not contain them.
+            queues_in_order: the worker serves its queue in order, so free slots behind it are unusable.
         """
         free = report.free_slots
         if free is None and report.busy_requests is not None and self.estimated_slots:
@@ -254,9 +254,9 @@
         if free is None:
             return
         busy = report.busy_requests if report.busy_requests is not None else self.in_flight_slots
-        self._learn_capacity(free, busy, report.busy_requests is not None)
+        self._update_estimated_slots(free, busy, report.busy_requests is not None)
         queued = report.queued_requests
-        is_queue_blocked = in_order and (queued or 0.0) >= 0.5
+        is_queue_blocked = queues_in_order and (queued or 0.0) >= 0.5
         if free < 0.5 or is_queue_blocked:
             if queued is None:
                 queued = max(0.0, busy - max(self.estimated_slots, 1.0))
@@ -264,9 +264,9 @@
         else:
             self.free_slots = float(round(free))
         self.free_memory = report.free_memory
-        self.discard_load_changes(now_ns - cover_ns)
+        self.discard_load_changes(now_ns - report_lag_ns)
 
-    def _learn_capacity(self, free: float, busy: float, is_busy_reported: bool) -> None:
+    def _update_estimated_slots(self, free: float, busy: float, is_busy_reported: bool) -> None:
         """Update the estimated capacity.
 
         Requests of a full worker may be in its queue, so they count up to the estimate only.
@@ -278,7 +278,7 @@
         if sample > self.estimated_slots:
             rate = CAPACITY_INCREASE_RATE
         else:
-            rate = CAPACITY_DECREASE_RATE if is_busy_reported else ASSUMED_DECREASE_RATE
+            rate = CAPACITY_DECREASE_RATE if is_busy_reported else UNREPORTED_BUSY_DECREASE_RATE
         self.estimated_slots += rate * (sample - self.estimated_slots)
 
     def discard_load_changes(self, before_ns: int) -> None:
