--- a/weldquay/policy/assembly.py
+++ b/weldquay/policy/assembly.py
@@ -46,17 +46,17 @@
     """Holds the components of one dispatcher. It has no behaviour, and no component refers to it.
 
     Attributes:
-        context: the step.
-        table: the workers and the sets of them.
-        requests: the requests and the attempts in flight.
+        context: the state of the current step.
+        table: all workers, and which of them are ready, banned or reinstated.
+        requests: the requests without a final answer, and the attempts in flight.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Build the components, without workers and requests.
 
         Args:
-            settings: the first settings.
-            seed: of the random generator.
+            settings: the initial settings.
+            seed: seed of the random generator.
         """
         self.context = StepContext(settings, random.Random(seed))
         self.table = WorkerTable()
@@ -67,7 +67,7 @@
         self._build_queue()
 
     def _build_estimates(self, settings: Settings) -> None:
-        """Build what is learned, and the index of candidates, which reads it."""
+        """Build the estimators, and the candidate index, which reads them."""
         context = self.context
         self.runtimes = RuntimeEstimator(rules.latency_objective_ns for rules in settings.classes)
         self.report_interval = ReportIntervalEstimator()
@@ -104,7 +104,7 @@
         )
 
     def _build_health(self, settings: Settings) -> None:
-        """Build what follows workers: the endpoint list, their reports and their health."""
+        """Build what tracks workers: the endpoint list, load reports and worker health."""
         context, table = self.context, self.table
         self.lease = (
             ListLease(settings.has_local_discovery_agent)
@@ -130,7 +130,7 @@
         self.periodic_check = PeriodicCheck(context, self.requests, self.ejection)
 
     def _build_placement(self) -> None:
-        """Build what selects a worker for a request and sends it."""
+        """Build what selects a worker for a request and sends the attempt."""
         context, table, index = self.context, self.table, self.index
         self.eligibility = Eligibility(context, self.runtime_model, self.slow_start, self.scheduler, index)
         self.probing = Probing(context, table, index, self.eligibility)
@@ -171,7 +171,7 @@
         )
 
     def _build_queue(self) -> None:
-        """Build what follows requests from their arrival to their final answer."""
+        """Build what tracks requests from their arrival to their final answer."""
         context, requests = self.context, self.requests
         self.open_requests = OpenRequests(
             context,
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: events in, actions out."""
+"""The dispatcher: takes events and returns actions."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
 
 
 class Dispatcher:
-    """One dispatcher: `step` takes events and returns the actions to carry out.
+    """Makes the decisions of one dispatcher: `step` takes events and returns the actions to execute.
 
     It does no I/O and reads no clock. Events about unknown requests, attempts and workers are ignored.
 
     Attributes:
         components: the objects that make the decisions.
-        context: the step.
-        table: the workers and the sets of them.
-        scheduler: the reservations.
-        lease: until when the endpoint list may be acted on.
+        context: the state of the current step.
+        table: all workers, and which of them are ready, banned or reinstated.
+        scheduler: the capacity reservations.
+        lease: limits how long the endpoint list may be used.
         workers: the workers by number.
         jobs: the requests without a final answer, by request id.
         attempts: the attempts in flight, by request id and attempt number.
-        handlers: the method that handles each type of event; other events only cause a step.
+        handlers: the method that handles each type of event; events of other types only cause a step.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start with no workers and no requests.
 
         Args:
-            settings: the settings, until a `SettingsChanged` event.
-            seed: of the random generator.
+            settings: the settings, until a `SettingsChanged` event replaces them.
+            seed: seed of the random generator.
         """
         components = self.components = PolicyComponents(settings, seed)
         self.context = components.context
@@ -89,15 +89,15 @@
         return self.table.ready_workers
 
     def snapshots(self) -> dict[int, WorkerSnapshot]:
-        """Return the state of each worker, for the process that replaces this one."""
+        """Return the state of each worker, by number, for the process that replaces this one."""
         return self.table.snapshots()
 
     def step(self, now_ns: int, events: list[Event]) -> list[Action]:
-        """Handle the events of a step and return the actions that follow, in order.
+        """Handle the events of a step and return the resulting actions, in order.
 
         Args:
             now_ns: time of the step, in nanoseconds of a monotonic clock.
-            events: what came since the last step, in order; may be empty.
+            events: the events since the last step, in order; may be empty.
 
         Raises:
             IndexError: a request names an unknown class.
@@ -111,7 +111,7 @@
             index.changed[getattr(event, "worker", 0)] = None
             if (handle := self.handlers.get(type(event))) is not None:
                 handle(event)
-        if endpoint_list.has_changed:  # once for all changes of a step
+        if endpoint_list.has_changed:  # computed once for all changes of a step
             endpoint_list.refresh_ready_workers()
         if is_first and context.settings.polls_endpoint_list:
             endpoint_list.schedule_first_poll()
@@ -119,7 +119,7 @@
         return context.actions
 
     def reconfigure(self, event: SettingsChanged) -> None:
-        """Apply other settings; requests keep the class settings with which they were accepted."""
+        """Apply changed settings; open requests keep the class settings they were accepted with."""
         settings = self.context.settings = event.settings
         self.scheduler.reconfigure(
             self.context.now_ns,
@@ -135,10 +135,10 @@
         self.components.endpoint_list.reconfigure()
 
     def run_due_work(self, may_place: bool) -> None:
-        """Do what is due at this time.
+        """Run the work that is due, place queued requests and report ended reservations.
 
         Args:
-            may_place: whether queued requests are placed; False where the step had only progress notes.
+            may_place: whether queued requests are placed; False for a step with progress events only.
         """
         components, context, scheduler = self.components, self.context, self.scheduler
         queued = components.requests.queued
--- a/weldquay/policy/step_context.py
+++ b/weldquay/policy/step_context.py
@@ -1,4 +1,4 @@
-"""What every part of the decisions shares within a step: clock, settings, random generator and actions."""
+"""The state that all components share within a step: time, settings, random generator and actions."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
     Attributes:
         settings: the settings in force.
-        random: source of all random choices; its draws depend on the seed and on the events alone.
+        random: source of all random choices; its draws depend only on the seed and on the events.
         now_ns: time of the step, in nanoseconds of the caller's monotonic clock.
-        started_ns: time of the first step; 0 before it.
-        shutdown_ns: when the dispatcher stops; infinite until a shutdown starts.
-        actions: what the step returns, in order; a new list for each step.
+        started_ns: time of the first step; 0 before the first step.
+        shutdown_ns: when the dispatcher stops; infinite unless a shutdown has started.
+        actions: the actions that the step returns, in order; a new list for each step.
     """
 
     settings: Settings
