--- a/weldquay/state/__init__.py
+++ b/weldquay/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state of requests, attempts and workers. No I/O, no clock, no decisions."""
+"""The state of requests, attempts and workers, without I/O, clock or decisions."""
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -1,7 +1,8 @@
 """The state of requests, attempts and workers, which refer to each other.
 
-All times are nanoseconds on the clock of the steps. A worker's unreported load is kept as a sum over its own
-load changes, which each send, each outcome and each report updates.
+All times are nanoseconds on the monotonic clock of the steps. "Own" sends and attempts are those of this
+dispatcher. A worker's unreported load is the sum of own load changes that its last load report may not
+contain; each send, outcome and report updates it.
 """
 
 from __future__ import annotations
@@ -18,38 +19,40 @@
 )
 
 SECOND_NS = 1_000_000_000
-LOAD_REPORT_MAX_AGE_NS = 2 * SECOND_NS  # an older load report is not used
-INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # first pause before an ejected worker is tried again; it doubles
-CAPACITY_INCREASE_RATE = 0.3  # weight of a sample above the estimated capacity
-CAPACITY_DECREASE_RATE = 0.1  # weight of a sample below it, where the worker reports its busy requests
-UNREPORTED_BUSY_DECREASE_RATE = 0.002  # the same where it does not: others lower the sample
+LOAD_REPORT_MAX_AGE_NS = 2 * SECOND_NS  # a load report older than this is not used
+INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # backoff before the first trial of an ejected worker; it doubles
+CAPACITY_INCREASE_RATE = 0.3  # smoothing factor for a sample above the estimated capacity
+CAPACITY_DECREASE_RATE = 0.1  # for a sample below it, if the worker reports its busy requests
+# For a sample below it, if the worker does not report its busy requests: those that other dispatchers sent
+# are missing from the sample.
+UNREPORTED_BUSY_DECREASE_RATE = 0.002
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request without a final answer.
+    """A client's request that has no final answer yet.
 
     Attributes:
         request: the request as received.
         class_settings: the settings of its class when it was received.
-        first_received_ns: when it, or the rejected request that it repeats, was received.
+        first_received_ns: when it was received; for a client's retry, when the rejected request was.
         max_attempts: maximum number of attempts.
-        deadline_ns: when its final answer is due.
-        attempts: attempts sent so far.
-        in_flight: attempts without an outcome, by number.
+        deadline_ns: the time by which its final answer is due.
+        attempts: number of attempts sent so far.
+        in_flight: attempts without an outcome, by attempt number.
         possibly_executed: the first attempt that a worker may have executed.
-        response_started: a response has started.
-        unprocessable: a worker could not process it, so no other worker could.
-        overload_count: attempts that were rejected as overloaded; from the second on retries back off.
-        retry_not_before_ns: no attempt before this time.
+        response_started: the client has received the beginning of a response.
+        unprocessable: a worker found it invalid, so no other worker could process it.
+        overload_count: attempts rejected as overloaded; from the second on, retries back off.
+        retry_not_before_ns: no attempt is sent before this time.
         last_probed_ns: when workers were last probed for it.
-        reservation_tried_ns: when a reservation was last tried for it.
-        probe_rounds: probe rounds for it so far.
-        probed_workers: the workers of the last round.
+        reservation_tried_ns: when capacity was last requested for it.
+        probe_rounds: number of probe rounds for it so far.
+        probed_workers: the workers probed in the last round.
         queue_priority: its priority in the queue, higher first (`weldquay/candidates/queue_order.py`).
-        latest_start_ns: the last useful start; computed with the priority.
-        priority_valid_until_ns: until when both values hold.
-        estimate_version: version of the runtime estimates that both were computed from.
+        latest_start_ns: the latest start that is likely to be on time; computed with the priority.
+        priority_valid_until_ns: until when priority and latest start are valid.
+        estimate_version: version of the runtime estimates that they were computed from.
     """
 
     request: RequestReceived
@@ -76,15 +79,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A request sent to a worker. It outlasts its request until its outcome is known.
+    """One send of a request to a worker, kept until its outcome is known, even if the request has ended.
 
     Attributes:
         job: the request.
-        number: its number among the request's attempts, from 0.
+        number: its number among the attempts of the request, from 0.
         worker: the worker.
         sent_ns: when it was sent.
         connection_idle_ns: how long its connection had been idle, in ns; 0: the connection was new or busy.
-        cancelled: a cancel was sent.
+        cancelled: its cancellation was requested.
         started_ns: when the worker reported its start; 0: not reported.
     """
 
@@ -99,24 +102,24 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerGroup:
-    """Workers with one key. Each records its position, so that it is removed in constant time.
+    """Workers with the same key. Each worker records its position, so that removal takes constant time.
 
     Attributes:
-        key: what the members have in common.
-        members: the workers, in no order.
+        key: the common key.
+        members: the workers, in arbitrary order.
     """
 
     key: Any
     members: list[Worker] = field(default_factory=list)
 
     def add(self, worker: Worker) -> None:
-        """Append a worker."""
+        """Add a worker."""
         worker.group = self
         worker.group_position = len(self.members)
         self.members.append(worker)
 
     def remove(self, worker: Worker) -> None:
-        """Remove a worker; the last member takes its position."""
+        """Remove a worker; the last member moves to its position."""
         last = self.members.pop()
         if last is not worker:
             self.members[worker.group_position] = last
@@ -126,41 +129,41 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """The state that this dispatcher has of one worker.
+    """The state that this dispatcher keeps about one worker.
 
     Attributes:
         entry: its entry in the endpoint list.
-        free_slots: by its last load report, negative for queued requests; None without a report.
-        free_memory: by its last load report; None without one.
-        estimated_slots: its capacity as learned from its reports; 0 while unknown.
+        free_slots: free slots in its last load report, negative for queued requests; None without a report.
+        free_memory: free memory in its last load report; None if unknown.
+        estimated_slots: its capacity, estimated from its reports; 0 if unknown.
         report: its last load report.
-        reported_ns: when the last load report arrived, with new figures or the same.
+        reported_ns: when the last load report arrived, whether its figures had changed or not.
         unreported_changes: own load changes that the last report may not contain: (time, slots, memory).
-        unreported_slots: sum of their slots.
-        unreported_memory: sum of their memory.
+        unreported_slots: sum of the slots in `unreported_changes`.
+        unreported_memory: sum of the memory in `unreported_changes`.
         in_flight_slots: slots of own attempts in flight.
         in_flight: own attempts without an outcome, by request id and attempt number.
-        last_response_ns: when one of them last gave a sign of life.
-        connection_idle_since_ns: since when an attempt's connection has been idle; 0: none is.
-        consecutive_rejections: attempts in a row that it rejected as overloaded.
-        slowness: logarithm of how many times slower than its kind it was, and when that was measured.
+        last_response_ns: when an own attempt last showed that the worker is alive.
+        connection_idle_since_ns: since when the connection of an ended attempt has been idle; 0: none is.
+        consecutive_rejections: number of attempts in a row that it rejected as overloaded.
+        slowness: logarithm of its running time over that of its machine kind, and when it was measured.
         failure_score: grows with failed attempts and decays with successful ones.
-        backoff_until_ns: no attempt before this time, after a rejection or errors.
+        backoff_until_ns: no attempt is sent before this time, after a rejection or errors.
         probe_pending: a probe is in flight.
-        next_probe_ns: no probe before this time.
-        consecutive_probe_failures: failed probes in a row.
+        next_probe_ns: no probe is sent before this time.
+        consecutive_probe_failures: number of failed probes in a row.
         is_ejected: it gets no attempts until a probe or a trial succeeds.
         next_trial_ns: when an ejected worker is tried again.
-        trial_backoff_ns: the pause before the trial after that.
-        reinstated_ns: when operators lifted its ban; it may have restarted then; 0: never.
-        slow_start_sends: (age of the worker, work in ns) of what was sent while it was warming up.
-        slow_start_budget_ns: work that may still be sent while it is warming up.
-        slow_start_budget_at_ns: when that budget was computed; -1: it has to be computed.
-        report_sequence: number of its last report, in the order in which reports arrived.
-        list_position: its position in the list of ready workers; -1: not in it.
-        group: its group, which `weldquay/candidates` maintains.
+        trial_backoff_ns: the backoff that the next ejection sets; it doubles each time.
+        reinstated_ns: when operators lifted its ban, as it may have restarted while banned; 0: never.
+        slow_start_sends: (age of the worker, work in ns) of each send while it was warming up.
+        slow_start_budget_ns: the work that may still be sent while it is warming up.
+        slow_start_budget_at_ns: when that budget was computed; -1: it must be recomputed.
+        report_sequence: sequence number of its last report among the reports of all workers.
+        list_position: its position in the list of ready workers; -1: it is not listed there.
+        group: its group, maintained by `weldquay/candidates`.
         group_position: its position in that group.
-        recheck_ns: the next time at which its group may change without an event; -1: none is scheduled.
+        recheck_ns: the next time at which its group may change without an event; -1: there is none.
     """
 
     entry: WorkerEntry
@@ -198,28 +201,28 @@
 
     @property
     def started_ns(self) -> int:
-        """When its last slow start began, as far as known; 0: long ago."""
+        """When its last slow start began, if known; 0: long ago."""
         return max(self.entry.started_ns, self.reinstated_ns)
 
     def has_unstarted_attempt(self, before_ns: int) -> bool:
-        """Return whether an attempt sent before this time has not reported its start."""
+        """Return whether the start of an own attempt sent before this time has not been reported."""
         return bool(self.in_flight) and any(
             [not attempt.started_ns and attempt.sent_ns < before_ns for attempt in self.in_flight.values()]
         )
 
     def unresponsive_ns(self, now_ns: int) -> int:
-        """Return how long own attempts have been in flight without a sign of life; 0 where none is."""
+        """Return how long the worker has not responded while own attempts are in flight; 0 if none are."""
         sent_times = [attempt.sent_ns for attempt in self.in_flight.values() if not attempt.cancelled]
         return now_ns - max(self.last_response_ns, min(sent_times)) if sent_times else 0
 
     def may_be_probed(self, now_ns: int, fresh_ns: int) -> bool:
-        """Return whether its report is older than `fresh_ns` and no backoff holds."""
+        """Return whether its load report is older than `fresh_ns` and no backoff is in force."""
         return now_ns - self.reported_ns > fresh_ns and now_ns >= max(
             self.next_probe_ns, self.backoff_until_ns, self.is_ejected * self.next_trial_ns
         )
 
     def reset(self, now_ns: int) -> None:
-        """Discard what belongs to an earlier process of the worker."""
+        """Discard the state of an earlier process of the worker."""
         self.free_slots = None
         self.report = None
         self.failure_score = 0
@@ -230,7 +233,7 @@
         self.clear_ejection()
 
     def clear_ejection(self) -> None:
-        """End its ejection, as it has given a sign of life."""
+        """End the ejection of a worker that has responded, and reset its backoff and failure counts."""
         self.is_ejected = False
         self.consecutive_probe_failures = 0
         self.trial_backoff_ns = INITIAL_TRIAL_BACKOFF_NS
@@ -243,10 +246,11 @@
 
         Args:
             now_ns: time of the step.
-            report: the report. Without free slots, and without busy requests or a known capacity, it changes
-                nothing.
-            report_lag_ns: own load changes of this last time remain, as the report may not contain them.
-            queues_in_order: the worker serves its queue in order, so free slots behind it are unusable.
+            report: the report. It is ignored if it has no free slots and they cannot be computed from busy
+                requests and a known capacity.
+            report_lag_ns: own load changes within this time are kept, as the report may not contain them.
+            queues_in_order: the worker serves its queue in order, so that free slots cannot be used while
+                requests wait.
         """
         free = report.free_slots
         if free is None and report.busy_requests is not None and self.estimated_slots:
@@ -267,9 +271,9 @@
         self.discard_load_changes(now_ns - report_lag_ns)
 
     def _update_estimated_slots(self, free: float, busy: float, is_busy_reported: bool) -> None:
-        """Update the estimated capacity.
+        """Update the estimated capacity from a report.
 
-        Requests of a full worker may be in its queue, so they count up to the estimate only.
+        Some requests of a full worker may be queued, so they count at most up to the estimate.
         """
         if not self.estimated_slots:
             self.estimated_slots = free + busy
@@ -282,7 +286,7 @@
         self.estimated_slots += rate * (sample - self.estimated_slots)
 
     def discard_load_changes(self, before_ns: int) -> None:
-        """Discard own load changes before this time."""
+        """Discard own load changes from before this time."""
         changes = self.unreported_changes
         while changes and changes[0][0] < before_ns:
             _, slots, memory = changes.popleft()
@@ -290,7 +294,7 @@
             self.unreported_memory -= memory
 
     def record_load_change(self, now_ns: int, slots: float, memory: float) -> None:
-        """Record an own send (positive) or the end of an attempt (negative)."""
+        """Record the load of an own send (positive) or of an ended attempt (negative)."""
         self.unreported_changes.append((now_ns, slots, memory))
         self.unreported_slots += slots
         self.unreported_memory += memory
--- a/weldquay/state/worker_state.py
+++ b/weldquay/state/worker_state.py
@@ -1,4 +1,4 @@
-"""The state of a worker that passes from one process to the next in a hot restart."""
+"""Conversion of worker state to and from the snapshots that a hot restart migrates."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def take_snapshot(worker: Worker) -> WorkerSnapshot:
-    """Return the state of a worker for the process that replaces this one in a hot restart."""
+    """Return a worker's state for the newer process of a hot restart."""
     return WorkerSnapshot(
         free_slots=worker.free_slots,
         free_memory=worker.free_memory,
@@ -35,7 +35,7 @@
 
 
 def restore_snapshot(worker: Worker, snapshot: WorkerSnapshot) -> None:
-    """Replace the state of a worker by that of an earlier process; entry, attempts and report stay."""
+    """Restore a worker's state from the older process; entry, attempts in flight and report are kept."""
     worker.free_slots = snapshot.free_slots
     worker.free_memory = snapshot.free_memory
     worker.estimated_slots = snapshot.estimated_slots
