--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: updates from discovery, polls with backoff, bans, and the preferred subset."""
+"""The endpoint list: updates from discovery, polls with backoff, bans and the preferred subset."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 
 @dataclass(eq=False)
 class EndpointList:
-    """Follows the endpoint list.
+    """Applies endpoint list updates and bans to the worker table, and schedules polls of discovery.
 
     Attributes:
-        context: the step.
-        table: the workers, which updates change.
-        retries: cancels attempts at workers that left or restarted.
-        lease: until when the list may be acted on.
-        backoff: delays of polls.
-        next_poll_ns: when discovery is polled next; `NOT_SCHEDULED` while no poll is due.
+        context: the state of the current step.
+        table: the workers.
+        retries: cancels attempts at workers that were removed or have restarted.
+        lease: limits how long the list may be used.
+        backoff: computes the delays of polls.
+        next_poll_ns: when discovery is polled next; `NOT_SCHEDULED` if no poll is scheduled.
         has_changed: the list or a ban has changed since the table's ready workers were computed.
     """
 
@@ -56,7 +56,7 @@
     has_changed: bool = False
 
     def apply_update(self, event: EndpointListUpdate) -> None:
-        """Apply an update of the list; a failed poll is repeated after a backoff."""
+        """Apply an update of the list; a failed poll is retried after a backoff."""
         settings, now_ns = self.context.settings, self.context.now_ns
         self.lease.apply(now_ns, event)
         if event.kind is EndpointListKind.FAILED:
@@ -66,7 +66,7 @@
             self.schedule_poll(delay_ns)
         if event.kind not in UNCONFIRMED_KINDS:
             self.backoff.reset()
-            self.next_poll_ns = NOT_SCHEDULED  # a poll now would replace a watch that works
+            self.next_poll_ns = NOT_SCHEDULED  # a poll would replace the working watch
         if event.kind in KINDS_WITHOUT_ENTRIES:
             return
         self.has_changed = True
@@ -76,7 +76,7 @@
             self._remove_unlisted({entry.worker for entry in event.entries})
 
     def apply_observation(self, event: DiscoveryObservation) -> None:
-        """Apply what connection attempts between two polls have shown."""
+        """Update the lease by what connection attempts between two polls have shown."""
         self.lease.observe(event.from_ns, event.until_ns, event.is_reachable)
 
     def _apply_entry(self, entry: WorkerEntry) -> None:
@@ -95,18 +95,18 @@
                 self.retries.cancel_retryable(worker)
 
     def schedule_poll(self, delay_ns: int) -> None:
-        """Poll discovery after `delay_ns`; 0 polls it in this step."""
+        """Schedule a poll of discovery after `delay_ns`; 0 means in this step."""
         self.next_poll_ns = self.context.now_ns + delay_ns
         if delay_ns > 0:
             self.context.actions.append(SetTimer(delay_ns, TimerToken.DISCOVERY_POLL))
 
     def schedule_first_poll(self) -> None:
-        """Schedule the first poll of the process: spread over time where a cached list is at hand."""
+        """Schedule the first poll of the process: with a cached list after a random delay, else at once."""
         has_list = bool(self.table.ready_workers)
         self.schedule_poll(self.backoff.initial_delay_ns(self.context.now_ns) if has_list else 0)
 
     def poll_if_due(self, has_queued_requests: bool) -> None:
-        """Poll discovery where that is due; queued requests do not wait for the spread of first polls."""
+        """Poll discovery if a poll is due; queued requests cut short the random delay of the first poll."""
         now_ns = self.context.now_ns
         if (
             has_queued_requests
@@ -120,7 +120,7 @@
             self.context.actions.append(WatchEndpoints())
 
     def refresh_ready_workers(self) -> None:
-        """Compute the ready workers and the preferred subset anew."""
+        """Recompute the ready workers and the preferred subset."""
         self.has_changed = False
         settings, table = self.context.settings, self.table
         table.discard_removed()
@@ -133,9 +133,10 @@
         table.subset = [table.ready_workers[position] for position in positions]
 
     def apply_ban_change(self, event: WorkerBanChanged) -> None:
-        """Ban a worker, whatever the list says, or lift its ban.
+        """Ban a worker, whatever its state in the list, or lift its ban.
 
-        A worker whose ban is lifted may have been restarted: it warms up, and it is probed and used soon.
+        A worker whose ban is lifted may have been restarted, so it warms up again. It is probed at once and
+        gets the next eligible request.
         """
         self.has_changed = True
         if event.is_banned:
@@ -152,7 +153,7 @@
                 self.context.actions.append(Probe(event.worker))
 
     def reconfigure(self) -> None:
-        """Follow the settings in force."""
+        """Apply the current settings."""
         settings = self.context.settings
         self.backoff.dispatcher_count = settings.dispatcher_count
         self.backoff.is_local_agent = settings.has_local_discovery_agent
--- a/weldquay/policy/index_refresh.py
+++ b/weldquay/policy/index_refresh.py
@@ -1,4 +1,4 @@
-"""Giving the index of candidates the state of a step before requests are placed."""
+"""Updates the inputs of the candidate index in each step, before requests are placed."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, eq=False)
 class IndexRefresh:
-    """Renews what the index reads of the other parts.
+    """Copies what the candidate index reads from the other components.
 
     Attributes:
-        context: the step.
-        table: the ready workers and the preferred subset.
-        inputs: what the index reads.
-        index: the candidates.
-        load_estimates: the mean capacity.
-        slow_start: uses the number of warming workers, which the index counts.
+        context: the state of the current step.
+        table: provides the ready workers and the preferred subset.
+        inputs: the inputs of the index.
+        index: the candidate index.
+        load_estimates: provides the mean capacity.
+        slow_start: gets the number of workers that are warming up, which the index counts.
     """
 
     context: StepContext
@@ -33,7 +33,7 @@
     slow_start: SlowStart
 
     def begin_placement(self) -> None:
-        """Start the placements of this step."""
+        """Prepare the index for the placements of this step."""
         inputs, context, table = self.inputs, self.context, self.table
         inputs.now_ns = context.now_ns
         inputs.settings = context.settings
@@ -41,7 +41,7 @@
         inputs.subset = table.subset
         inputs.mean_slots = self.load_estimates.mean_slots
         self.index.begin_step()
-        # A start time of 0 means long ago. So while the clock is younger than a slow start, a recent start
-        # may look like an old one, and all workers count as warming up.
+        # A start time of 0 means long ago. While the clock reads less than the slow start duration, a recent
+        # start cannot be told from that, so all workers count as warming up.
         is_clock_young = context.now_ns < context.settings.slow_start_ns
         self.slow_start.warming_count = len(table.ready_workers if is_clock_young else self.index.warming)
--- a/weldquay/policy/worker_table.py
+++ b/weldquay/policy/worker_table.py
@@ -1,4 +1,4 @@
-"""The workers that a dispatcher has state of, and the sets of them that the other parts select from."""
+"""The workers that a dispatcher keeps state about, and the sets of them that other components use."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from weldquay.state.records import Worker
 from weldquay.state.worker_state import restore_snapshot, take_snapshot
 
-MAX_REMOVED_WORKERS = 2048  # workers kept after they left the list, in case it lists them again
+MAX_REMOVED_WORKERS = 2048  # removed workers whose state is kept, in case a later list contains them again
 
 
 @dataclass(slots=True, eq=False)
 class WorkerTable:
-    """The workers by number.
+    """All workers by number, and sets of them.
 
     Attributes:
-        workers: every worker with state, in the order in which they were first listed.
-        ready_workers: listed as ready and not banned; replaced by a new list at each change.
+        workers: all workers, in the order in which they were first listed.
+        ready_workers: workers that are listed as ready and not banned; each change creates a new list.
         subset: the ready workers that this dispatcher prefers; replaced together with `ready_workers`.
-        banned_workers: numbers of those that operators have banned.
-        reinstated: numbers of those whose ban was lifted and that have got no request since.
-        recently_reported: workers whose load report counts, oldest report first.
+        banned_workers: numbers of the workers that operators have banned.
+        reinstated: numbers of the workers whose ban was lifted and that have got no request since.
+        recently_reported: workers with a load report that is still used, oldest report first.
     """
 
     workers: dict[int, Worker] = field(default_factory=dict)
@@ -32,16 +32,16 @@
     recently_reported: dict[int, Worker] = field(default_factory=dict)
 
     def snapshots(self) -> dict[int, WorkerSnapshot]:
-        """Return the state of each worker, for the process that replaces this one."""
+        """Return the state of each worker, by number, for the process that replaces this one."""
         return {number: take_snapshot(worker) for number, worker in self.workers.items()}
 
     def restore(self, event: WorkerStateRestored) -> None:
-        """Restore the state that an earlier process had of a worker."""
+        """Restore the state that the older process had of a worker; an unknown worker is ignored."""
         if (worker := self.workers.get(event.worker)) is not None:
             restore_snapshot(worker, event.snapshot)
 
     def discard_removed(self) -> None:
-        """Drop the oldest workers that left the list and have no attempt in flight, beyond the limit."""
+        """Discard removed workers without attempts in flight, except for the last `MAX_REMOVED_WORKERS`."""
         removed = [
             number
             for number, worker in self.workers.items()
@@ -51,7 +51,7 @@
             del self.workers[number]
 
     def update_ready_workers(self) -> None:
-        """Compute `ready_workers` anew."""
+        """Recompute `ready_workers`."""
         self.ready_workers = [
             worker
             for number, worker in self.workers.items()
