--- a/weldquay/policy/load.py
+++ b/weldquay/policy/load.py
@@ -1,4 +1,4 @@
-"""The estimated load of workers, by their reports and by what this dispatcher sent since."""
+"""Load estimates of workers, from their load reports and the sends of this dispatcher since."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 from weldquay.policy.step_context import StepContext
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Worker
 
-LEARNING_RATE = 0.1  # weight of a new report in the means
+LEARNING_RATE = 0.1  # smoothing factor of the means: the weight of a new report
 
 
 @dataclass(slots=True, eq=False)
 class LoadEstimates:
-    """Loads of workers: slots in use or queued for, minus the capacity. Free slots are a negative load.
+    """Estimates the load of workers: slots in use or waited for, minus the capacity.
+
+    Free slots are a negative load.
 
     Attributes:
-        context: the step.
-        mean_slots: mean capacity of the workers that reported, in slots.
-        mean_zone_load: mean of the loads that were reported in each zone.
+        context: the state of the current step.
+        mean_slots: moving average of the capacity of workers that reported, in slots.
+        mean_zone_load: moving average of the reported loads, by zone.
     """
 
     context: StepContext
@@ -26,10 +28,10 @@
     mean_zone_load: dict[int, float] = field(default_factory=dict)
 
     def load(self, worker: Worker) -> float:
-        """Return the worker's load: own sends since its report minus its free slots.
+        """Return the worker's load: slots of own sends since its report, minus its free slots.
 
-        It is at least the number of own attempts in flight minus the capacity. A worker without a current
-        report counts as the mean of its zone; counted as empty it would attract every request.
+        It is at least the slots of own attempts in flight minus the capacity. A worker without a current
+        report is assumed to have the mean load of its zone: assumed idle, it would attract every request.
         """
         slots = worker.estimated_slots if worker.estimated_slots >= 0.5 else self.mean_slots
         own_load = worker.in_flight_slots - round(slots)
@@ -39,14 +41,14 @@
         return max(own_load, worker.unreported_slots - worker.free_slots)
 
     def record_zone_load(self, zone: int, load: float) -> None:
-        """Add a reported load to the mean of its zone."""
+        """Update the mean load of a zone with a reported load."""
         mean = self.mean_zone_load.get(zone, load)
         self.mean_zone_load[zone] = mean + LEARNING_RATE * (load - mean)
 
     def record_overload(self, zone: int) -> None:
-        """Add a sign of overload to the mean of its zone, as a load of one.
+        """Update the mean load of a zone with an overload, which counts as a load of 1.
 
-        It is ignored where probes do not return load reports.
+        Ignored unless probes return load reports.
         """
         settings = self.context.settings
         if settings.may_probe and settings.reports_in_probes:
@@ -54,5 +56,5 @@
             self.mean_zone_load[zone] = mean + LEARNING_RATE * (1.0 - mean)
 
     def record_capacity(self, slots: float) -> None:
-        """Add the estimated capacity of a worker that reported, in slots, to the mean."""
+        """Update the mean capacity with that of a worker that reported, in slots."""
         self.mean_slots = max(1.0, self.mean_slots + LEARNING_RATE * (slots - self.mean_slots))
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of workers: what they change and what is learned from them."""
+"""Load reports of workers: their effect on worker state and on estimates."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True, eq=False)
 class LoadReports:
-    """Applies load reports, from probes and from answers, to workers and estimates.
+    """Applies load reports, from probe results and from answers, to workers and estimates.
 
     Attributes:
-        context: the step.
-        table: workers that reported recently are noted here.
-        index: the candidates.
-        report_interval: learns how often workers refresh their reports.
-        load_estimates: means of loads and capacities.
-        runtime_model: slowness of workers, and the usual service time by machine kind.
-        slow_start: which workers are warming up.
+        context: the state of the current step.
+        table: keeps the workers that reported recently.
+        index: the candidate index.
+        report_interval: estimates how often workers refresh their reports.
+        load_estimates: mean loads and capacities.
+        runtime_model: slowness of workers, and the mean service time by machine kind.
+        slow_start: tells which workers are warming up.
     """
 
     context: StepContext
@@ -42,7 +42,8 @@
     def apply(self, worker: Worker, report: LoadReport) -> None:
         """Apply a report that has just arrived.
 
-        One with the same figures as the last only renews its time: attempts sent since stay counted.
+        A report with the same figures as the last one only updates the report time. Attempts sent since the
+        last new figures still count as unreported.
         """
         now_ns = self.context.now_ns
         since_last_report_ns, is_new = now_ns - worker.reported_ns, report != worker.report
@@ -65,7 +66,7 @@
         report_lag_ns = MAX_REPORT_LAG_NS + min(since_last_report_ns, int(self.report_interval.ns)) // 2
         worker.apply_load_report(now_ns, report, report_lag_ns, settings.workers_queue_in_order)
         if report.service_ms is None or self.slow_start.remaining_ns(worker) < math.inf:
-            return  # the service time of a warming worker does not show how fast it is
+            return  # a worker that is warming up is slower than it will be
         slowness = self.runtime_model.worker_slowness(worker)
         slowness = self.runtime_model.estimator.apply_service_time(
             worker.entry.kind, report.service_ms, slowness
--- a/weldquay/policy/priorities.py
+++ b/weldquay/policy/priorities.py
@@ -1,4 +1,4 @@
-"""How urgent a queued request is: its latest useful start, its weight and its place in the queue."""
+"""Priorities of queued requests, from their latest useful start and their weight."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from weldquay.policy.step_context import StepContext
 from weldquay.state.records import Job
 
-PRIORITY_GRACE_FRACTION = 0.5  # of the latency objective: a request may wait so long without losing priority
+PRIORITY_GRACE_FRACTION = 0.5  # fraction of the latency objective before the priority starts to decay
 
 
 @dataclass(slots=True, eq=False)
 class RequestPriorities:
-    """Deadlines and priorities of queued requests.
+    """Computes latest starts, weights and priorities of queued requests.
 
     Attributes:
-        context: the step.
+        context: the state of the current step.
         runtime_model: expected running times.
     """
 
@@ -25,9 +25,10 @@
     runtime_model: RuntimeModel
 
     def latest_start_ns(self, job: Job) -> float:
-        """Return the last moment at which a start is likely to meet the latency objective.
+        """Return the latest start that is likely to meet the latency objective.
 
-        Half of the mean running time stands for its median. The dispatcher's own end bounds it too.
+        Half of the mean running time is used as an estimate of its median. The request must also end before
+        the dispatcher shuts down.
         """
         rules = job.class_settings
         expected_ns = self.runtime_model.expected_ns(job)
@@ -35,9 +36,9 @@
         return min(job.first_received_ns + spare_ns, self.context.shutdown_ns - expected_ns)
 
     def weight_per_work(self, job: Job) -> float:
-        """Return the request's priority weight for each nanosecond of work.
+        """Return the request's priority weight per nanosecond of work.
 
-        Where the settings give weights per work, it is the weight itself.
+        If the settings already give weights per work, it is the weight itself.
         """
         work_ns = 1.0
         if not self.context.settings.weights_per_work:
@@ -45,11 +46,12 @@
         return job.class_settings.priority_weight / work_ns
 
     def queue_priority(self, job: Job) -> float:
-        """Return the request's priority in the queue, and record on it how long the value holds.
+        """Return the request's priority in the queue, and record on it how long the value is valid.
 
-        Without a runtime hint the chance of meeting the objective falls while the request waits, since only a
-        running time at least as long as its excess wait is consistent with it. So its priority decays, and
-        under overload the queue does not degrade to one where every request waits its turn and is late.
+        Without a runtime hint, the chance of meeting the objective falls while the request waits, as it can
+        only be met if the running time is at least as long as the excess wait. So the priority decays with
+        the wait. Otherwise, under overload, the queue would degrade to first in, first out, with every
+        request late.
         """
         weight, latest_start_ns = self.weight_per_work(job), self.latest_start_ns(job)
         has_hint = job.request.runtime_hint_ns
--- a/weldquay/policy/runtime_model.py
+++ b/weldquay/policy/runtime_model.py
@@ -1,4 +1,4 @@
-"""Expected running times, and how slow a worker is for its kind of machine."""
+"""Expected running times, and the slowness of workers compared with their machine kind."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from weldquay.reservations.scheduler import BackfillScheduler
 from weldquay.state.records import Attempt, Job, Worker
 
-SLOWNESS_DECAY_NS = 5_000_000_000  # time constant with which a worker's measured slowness fades
+SLOWNESS_DECAY_NS = 5_000_000_000  # time constant of the decay of a worker's measured slowness
 
 
 @dataclass(slots=True, eq=False)
 class RuntimeModel:
-    """Running times by request, class and machine kind, learned from the attempts that succeed.
+    """Predicts running times by request, class and machine kind, and learns from successful attempts.
 
     Attributes:
-        context: the step.
-        estimator: learned means by class and machine kind.
-        scheduler: holds the learned bias of runtime hints.
+        context: the state of the current step.
+        estimator: mean running times by class and machine kind.
+        scheduler: estimates the bias of runtime hints.
     """
 
     context: StepContext
@@ -29,11 +29,11 @@
     scheduler: BackfillScheduler
 
     def expected_ns(self, job: Job) -> float:
-        """Return the expected running time on a mean machine: the hint, else the mean of the class."""
+        """Return the expected running time on a mean machine: the runtime hint, else the class mean."""
         return float(job.request.runtime_hint_ns or self.estimator.mean_ns[job.request.job_class])
 
     def expected_at_worker_ns(self, job: Job, worker: Worker) -> float:
-        """Return the expected running time at a worker."""
+        """Return the expected running time at a worker, by its machine kind and the bias of hints."""
         return (
             self.expected_ns(job)
             * self.estimator.relative_runtime(worker.entry.kind)
@@ -41,15 +41,16 @@
         )
 
     def attempt_slowness(self, attempt: Attempt) -> float:
-        """Return the logarithm of the attempt's running time so far over the expected one."""
+        """Return the logarithm of the ratio of the attempt's running time so far to the expected one."""
         usual_ns = self.expected_ns(attempt.job) * self.estimator.relative_runtime(attempt.worker.entry.kind)
         age_ns = self.context.now_ns - attempt.started_ns
         return math.log((age_ns + RUNTIME_TOLERANCE_NS) / (usual_ns + RUNTIME_TOLERANCE_NS))
 
     def worker_slowness(self, worker: Worker) -> float:
-        """Return the logarithm of how many times slower than its kind the worker is.
+        """Return the logarithm of how many times slower than its machine kind the worker is.
 
-        It is the maximum of the last measured value, which fades, and of those of the running attempts.
+        It is the maximum of the last measured value, which decays over time, and of those of the running
+        attempts.
         """
         value, measured_ns = worker.slowness
         last = value * math.exp((measured_ns - self.context.now_ns) / SLOWNESS_DECAY_NS)
@@ -65,7 +66,7 @@
         )
 
     def record_success(self, attempt: Attempt, latency_ns: int) -> None:
-        """Learn from an attempt that succeeded; its latency counts where its start is not known."""
+        """Learn from an attempt that succeeded; without a reported start, its latency is its running time."""
         request, worker = attempt.job.request, attempt.worker
         kind = worker.entry.kind
         now_ns, started_ns = self.context.now_ns, attempt.started_ns
