--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of an attempt: a table by outcome, and the state that it changes."""
+"""Handling of attempt outcomes: a table of rules, and the state changes that they cause."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     """Applies the outcomes of attempts to requests and workers, by `OUTCOME_RULES`.
 
     Attributes:
-        context: the step.
-        requests: the requests and the attempts in flight.
+        context: the state of the current step.
+        requests: the requests without a final answer, and the attempts in flight.
         open_requests: ends requests and gives final answers.
-        retries: whether a request may be sent again.
-        ejection: health of workers.
-        load_estimates: means of loads.
-        load_reports: applies the reports that answers carry.
-        runtime_model: learns from successes.
-        idle_timeout: learns from connections that break.
+        retries: decides whether a request may be retried.
+        ejection: tracks worker health.
+        load_estimates: mean loads of zones.
+        load_reports: applies the load reports in answers.
+        runtime_model: learns from successful attempts.
+        idle_timeout: learns from connections that were reset.
     """
 
     context: StepContext
@@ -49,9 +49,9 @@
     idle_timeout: IdleTimeoutEstimator
 
     def apply(self, event: AttemptEnded) -> None:
-        """Release what the attempt held, learn from its outcome, then answer or queue its request.
+        """Release the load of an attempt, update worker state, and end, answer or requeue its request.
 
-        The outcome of an unknown attempt is ignored.
+        Outcomes of unknown attempts are ignored.
         """
         attempt = self.requests.remove_attempt(event.request_id, event.attempt)
         if attempt is None:
@@ -72,7 +72,7 @@
             self._retry_or_answer(attempt.job, attempt, event.outcome)
 
     def _retry_or_answer(self, job: Job, attempt: Attempt, outcome: Outcome) -> None:
-        """Queue the request again where it may have a further attempt, else give its final answer."""
+        """Queue the request again if it may have another attempt, else give its final answer."""
         if not outcome.never_executed and job.possibly_executed is None:
             job.possibly_executed = attempt
         job.unprocessable = outcome is Outcome.UNPROCESSABLE
@@ -86,7 +86,7 @@
             self.open_requests.give_final_answer(job)
 
     def record_progress(self, event: AttemptProgress) -> None:
-        """Record a sign of life of a running attempt, and its start."""
+        """Record the start of an attempt, or its progress; both show that the worker is alive."""
         attempt = self.requests.attempts.get((event.request_id, event.attempt))
         if attempt is not None:
             if event.progress is None:
@@ -94,7 +94,7 @@
             self.ejection.record_liveness(attempt.worker)
 
     def apply_success(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Decay the worker's failure score and learn the running time."""
+        """Decay the worker's failure score and record the running time."""
         attempt.worker.failure_score *= FAILURE_SCORE_DECAY
         self.runtime_model.record_success(attempt, event.latency_ns)
 
@@ -103,9 +103,9 @@
         self.ejection.record_error(attempt.worker)
 
     def apply_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
-        """Pause sends to the worker, and from the second overload on the request too.
+        """Back off from the worker and, from the request's second overload on, delay its retries.
 
-        The pause of a worker doubles, as its reports may show free slots that it does not give.
+        The worker's backoff doubles, as it may report free slots while it rejects requests.
         """
         job = attempt.job
         self.load_estimates.record_overload(attempt.worker.entry.zone)
@@ -119,7 +119,7 @@
         self.ejection.eject(attempt.worker)
 
     def apply_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Learn how long an idle connection may be reused."""
+        """Update the estimate of how long idle connections can be reused."""
         self.idle_timeout.record_reset(
             self.context.now_ns,
             self.context.settings.connection_idle_timeout_ns,
@@ -130,13 +130,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRule:
-    """What an outcome means. Whether a worker began the request is `Outcome.never_executed`.
+    """How an outcome is handled. `Outcome.never_executed` tells whether the worker began the request.
 
     Attributes:
         proves_liveness: the worker has answered, so an ejection ends.
         is_connection_reusable: the attempt leaves an idle connection to the worker.
         finishes_request: the client has its answer.
-        handler: what is learned from the outcome; None: nothing.
+        handler: the method that updates the state that is specific to this outcome; None: there is none.
     """
 
     proves_liveness: bool = False
--- a/weldquay/policy/outlier_ejection.py
+++ b/weldquay/policy/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""The health of workers: ejection of outliers, pauses after rejections and errors, and trials."""
+"""Worker health: ejection of failing workers, trials, and backoff after rejections and errors."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from weldquay.policy.worker_table import WorkerTable
 from weldquay.state.records import INITIAL_TRIAL_BACKOFF_NS, SECOND_NS, Attempt, Worker
 
-FAILURE_SCORE_DECAY = 0.5  # factor on a worker's failure score at each success
-MAX_MISSED_PROGRESS_INTERVALS = 2.2  # intervals without a sign of life that eject a worker
-MIN_UNRESPONSIVE_NS = SECOND_NS  # the least silence that counts, where progress intervals are shorter
+FAILURE_SCORE_DECAY = 0.5  # factor that each success applies to a worker's failure score
+# A worker with own attempts in flight is unresponsive after this many progress intervals without a response.
+MAX_MISSED_PROGRESS_INTERVALS = 2.2
+MIN_UNRESPONSIVE_NS = SECOND_NS  # lower bound of that time where progress intervals are shorter
 MAX_BACKOFF_DOUBLINGS = 8
 
 
 @dataclass(slots=True, eq=False)
 class OutlierEjection:
-    """Decides whether a worker gets requests.
+    """Tracks worker health and decides which workers get no requests.
 
     Attributes:
-        context: the step.
-        table: the banned workers.
-        index: the candidates.
+        context: the state of the current step.
+        table: provides the banned workers.
+        index: the candidate index.
         retries: cancels the attempts of an ejected worker.
     """
 
@@ -36,9 +37,9 @@
     retries: RetryRules
 
     def is_healthy(self, worker: Worker) -> bool:
-        """Return whether the worker is listed as ready and neither banned, backing off nor ejected.
+        """Return whether the worker is listed as ready and neither banned, backed off nor ejected.
 
-        Where probes are not allowed, an ejected worker counts as healthy once its trial is due.
+        If probes are not allowed, an ejected worker counts as healthy once its trial is due.
         """
         now_ns = self.context.now_ns
         if worker.entry.state is not WorkerState.READY or worker.entry.worker in self.table.banned_workers:
@@ -50,15 +51,15 @@
         return not self.context.settings.may_probe and now_ns >= worker.next_trial_ns
 
     def is_unresponsive(self, worker: Worker) -> bool:
-        """Return whether own attempts are in flight and the worker has missed its progress notes."""
+        """Return whether own attempts are in flight and the worker has not responded for too long."""
         interval_ns = self.context.settings.progress_interval_ns
         max_unresponsive_ns = max(MIN_UNRESPONSIVE_NS, MAX_MISSED_PROGRESS_INTERVALS * interval_ns)
         return interval_ns > 0 and worker.unresponsive_ns(self.context.now_ns) > max_unresponsive_ns
 
     def eject(self, worker: Worker) -> None:
-        """Eject the worker until a sign of life or a trial, and cancel its retryable attempts.
+        """Eject the worker until it responds or its trial is due, and cancel its retryable attempts.
 
-        An ejected worker is ejected again only when its trial is due; each time the pause doubles.
+        An ejected worker is ejected again only once its trial is due. Each ejection doubles the backoff.
         """
         now_ns = self.context.now_ns
         if not worker.is_ejected or now_ns >= worker.next_trial_ns:
@@ -69,27 +70,28 @@
             self.retries.cancel_retryable(worker)
 
     def eject_unresponsive(self, attempts: Iterable[Attempt]) -> None:
-        """Eject the workers of these attempts that are silent."""
+        """Eject the workers of these attempts that are unresponsive."""
         for attempt in attempts:
             if not attempt.worker.is_ejected and self.is_unresponsive(attempt.worker):
                 self.eject(attempt.worker)
 
     def record_liveness(self, worker: Worker) -> None:
-        """End the ejection of a worker that has given a sign of life on an attempt."""
+        """Record that an attempt has shown the worker to be alive, which ends its ejection."""
         worker.last_response_ns = self.context.now_ns
         worker.clear_ejection()
 
     def record_overload(self, worker: Worker) -> None:
-        """Pause sends to a worker that rejected an attempt; the pause doubles with rejections in a row."""
+        """Back off from a worker that rejected an attempt; consecutive rejections double the backoff."""
         worker.consecutive_rejections += 1
         doublings = min(worker.consecutive_rejections - 1, MAX_BACKOFF_DOUBLINGS)
         pause_ns = min(MAX_BACKOFF_NS, FRESH_REPORT_NS << doublings)
         worker.backoff_until_ns = self.context.now_ns + pause_ns
 
     def record_error(self, worker: Worker) -> None:
-        """Raise the failure score; from the second error on, sends pause.
+        """Raise the worker's failure score; from the second error on, back off from it.
 
-        A worker that fails each request at once has all slots free, so it would attract ever more of them.
+        A worker that fails every request at once has all its slots free, so without a backoff it would
+        attract more and more requests.
         """
         worker.failure_score += 1
         if worker.failure_score > 1:
--- a/weldquay/policy/periodic_check.py
+++ b/weldquay/policy/periodic_check.py
@@ -1,4 +1,4 @@
-"""The timer that queued requests and attempts in flight need: steps at least this often."""
+"""The periodic timer that ensures regular steps while requests are queued or in flight."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from weldquay.policy.step_context import StepContext
 from weldquay.policy.timers import NOT_SCHEDULED, TimerToken
 
-PLACEMENT_INTERVAL_NS = 100_000_000  # queued requests are placed again this often: below a report interval
-HEALTH_CHECK_INTERVAL_NS = 250_000_000  # attempts are checked this often: well below the silence that ejects
+PLACEMENT_INTERVAL_NS = 100_000_000  # interval of placing queued requests; below a report interval
+HEALTH_CHECK_INTERVAL_NS = 250_000_000  # well below the time after which a worker is unresponsive
 
 
 @dataclass(slots=True, eq=False)
 class PeriodicCheck:
-    """Ejects silent workers, and keeps a timer set while requests are queued or in flight.
+    """Ejects unresponsive workers, and keeps a timer set while requests are queued or in flight.
 
     Attributes:
-        context: the step.
+        context: the state of the current step.
         requests: the queue and the attempts in flight.
         ejection: ejects workers.
         last_checked_ns: when workers were last checked.
-        next_check_ns: when the timer that is set is due; `NOT_SCHEDULED` while none is.
+        next_check_ns: when the timer is due; `NOT_SCHEDULED` if none is set.
     """
 
     context: StepContext
@@ -33,7 +33,7 @@
     next_check_ns: int = NOT_SCHEDULED
 
     def run(self) -> None:
-        """Eject the workers of attempts that have been silent for too long; the timer is due."""
+        """Handle the due timer: eject the unresponsive workers of attempts in flight."""
         now_ns = self.context.now_ns
         self.next_check_ns = NOT_SCHEDULED
         if now_ns - self.last_checked_ns >= HEALTH_CHECK_INTERVAL_NS:
@@ -41,7 +41,7 @@
             self.ejection.eject_unresponsive(list(self.requests.attempts.values()))
 
     def schedule(self) -> None:
-        """Set the timer of the next check, where one is needed and none is set that is due as early."""
+        """Set the timer of the next check if one is needed and none is set that is due early enough."""
         now_ns, requests = self.context.now_ns, self.requests
         interval_ns = PLACEMENT_INTERVAL_NS if requests.queued else HEALTH_CHECK_INTERVAL_NS
         is_set = now_ns < self.next_check_ns <= now_ns + interval_ns
--- a/weldquay/policy/probe_results.py
+++ b/weldquay/policy/probe_results.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of a probe."""
+"""Handling of probe outcomes."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from weldquay.policy.worker_table import WorkerTable
 from weldquay.state.records import INITIAL_TRIAL_BACKOFF_NS, Worker
 
-MAX_PROBE_FAILURES = 2  # failed probes in a row that eject: one may be lost or wait behind a request
+MAX_PROBE_FAILURES = 2  # consecutive failures that eject; a single probe may be lost or wait for a request
 
 
 @dataclass(slots=True, eq=False)
 class ProbeResults:
-    """Applies probe outcomes to workers.
+    """Applies probe outcomes to workers and load estimates.
 
     Attributes:
-        context: the step.
+        context: the state of the current step.
         table: the workers.
-        load_estimates: zone means, and the load of a worker whose probe failed.
-        load_reports: applies the reports that probes return.
-        ejection: health of workers.
+        load_estimates: mean loads of zones, and the load of a worker whose probe failed.
+        load_reports: applies the load reports that probes return.
+        ejection: ejects workers.
     """
 
     context: StepContext
@@ -35,7 +35,7 @@
     ejection: OutlierEjection
 
     def apply(self, event: ProbeEnded) -> None:
-        """Apply the outcome of a probe; one of an unknown worker is ignored."""
+        """Apply the outcome of a probe; probes of unknown workers are ignored."""
         if (worker := self.table.workers.get(event.worker)) is None:
             return
         worker.probe_pending = False
@@ -43,7 +43,7 @@
         is_overloaded = event.outcome is Outcome.OVERLOADED
         if event.latency_ns > PROBE_WAIT_NS or is_overloaded:
             self.load_estimates.record_overload(worker.entry.zone)
-        if is_overloaded:  # the worker is alive, and all dispatchers together probe it too often
+        if is_overloaded:  # the worker is alive, but all dispatchers together probe it too often
             worker.next_probe_ns = self.context.now_ns + PROBE_BACKOFF_NS
         elif event.outcome is Outcome.OK:
             self._apply_success(worker, event)
@@ -59,7 +59,7 @@
             self.load_reports.apply(worker, event.report)
 
     def _apply_failure(self, worker: Worker, outcome: Outcome) -> None:
-        """Eject the worker, unless the probe may have waited behind requests of a full worker."""
+        """Eject the worker, unless its load suggests that the probe only waited behind requests."""
         worker.consecutive_probe_failures += 1
         if (
             outcome is Outcome.CONNECT_FAILED
--- a/weldquay/policy/slow_start.py
+++ b/weldquay/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""The work that may still be sent to a worker that is warming up."""
+"""Slow start: limits the work that is sent to a worker that is warming up."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def slow_start_policy(settings: Settings) -> SlowStartPolicy:
-    """Return the slow start policy of the settings."""
+    """Return the slow start policy that the settings define."""
     return SlowStartPolicy(
         settings.initial_capacity_fraction,
         settings.slow_start_ns,
@@ -27,16 +27,16 @@
 
 @dataclass(eq=False)
 class SlowStart:
-    """The budgets of `weldquay/fleet/slow_start.py`, for the workers of this dispatcher.
+    """Applies the budgets of `weldquay/fleet/slow_start.py` to the workers of this dispatcher.
 
     Attributes:
-        context: the step.
-        requests: requests in the queue count as traffic to come.
-        estimator: machine speeds and mean work.
-        load_estimates: the mean capacity.
-        send_rate: the rate of sends.
-        policy: the policy of the settings in force.
-        warming_count: workers that are warming up in this step.
+        context: the state of the current step.
+        requests: provides the queue, whose requests count as expected traffic.
+        estimator: provides machine speeds and the mean work of a request.
+        load_estimates: provides the mean capacity.
+        send_rate: provides the rate of sends.
+        policy: the policy that the current settings define.
+        warming_count: number of workers that are warming up in this step.
     """
 
     context: StepContext
@@ -48,15 +48,15 @@
     warming_count: int = 0
 
     def __post_init__(self) -> None:
-        """Take the policy of the settings."""
+        """Set the policy from the settings."""
         self.reconfigure()
 
     def reconfigure(self) -> None:
-        """Follow the settings in force."""
+        """Apply the current settings."""
         self.policy = slow_start_policy(self.context.settings)
 
     def remaining_ns(self, worker: Worker) -> float:
-        """Return the work that may still be sent to the worker, in ns: infinite once it is warm."""
+        """Return the work that may still be sent to the worker, in ns; infinite once it has warmed up."""
         now_ns = self.context.now_ns
         age_ns = now_ns - worker.started_ns
         if worker.started_ns == 0 or age_ns >= self.context.settings.slow_start_ns:
@@ -69,7 +69,7 @@
         return worker.slow_start_budget_ns
 
     def _warming_worker(self, worker: Worker, age_ns: int) -> WarmingWorker:
-        """Return what the budget depends on; dispatchers share a start id only where all saw that start."""
+        """Return the inputs of the budget; the start id is omitted unless all dispatchers know the start."""
         settings, kind = self.context.settings, worker.entry.kind
         slots = worker.estimated_slots if worker.estimated_slots >= 0.5 else self.load_estimates.mean_slots
         is_listed_start = worker.reinstated_ns <= worker.entry.started_ns
@@ -87,7 +87,7 @@
         )
 
     def record_send(self, worker: Worker, work_ns: float) -> None:
-        """Charge work that is sent now to the worker's budget, unless the worker is warm."""
+        """Charge work that is sent in this step to the worker's budget, unless it has warmed up."""
         if self.remaining_ns(worker) < math.inf:
             worker.slow_start_sends.append((self.context.now_ns - worker.started_ns, work_ns))
             worker.slow_start_budget_at_ns = -1
