--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -103,7 +103,7 @@
             IndexError: a request names an unknown class.
         """
         context, endpoint_list, index = self.context, self.components.endpoint_list, self.components.index
-        is_first = not context.started_ns
+        is_first_step = not context.started_ns
         context.started_ns = context.started_ns or now_ns
         context.now_ns = now_ns
         context.actions = []
@@ -113,7 +113,7 @@
                 handle(event)
         if endpoint_list.has_changed:  # computed once for all changes of a step
             endpoint_list.refresh_ready_workers()
-        if is_first and context.settings.polls_endpoint_list:
+        if is_first_step and context.settings.polls_endpoint_list:
             endpoint_list.schedule_first_poll()
         self.run_due_work(any(not isinstance(event, AttemptProgress) for event in events))
         return context.actions
--- a/weldquay/policy/open_requests.py
+++ b/weldquay/policy/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests from their arrival to their final answer."""
+"""Lifecycle of requests, from their arrival to their final answer."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from weldquay.reservations.scheduler import BackfillScheduler
 from weldquay.state.records import Attempt, Job, Worker
 
-MAX_REMEMBERED_REJECTIONS = 4096  # rejected requests that are recognised when the client sends them again
+MAX_REMEMBERED_REJECTIONS = 4096  # rejected requests that are recognised when their client retries them
 Fingerprint = tuple[int, int, int | None, float, float]
 
 
 def request_fingerprint(request: RequestReceived) -> Fingerprint | None:
-    """Return what a request has in common with a repeat by its client.
+    """Return the values by which a client's retry of the request is recognised.
 
-    None where neither an idempotency key nor a runtime hint distinguishes it from other requests.
+    None if the request has neither an idempotency key nor a runtime hint to tell it from other requests.
     """
     if not request.key and not request.runtime_hint_ns:
         return None
@@ -49,15 +49,15 @@
     """Accepts requests and gives their final answers.
 
     Attributes:
-        context: the step.
-        table: the workers, for attempts of an earlier process.
-        requests: the requests that are owed an answer.
+        context: the state of the current step.
+        table: the workers, for attempts of an older process.
+        requests: the requests without a final answer.
         retries: cancels attempts of finished requests.
         runtime_model: expected running times.
-        scheduler: reservations, which end with their request.
-        report_interval: the mean of retry delays that clients are given.
+        scheduler: the capacity reservations; one ends with its request.
+        report_interval: the mean of the retry delays in rejections.
         probing: its budget grows with each request.
-        deadlines: heap of (time by which an answer is due, request id).
+        deadlines: heap of (deadline, request id).
         rejected_first_received_ns: when a rejected request was first received, by fingerprint, oldest first.
     """
 
@@ -73,10 +73,10 @@
     rejected_first_received_ns: dict[Fingerprint, int] = field(default_factory=dict)
 
     def accept(self, request: RequestReceived) -> None:
-        """Queue a request; a repeat of a rejected one is as old as that.
+        """Queue a request and set its deadline; a retry of a rejected request keeps the age of that request.
 
         Raises:
-            IndexError: the request names an unknown class.
+            IndexError: the request has an unknown class.
         """
         context = self.context
         now_ns, settings = context.now_ns, context.settings
@@ -86,7 +86,7 @@
         job = Job(request, settings.classes[request.job_class], first_received_ns, settings.max_attempts)
         self.requests.jobs[request.request_id] = self.requests.queued[request.request_id] = job
         self.runtime_model.estimator.record_request(request.slots * self.runtime_model.expected_ns(job))
-        # The answer is due one clock tick before the client's time runs out.
+        # The deadline is one clock tick before the client's timeout.
         time_left_ns = request.time_left_ns - settings.clock_resolution_ns
         time_left_ns = int(max(0, min(time_left_ns, context.shutdown_ns - now_ns)))
         job.deadline_ns = now_ns + time_left_ns
@@ -95,7 +95,7 @@
         self.probing.add_budget()
 
     def resume_migrated(self, event: RequestMigrated) -> None:
-        """Continue a request of an earlier process, with the attempt that may be in flight.
+        """Take over a request of an older process, with its attempt in flight, if any.
 
         The load of that attempt is part of the restored worker state.
         """
@@ -113,16 +113,16 @@
             worker.in_flight_slots += request.slots
 
     def record_response_start(self, event: ResponseStarted) -> None:
-        """Note that the client gets a response: the request has no other attempt from now on."""
+        """Record that the client receives a response, so that the request gets no further attempt."""
         if event.request_id in self.requests.jobs:
             self.requests.jobs[event.request_id].response_started = True
 
     def handle_disconnect(self, event: ClientDisconnected) -> None:
-        """Drop a request whose client has left."""
+        """Drop a request whose client has disconnected."""
         self.finish(event.request_id)
 
     def finish(self, request_id: int) -> None:
-        """Remove a request that needs no further answer, and cancel its attempts."""
+        """Remove a request that needs no answer any more, and cancel its attempts."""
         job = self.requests.jobs.pop(request_id, None)
         self.requests.queued.pop(request_id, None)
         self.scheduler.cancel(self.context.now_ns, request_id, "job_over")
@@ -131,10 +131,10 @@
                 self.retries.cancel(attempt)
 
     def give_final_answer(self, job: Job) -> None:
-        """Give the final answer to a request that was not served.
+        """Give the final answer to a request that no worker has answered.
 
-        It is rejected, with a delay after which workers will have reported anew, where a repeat by the client
-        does no harm; otherwise it fails.
+        It is rejected if the client can safely retry it, with a retry delay after which there will be new
+        load reports. Otherwise it fails.
         """
         request = job.request
         may_client_retry = not job.unprocessable and (
@@ -153,7 +153,7 @@
         )
 
     def answer_expired(self) -> None:
-        """Answer the requests whose time has run out, but for those whose response has started."""
+        """Answer the requests whose deadline has passed, except for those whose response has started."""
         now_ns, deadlines = self.context.now_ns, self.deadlines
         while deadlines and deadlines[0][0] <= now_ns:
             job = self.requests.jobs.get(heapq.heappop(deadlines)[1])
@@ -161,7 +161,7 @@
                 self.give_final_answer(job)
 
     def start_shutdown(self, event: ShutdownStarted) -> None:
-        """Answer all requests by the end of the dispatcher."""
+        """Limit the deadlines of all requests to the end of the shutdown."""
         self.context.shutdown_ns = shutdown_ns = self.context.now_ns + event.time_left_ns
         self.deadlines += [(shutdown_ns, request_id) for request_id in self.requests.jobs]
         heapq.heapify(self.deadlines)
--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for a worker, and their placement in order of priority."""
+"""Placement of the queued requests, in order of priority."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     """Places the queued requests.
 
     Attributes:
-        context: the step.
-        requests: the queue.
-        lease: nothing is sent once the endpoint list has expired.
-        index_refresh: gives the index the state of the step.
+        context: the state of the current step.
+        requests: provides the queue.
+        lease: nothing is sent once the lease on the endpoint list has expired.
+        index_refresh: updates the candidate index for the step.
         order: the order of the queue.
         open_requests: gives final answers.
-        retries: whether a request may be sent again.
+        retries: decides whether a request may be retried.
         placement: selects workers.
-        scheduler: the reservations.
+        scheduler: the capacity reservations.
         reservation: reserves capacity for large requests.
         sender: sends attempts.
     """
@@ -50,15 +50,15 @@
     sender: AttemptSender
 
     def place_queued(self) -> None:
-        """Place the queued requests, highest priority first, as far as there is capacity.
+        """Send the queued requests, highest priority first, while there is capacity.
 
-        Requests that can only be late, or may not be sent again, get their final answer instead.
+        Requests that can only be late, or may no longer be retried, get their final answer instead.
         """
         now_ns = self.context.now_ns
         is_list_expired = now_ns >= self.lease.until_ns
         self.index_refresh.begin_placement()
-        # By job class and slots: least memory of a request that found no worker. Requests of the same kind
-        # that need as much are skipped in this step.
+        # By job class and slots: the least memory of a request that found no worker. Requests of the same
+        # class and slots that need at least as much memory are skipped in this step.
         blocked_memory: dict[tuple[int, float], float] = {}
         for job in self.order.ranked():
             request, possibly_executed = job.request, job.possibly_executed
@@ -74,9 +74,9 @@
                 continue
             if is_list_expired or now_ns < job.retry_not_before_ns:
                 continue
-            kind = (request.job_class, request.slots)
+            placement_key = (request.job_class, request.slots)
             is_first_attempt = possibly_executed is None
-            is_blocked = is_first_attempt and request.memory >= blocked_memory.get(kind, math.inf)
+            is_blocked = is_first_attempt and request.memory >= blocked_memory.get(placement_key, math.inf)
             worker = None if is_blocked else self.placement.select_worker(job)
             if worker is None and self.scheduler.handles(request.slots):
                 worker = self.reservation.reserve_capacity(job)
@@ -84,4 +84,4 @@
                 self.sender.send(job, worker)
                 del self.requests.queued[request.request_id]
             elif not is_blocked and is_first_attempt and now_ns - job.last_probed_ns >= PROBE_WAIT_NS:
-                blocked_memory[kind] = request.memory
+                blocked_memory[placement_key] = request.memory
--- a/weldquay/policy/runtime_model.py
+++ b/weldquay/policy/runtime_model.py
@@ -42,9 +42,11 @@
 
     def attempt_slowness(self, attempt: Attempt) -> float:
         """Return the logarithm of the ratio of the attempt's running time so far to the expected one."""
-        usual_ns = self.expected_ns(attempt.job) * self.estimator.relative_runtime(attempt.worker.entry.kind)
+        reference_ns = self.expected_ns(attempt.job) * self.estimator.relative_runtime(
+            attempt.worker.entry.kind
+        )
         age_ns = self.context.now_ns - attempt.started_ns
-        return math.log((age_ns + RUNTIME_TOLERANCE_NS) / (usual_ns + RUNTIME_TOLERANCE_NS))
+        return math.log((age_ns + RUNTIME_TOLERANCE_NS) / (reference_ns + RUNTIME_TOLERANCE_NS))
 
     def worker_slowness(self, worker: Worker) -> float:
         """Return the logarithm of how many times slower than its machine kind the worker is.
@@ -53,10 +55,10 @@
         attempts.
         """
         value, measured_ns = worker.slowness
-        last = value * math.exp((measured_ns - self.context.now_ns) / SLOWNESS_DECAY_NS)
+        decayed_slowness = value * math.exp((measured_ns - self.context.now_ns) / SLOWNESS_DECAY_NS)
         return max(
             [
-                last,
+                decayed_slowness,
                 *(
                     self.attempt_slowness(attempt)
                     for attempt in worker.in_flight.values()
