--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Placement: which worker gets a request, by load reports, probes and own sends."""
+"""Placement: which worker gets a request, based on load reports, probes and own sends."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def test_draining_removed_and_unlisted_workers_get_no_requests(
     kind: api.EndpointListKind, entry: api.WorkerEntry
 ) -> None:
-    """This holds from the step with the update on."""
+    """An update takes effect in the step that receives it."""
     drive = Drive(settings(may_probe=False), workers=2)
     drive.step(api.EndpointListUpdate(kind, (entry,)))
     actions = drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)])
@@ -31,7 +31,7 @@
 
 
 def test_warming_worker_gets_its_budget_only() -> None:
-    """A worker that has just started gets few requests at once, and more as it warms up."""
+    """A worker that has just started gets only the work of its slow start budget, later as much as others."""
     drive = Drive(workers=1)
     fresh = api.WorkerEntry(1, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)))
@@ -45,7 +45,7 @@
 
 
 def test_worker_without_report_has_the_mean_load_of_its_zone() -> None:
-    """Incident i35f28b: workers that answer and never report must not look like the least loaded ones."""
+    """Incident i35f28b: workers that answer but never report must not count as the least loaded ones."""
     drive = Drive(settings(may_probe=False), workers=3)
     for worker in (1, 2):
         drive.report(worker, 0.0)
@@ -57,14 +57,14 @@
 
 
 def test_idle_dispatcher_sends_no_probes_and_sets_no_timers() -> None:
-    """With many dispatchers and workers, regular probes would have most of the cost."""
+    """With many dispatchers and workers, periodic probes would be most of the cost."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     drive.step(*[api.TimerDue(1)] * 3, after=SECOND)
     assert not drive.all
 
 
 def test_request_waits_for_probes_and_goes_to_a_worker_with_room() -> None:
-    """A few random workers are probed for it."""
+    """Two to five random workers are probed before the request is placed."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     actions = drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     probed = [action.worker for action in actions if isinstance(action, api.Probe)]
@@ -77,14 +77,14 @@
 
 
 def test_lost_probes_delay_a_request_only_briefly() -> None:
-    """The request is placed by what is known."""
+    """Without probe results, it is placed by the existing load estimates."""
     drive = Drive(settings(dispatcher_count=150), workers=80)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     assert len(sends(drive.run(100 * MS))) == 1
 
 
 def test_requests_cross_zones_only_when_the_own_zone_is_full() -> None:
-    """This holds where crossing zones has a cost."""
+    """This holds if crossing zones has a cost."""
     for seed in range(20):
         drive = Drive(settings(cross_zone_cost=0.03), workers=1, seed=seed)
         far = api.WorkerEntry(9, api.WorkerState.READY, zone=1)
@@ -121,7 +121,7 @@
 
 
 def test_faster_machine_kind_gets_more_requests() -> None:
-    """Workers of one kind take half the time: once that is learnt they get about twice the requests."""
+    """Once it is learned that one kind takes half the time, its workers get about twice the requests."""
     drive = Drive(settings(may_probe=False, reports_start=True), workers=0)
     entries = tuple(api.WorkerEntry(w, api.WorkerState.READY, kind=w % 2) for w in range(1, 9))
     drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, entries))
@@ -136,7 +136,7 @@
 
 
 def test_report_interval_is_learnt_from_repeated_reports() -> None:
-    """Reports are refreshed every 0.9 s and read every 0.1 s."""
+    """The figures change every 0.9 s and are received every 0.1 s."""
     drive = Drive(workers=1)
     for number in range(1, 400):
         drive.now += 100 * MS
@@ -145,7 +145,7 @@
 
 
 def test_repeated_report_does_not_hide_own_sends() -> None:
-    """A request sent after the report was made is not in it, however often it is repeated."""
+    """A report does not contain requests sent after it was made, however often it is received again."""
     drive = Drive(workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
@@ -157,7 +157,7 @@
 
 
 def test_overloaded_probes_stop_sends_to_workers_without_reports() -> None:
-    """Rejected probes mean full workers; otherwise the old mean load would apply."""
+    """Rejected probes show that workers are full; without that, the old mean load would be used."""
     drive = Drive(settings(dispatcher_count=150), workers=40)
     for worker in drive.worker_ids:
         drive.step(api.ProbeEnded(worker, Outcome.OVERLOADED, MS))
@@ -167,7 +167,7 @@
 
 
 def test_worker_without_report_has_no_fresh_report_near_clock_zero() -> None:
-    """The clock has no special start, so the first moments after zero need probes too."""
+    """The clock may start at any value, so a worker without a report has to be probed near zero too."""
     drive = Drive(workers=0)
     drive.dispatcher = Dispatcher(settings(), 1)
     drive.worker_ids = [1, 2, 3]
@@ -177,7 +177,7 @@
 
 
 def test_many_dispatchers_share_the_budget_of_warming_workers() -> None:
-    """After a mass crash, 150 dispatchers with more requests than room take turns at the warming workers."""
+    """After a mass crash, 150 dispatchers with more requests than capacity share the slow start budgets."""
     sent: Counter[int] = Counter()
     for dispatcher_index in range(150):
         drive = Drive(
@@ -193,13 +193,13 @@
             send.worker
             for send in sends(drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in range(20)]))
         )
-    # N is 2.4: 2 slots at a fifth, three times that for 2 s, of jobs of 1 s.
+    # The budget is 2.4 jobs of 1 s: 0.2 x 2 slots x overload multiple 3 x 2 s.
     assert max(sent[worker] for worker in range(1, 21)) <= 2.4 + 2 * 2.4**0.5 + 2
     assert sum(sent[worker] for worker in range(1, 21)) > 10
 
 
 def test_worker_with_an_unstarted_attempt_gets_no_further_request() -> None:
-    """Its report still shows free slots, but the attempt that has not started shows a queue."""
+    """Its report still shows free slots, but an unstarted attempt shows that requests are queued."""
     drive = Drive(settings(reports_start=True, may_probe=False, workers_queue_in_order=True), workers=2)
     drive.report(2, 0.0)
     drive.report(1, 4.0)
@@ -208,12 +208,12 @@
     drive.report(1, 4.1)
     drive.report(2, 0.0)
     assert send.worker == 1 and not sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))
-    again = drive.step(api.AttemptProgress(1, 0, 1)) + drive.run(200 * MS)
-    assert [send.worker for send in sends(again)] == [1]
+    later_actions = drive.step(api.AttemptProgress(1, 0, 1)) + drive.run(200 * MS)
+    assert [send.worker for send in sends(later_actions)] == [1]
 
 
 def test_report_interval_is_learnt_from_rare_reports() -> None:
-    """The reports are refreshed every second and read every 0.8 s."""
+    """The figures change every 1 s and are received every 0.8 s."""
     drive = Drive(settings(may_probe=False), workers=1)
     for number in range(40):
         drive.report(1, 3.0 + int(number * 0.8) * 0.001)
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to answer: attempts, retries, the queue and the final answer."""
+"""Requests from arrival to answer: attempts, retries, queue order and the final answer."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 def test_request_not_executed_or_idempotent_is_retried_elsewhere(
     idempotency: Idempotency, outcome: Outcome
 ) -> None:
-    """After an attempt that was not executed any request is retried; an idempotent one may run twice."""
+    """Any request is retried after an attempt that was not executed, an idempotent one after any failure."""
     drive, send = started(idempotency)
-    (again,) = sends(drive.end(send, outcome))
-    assert again.request_id == 7 and again.worker != send.worker
+    (retry,) = sends(drive.end(send, outcome))
+    assert retry.request_id == 7 and retry.worker != send.worker
 
 
 @pytest.mark.parametrize(
@@ -39,9 +39,10 @@
     ],
 )
 def test_request_that_must_not_be_retried_fails_at_once(idempotency: Idempotency, outcome: Outcome) -> None:
-    """No retry and no rejection, after which a client would send it again.
+    """It is neither retried nor rejected, as a client may retry a rejected request.
 
-    This holds for a non-idempotent request that may have run, and for one that no worker can process.
+    This holds for a non-idempotent request that may have been executed, and for one that no worker can
+    process.
     """
     drive, send = started(idempotency)
     actions = drive.end(send, outcome)
@@ -50,7 +51,7 @@
 
 
 def test_shutdown_accepts_only_requests_that_can_finish() -> None:
-    """A long request is rejected at once, for another dispatcher; the others are answered before the end."""
+    """A request that would end too late is rejected at once, for another dispatcher; others are answered."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.step(api.ShutdownStarted(3 * SECOND))
     drive.report(2, 4.0)
@@ -65,16 +66,16 @@
 
 @pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED)
 def test_idempotency_key_limits_retries_to_scope_and_window(outcome: Outcome) -> None:
-    """Retries with a key go to workers that recognise it, while they do."""
+    """Retries with a key go only to workers that recognise the key, and only while they do."""
     drive, send = started(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL)
-    (again,) = sends(drive.end(send, outcome))
-    assert again.worker // 2 == send.worker // 2
+    (retry,) = sends(drive.end(send, outcome))
+    assert retry.worker // 2 == send.worker // 2
     drive.run(4 * SECOND)
-    assert finals(drive.end(again, outcome, attempt=1)) == [api.Fail(7)]
+    assert finals(drive.end(retry, outcome, attempt=1)) == [api.Fail(7)]
 
 
 def test_success_is_final() -> None:
-    """After the answer, later events of the request cause nothing."""
+    """Later events of an answered request cause neither a send nor another answer."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.end(send, Outcome.OK, over=True)
     later = drive.end(send, Outcome.ERROR) + drive.step(api.ClientDisconnected(7)) + drive.run(11 * SECOND)
@@ -82,7 +83,7 @@
 
 
 def test_unknown_ids_are_ignored() -> None:
-    """Late, repeated and unknown events change nothing and raise nothing, but for an unknown class."""
+    """Events with unknown ids change nothing and raise nothing, except for a request of an unknown class."""
     drive = Drive()
     drive.step(
         api.AttemptEnded(5, 0, 99, Outcome.OK, 1, True),
@@ -107,19 +108,19 @@
 
 
 def test_attempts_are_limited() -> None:
-    """No more attempts than allowed, then one answer."""
+    """After the maximum number of attempts, the request gets one final answer."""
     drive, send = started(Idempotency.IDEMPOTENT)
     count = 1
     for number in range(6):
-        again = sends(drive.end(send, Outcome.ERROR, attempt=number))
-        if not again:
+        retry = sends(drive.end(send, Outcome.ERROR, attempt=number))
+        if not retry:
             break
-        send, count = again[0], count + 1
+        send, count = retry[0], count + 1
     assert count == 4 and len(finals(drive.all)) == 1
 
 
 def test_queued_request_with_the_highest_weight_is_placed_first() -> None:
-    """Worker queues are first in, first out; the dispatcher's queue is ordered by priority."""
+    """Workers serve their queues first in, first out; the dispatcher orders its own queue by priority."""
     classes = (
         job_class(priority_weight=1.0, latency_objective_ns=5 * SECOND),
         job_class(priority_weight=9.0, latency_objective_ns=5 * SECOND),
@@ -135,7 +136,7 @@
 
 
 def test_queued_request_that_can_only_be_late_is_rejected() -> None:
-    """It has no value when late, and a repeat by the client does no harm."""
+    """A late result has no value, and the client can safely retry the request."""
     drive = Drive(workers=1)
     drive.report(1, 0.0)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
@@ -143,7 +144,7 @@
 
 
 def test_failed_poll_is_repeated() -> None:
-    """Discovery is polled again within two seconds of a failure."""
+    """Discovery is polled again within 2 s of a failed poll."""
     drive = Drive(settings(polls_endpoint_list=True))
     assert api.WatchEndpoints() in drive.all
     drive.all.clear()
@@ -152,31 +153,31 @@
 
 
 def test_same_seed_and_events_give_same_actions() -> None:
-    """All random choices follow from the seed."""
+    """All random choices depend only on the seed and the events."""
     one, two = started(Idempotency.IDEMPOTENT)[0], started(Idempotency.IDEMPOTENT)[0]
     assert one.all == two.all
 
 
 def test_second_overload_delays_the_next_attempt() -> None:
-    """Incident i7b06d9: with every worker full, a request used up 4 to 10 attempts within moments."""
+    """Incident i7b06d9: with all workers full, a request used up its 4 to 10 attempts within moments."""
     drive = Drive(settings(may_probe=False), workers=8)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
-    (again,) = sends(drive.end(send, Outcome.OVERLOADED))
-    assert not sends(drive.end(again, Outcome.OVERLOADED, attempt=1))
+    (retry,) = sends(drive.end(send, Outcome.OVERLOADED))
+    assert not sends(drive.end(retry, Outcome.OVERLOADED, attempt=1))
     assert len(sends(drive.run(SECOND))) == 1
 
 
 def test_repeat_of_a_rejected_request_keeps_its_age() -> None:
-    """A repeat that can only be late must not take room from a request that is on time.
+    """A client's retry that can only be late must not take capacity from a request that is on time.
 
-    A shorter timeout alone does not mark a repeat.
+    A shorter timeout alone does not make a request a retry.
     """
     drive = Drive(settings(may_probe=False, max_retry_after_ns=2 * SECOND), workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     drive.step(api.RequestReceived(2, 0, 10 * SECOND, key=7))
-    (refusal,) = finals(drive.run(2 * SECOND))
-    assert isinstance(refusal, api.Reject) and 0 < refusal.retry_after_ns <= 2 * SECOND
+    (rejection,) = finals(drive.run(2 * SECOND))
+    assert isinstance(rejection, api.Reject) and 0 < rejection.retry_after_ns <= 2 * SECOND
     drive.end(first, Outcome.OK, over=True)
     actions = drive.step(
         api.RequestReceived(3, 0, 7 * SECOND, key=7), api.RequestReceived(4, 0, 7 * SECOND, key=8)
@@ -186,14 +187,14 @@
 
 
 def test_late_request_that_may_have_run_is_not_queued_again() -> None:
-    """It is answered at once instead of at its deadline."""
+    """A request that can only be late is answered at once, not at its deadline."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.now += 3 * SECOND
     assert finals(drive.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
 
 def test_snapshots_restore_load_and_slow_start() -> None:
-    """A new process has the loads and the slow start budgets of the process that it replaces."""
+    """After a hot restart, the newer process has the loads and slow start budgets of the older one."""
     drive = Drive(workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
@@ -219,7 +220,7 @@
 
 
 def test_requests_keep_the_settings_they_were_accepted_with() -> None:
-    """Changed settings apply to later requests only."""
+    """Changed settings apply only to requests that arrive later."""
     drive = Drive(settings(max_attempts=2), workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
@@ -242,9 +243,9 @@
 def test_priority_falls_while_a_request_without_a_hint_waits(
     waits_ms: tuple[int, ...], hint_ns: int, order: list[int]
 ) -> None:
-    """It does not fall within half of the objective, nor with a runtime hint."""
+    """It does not fall within half of the latency objective, nor with a runtime hint."""
     drive = Drive(settings(classes=(job_class(),), may_probe=False), workers=1)
-    drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # these fill the worker
+    drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # they fill the worker
     begun_ns = drive.now
     for number, wait_ms in enumerate(waits_ms, start=1):
         drive.now = begun_ns + (waits_ms[0] - wait_ms) * MS
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""A client's retry is as old as its first attempt, where its fingerprint shows which that was."""
+"""A client's retry keeps the age of the rejected request that its fingerprint identifies."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def send_and_reject(drive: Drive, request: api.RequestReceived) -> None:
-    """Let a request find the only worker full, until it can only be late and is rejected."""
+    """Send a request while the only worker is full, and run until it can only be late and is rejected."""
     drive.report(1, 0.0)
     drive.step(request)
     assert finals(drive.run(4 * SECOND)) == [api.Reject(request.request_id)]
 
 
 def test_equal_requests_without_key_and_hint_are_not_repeats() -> None:
-    """A new request that equals a rejected one is placed where there is room."""
+    """A new request with the same values as a rejected one is placed if there is capacity."""
     drive = Drive(workers=1)
     send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND))
     drive.report(1, 1.0)
@@ -22,7 +22,7 @@
 
 
 def test_repeat_with_the_same_hint_keeps_its_age() -> None:
-    """It is as late as the rejected request and is rejected; one with another hint is a new request."""
+    """It is as late as the rejected request, so it is rejected; with another hint it is a new request."""
     drive = Drive(workers=1)
     send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND, runtime_hint_ns=200 * MS))
     drive.report(1, 1.0)
--- a/tests/test_water_fill.py
+++ b/tests/test_water_fill.py
@@ -1,4 +1,4 @@
-"""The water-fill: the worked example of the paper, properties and rates."""
+"""The water-fill: the example of the paper, properties of the shares, and different rates."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_ties_and_edge_cases() -> None:
-    """One worker takes all; equal loads get equal shares; arrivals count as at least 2."""
+    """One worker gets everything, equal loads get equal shares, and at least 2 arrivals are assumed."""
     assert water_fill([5.0], 1) == [1.0]
     assert water_fill([], 5) == []
     assert water_fill([-2.0, -2.0, -2.0], 9) == pytest.approx([1 / 3] * 3)
@@ -33,7 +33,7 @@
 @settings(derandomize=True)
 @given(LOADS, ARRIVALS, st.floats(-20, 20))
 def test_shares(loads: list[float], m: float, shift: float) -> None:
-    """Sum 1, no negative share, order kept, one level over the used workers, no change by a shift."""
+    """Shares sum to 1, are not negative, fall with the load, fill workers to one level and ignore a shift."""
     shares = water_fill(loads, m)
     assert sum(shares) == pytest.approx(1.0)
     assert min(shares) >= 0.0
@@ -45,14 +45,14 @@
 
 
 def test_equal_rates_change_nothing() -> None:
-    """Theorem 4 is the case of equal rates, whatever the zero of the loads."""
+    """With equal rates the result is that of Theorem 4, also if all loads are shifted."""
     loads = [0.0, 1.0, 2.5, 4.0]
-    plain = water_fill(loads, 6.0)
-    assert water_fill([load + 3 for load in loads], 6.0, [1.0] * 4) == pytest.approx(plain)
+    shares_without_rates = water_fill(loads, 6.0)
+    assert water_fill([load + 3 for load in loads], 6.0, [1.0] * 4) == pytest.approx(shares_without_rates)
 
 
 def test_shares_follow_rates_with_many_arrivals() -> None:
-    """A worker twice as fast gets twice the requests; one with too long a queue gets none."""
+    """A worker that is twice as fast gets twice the requests; one whose queue is too long gets none."""
     assert water_fill([0.0, 0.0], 100.0, [1.5, 0.75]) == pytest.approx([2 / 3, 1 / 3])
     shares = water_fill([0.0, 3.0], 2.0, [1.2, 0.8])
     assert shares == pytest.approx([1.0, 0.0]) and sum(shares) == pytest.approx(1.0)
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -1,4 +1,4 @@
-"""Health of workers: failing, slow, silent, overloaded and banned ones get no requests."""
+"""Worker health: failing, slow, unresponsive, overloaded and banned workers get no requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_worker_that_fails_repeatedly_backs_off() -> None:
-    """It reports free slots all the while; it is tried again with idempotent requests first."""
+    """It reports free slots throughout; after the backoff, idempotent requests are sent to it first."""
     classes = (job_class(), job_class(idempotency=Idempotency.NON_IDEMPOTENT))
     drive = Drive(settings(classes=classes, max_attempts=2), workers=1)
     for number in range(2):
@@ -48,38 +48,38 @@
 
 
 def test_silent_worker_is_ejected_and_its_idempotent_request_is_retried() -> None:
-    """A worker that sends no sign of life gets no requests, and its retryable attempts are cancelled."""
+    """A worker that does not respond gets no requests, and its retryable attempts are cancelled."""
     drive, send = started(Idempotency.IDEMPOTENT, latency_objective_ns=6 * SECOND)
     actions = drive.run(3 * SECOND)
     assert api.Cancel(7, 0) in actions
-    again, *_ = sends(drive.end(send, Outcome.CANCELLED) + drive.run(2 * SECOND))
-    assert again.worker != send.worker
+    retry, *_ = sends(drive.end(send, Outcome.CANCELLED) + drive.run(2 * SECOND))
+    assert retry.worker != send.worker
 
 
 def test_non_idempotent_attempt_at_a_silent_worker_is_not_cancelled() -> None:
-    """It may still be answered."""
+    """The worker may still answer it."""
     drive, _ = started(Idempotency.NON_IDEMPOTENT)
     assert not any(isinstance(action, api.Cancel) for action in drive.run(5 * SECOND))
 
 
 def test_backoff_grows_with_rejections_in_a_row() -> None:
-    """Incident i35f28b: reports showed room that was not there."""
+    """Incident i35f28b: workers reported free slots but rejected requests."""
     drive = Drive(workers=1)
-    gaps = []
+    backoffs = []
     drive.report(1, 3.0)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     for number in range(2):
         since = drive.now
         drive.end(send, Outcome.OVERLOADED, attempt=number)
-        while not (again := sends(drive.step(api.TimerDue(1), after=20 * MS))):
+        while not (retry := sends(drive.step(api.TimerDue(1), after=20 * MS))):
             continue
-        gaps.append(drive.now - since)
-        send = again[0]
-    assert gaps[0] >= 200 * MS and gaps[1] >= 1.5 * gaps[0]
+        backoffs.append(drive.now - since)
+        send = retry[0]
+    assert backoffs[0] >= 200 * MS and backoffs[1] >= 1.5 * backoffs[0]
 
 
 def test_rejected_probe_is_not_a_failure() -> None:
-    """Workers limit probes: a rejection shows that the worker is alive."""
+    """Workers limit the rate of probes, so a rejected probe shows that the worker is alive."""
     drive = Drive(workers=2)
     drive.report(2, 1.0)
     for _ in range(5):
@@ -88,7 +88,7 @@
 
 
 def test_slow_worker_gets_no_requests() -> None:
-    """It reports free slots as before. A running request shows it, and for a while after its end."""
+    """It still reports free slots. A running request shows the slowness, also for a while after its end."""
     drive = Drive(settings(reports_start=True), workers=3)
     slow: api.Send | None = None
     for number in range(60):
@@ -98,7 +98,7 @@
         assert slow is None or number < 10 or send.worker != slow.worker
         drive.step(api.AttemptProgress(number, 0, send.worker), after=MS)
         if slow is None:
-            slow = send  # this one does not end
+            slow = send  # this attempt does not end
         elif send.worker != slow.worker:
             drive.step(after=100 * MS)
             drive.end(send, Outcome.OK, over=True)
@@ -115,7 +115,7 @@
 
 
 def attempt_on_idle_connection(**changes: Any) -> tuple[Drive, api.Send]:
-    """Return a worker that served one request, and the send of another after two idle seconds."""
+    """Return a dispatcher whose worker served a request, and the send of another after 2 s of idle time."""
     drive = Drive(settings(may_probe=False, **changes), workers=1)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     drive.end(send, Outcome.OK, over=True)
@@ -123,10 +123,10 @@
 
 
 def test_reset_of_an_idle_connection_closes_idle_connections_before_the_next_send() -> None:
-    """Connections are dropped without notice while idle; later they are reused again."""
+    """Workers may drop idle connections without notice; after some time they are reused again."""
     drive, send = attempt_on_idle_connection()
-    (again,) = sends(drive.end(send, Outcome.RESET)) or sends(drive.run(100 * MS))
-    drive.end(again, Outcome.OK, attempt=1, over=True)
+    (retry,) = sends(drive.end(send, Outcome.RESET)) or sends(drive.run(100 * MS))
+    drive.end(retry, Outcome.OK, attempt=1, over=True)
     actions = drive.step(api.RequestReceived(3, 0, 10 * SECOND), after=2 * SECOND)
     assert actions.index(api.CloseIdleConnections(1)) < actions.index(api.Send(3, 1))
     drive.step(api.AttemptEnded(3, 0, 1, Outcome.OK, MS, True), after=60 * SECOND)
@@ -135,7 +135,7 @@
 
 
 def test_banned_worker_gets_nothing_until_its_ban_is_lifted() -> None:
-    """Neither requests nor probes, whatever the list says; then it is probed at once and warms up."""
+    """Whatever the list says, it gets neither requests nor probes; then it is probed at once and warms up."""
     drive = Drive(settings(initial_capacity_fraction=0.2, overload_window_ns=2 * SECOND), workers=1)
     drive.report(1, 4.0)
     drive.step(api.WorkerBanChanged(1))
@@ -149,14 +149,14 @@
     assert send.worker == 1
     drive.step(api.RequestReceived(2, 0, 5 * SECOND, runtime_hint_ns=60 * SECOND))
     drive.report(1, 4.0)
-    assert not sends(drive.run(SECOND))  # more work than the budget of a warming worker
+    assert not sends(drive.run(SECOND))  # more work than its slow start budget
     assert sends(
         drive.step(api.RequestReceived(3, 0, 5 * SECOND, runtime_hint_ns=100 * MS)) + drive.report(1, 4.0)
     )
 
 
 def test_ban_of_an_unlisted_worker_applies_once_it_is_listed() -> None:
-    """This is the order at the start of a process after an upgrade."""
+    """This is the order of events when a newer process starts."""
     drive = Drive(workers=0)
     drive.step(api.WorkerBanChanged(1))
     drive.worker_ids = [1]
@@ -166,7 +166,7 @@
 
 
 def test_reinstated_worker_gets_the_next_eligible_request() -> None:
-    """Otherwise a water-fill over many workers may leave it unused for long."""
+    """Otherwise a water-fill over many workers could leave it unused for a long time."""
     for seed in range(8):
         drive = Drive(workers=6, seed=seed)
         drive.step(api.WorkerBanChanged(6))
@@ -179,15 +179,15 @@
 
 
 def test_reported_service_time_excludes_a_slow_worker_before_own_attempts() -> None:
-    """All dispatchers detect it by its reports, without attempts of their own."""
+    """All dispatchers detect it from its load reports, without attempts of their own."""
     drive = Drive(workers=4)
-    for number in range(6):  # a report with the same figures again would not count
+    for number in range(6):  # a report with unchanged figures would not count
         for worker in drive.worker_ids:
             drive.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(1, 9)]
     chosen = [send.worker for send in sends(drive.step(*jobs))]
     assert len(chosen) == 8 and 1 not in chosen
-    for worker in drive.worker_ids:  # once it is as fast as the others it gets requests again
+    for worker in drive.worker_ids:  # it gets requests again once it is as fast as the others
         for number in range(6):
             drive.report(worker, 3.0, service_ms=500.0 + number)
     later = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(9, 40)]
@@ -195,7 +195,7 @@
 
 
 def test_service_time_counts_once_its_kind_has_ten_samples() -> None:
-    """A worker's service time is compared with the mean of its machine kind."""
+    """A worker's service time is compared with the mean of its machine kind, once that is known."""
     estimator = RuntimeEstimator([SECOND])
     assert estimator.apply_service_time(0, 4000.0, 0.1) == 0.1
     for _ in range(10):
@@ -209,7 +209,7 @@
 
 
 def test_service_time_of_a_warming_worker_is_ignored() -> None:
-    """A worker that has just started is slow by design."""
+    """A worker that has just started is expected to be slow."""
     drive = Drive(workers=4)
     entries = [
         api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=drive.now if w == 1 else 0)
@@ -220,4 +220,4 @@
         for worker in drive.worker_ids:
             drive.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     assert drive.dispatcher.workers[1].slowness[0] == 0.0
-    assert drive.dispatcher.components.runtimes.service[0][1] == 18  # the three warm ones, six times
+    assert drive.dispatcher.components.runtimes.service[0][1] == 18  # 3 workers, 6 reports each
