--- a/tests/test_hot_restart_codec.py
+++ b/tests/test_hot_restart_codec.py
@@ -188,7 +188,7 @@
         worker.consecutive_probe_failures, worker.failure_score = (3, 1.0)
         restore_snapshot(worker, message.snapshot)
         assert take_snapshot(worker) == message.snapshot
-        worker.record_change(300_000_000_000, 1.0, 0.0)  # the restored collections are mutable
+        worker.record_load_change(300_000_000_000, 1.0, 0.0)  # the restored collections are mutable
         worker.slow_start_sends.clear()
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -30,7 +30,7 @@
 from weldquay.net.config import read
 from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
-from weldquay.policy.worker_table import MAX_DEPARTED
+from weldquay.policy.worker_table import MAX_REMOVED_WORKERS
 
 SOCKETS, MEMORY_MB = 576, 88
 SPARE = 2  # descriptors that are never taken
@@ -102,10 +102,12 @@
     drive.step(drive.list_of(api.EndpointListKind.FULL))
     assert len(here.ready_workers) == count and here.workers[7].is_ejected
     drive.step(changes(range(push.worker, push.worker + 1), GONE))
-    for first in range(count + 1, count + 1 + 3 * MAX_DEPARTED, 512):  # ids that change at each restart
+    for first in range(
+        count + 1, count + 1 + 3 * MAX_REMOVED_WORKERS, 512
+    ):  # ids that change at each restart
         drive.step(changes(range(first, first + 512), READY))
         drive.step(changes(range(first, first + 512), GONE))
-        assert len(here.workers) <= count + MAX_DEPARTED
+        assert len(here.workers) <= count + MAX_REMOVED_WORKERS
     assert push.worker in here.workers and {worker.entry.worker for worker in here.ready_workers} == {
         number for number in range(1, count + 1) if number != push.worker
     }
@@ -114,8 +116,8 @@
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sorting 1,400 workers anew for each of 1,400 changes would take seconds."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", counted)
     drive.step(*(changes(range(number, number + 1), GONE) for number in range(1, 701)))
     assert counted.call_count == 1 and len(drive.dispatcher.ready_workers) == 700
     assert {worker.entry.worker for worker in drive.dispatcher.table.subset} <= set(range(701, 1401))
@@ -131,8 +133,8 @@
 ) -> None:
     """An empty line comes every 2 s."""
     drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
+    counted = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", counted)
     drive.step(api.EndpointListUpdate(kind))
     assert counted.call_count == 0 and len(drive.dispatcher.ready_workers) == 1400
 
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: events in, actions out."""
+"""The dispatcher: takes events and returns actions."""
 
 from __future__ import annotations
 
@@ -25,57 +25,57 @@
     WorkerSnapshot,
     WorkerStateRestored,
 )
-from weldquay.policy.assembly import DispatcherParts
+from weldquay.policy.assembly import PolicyComponents
 from weldquay.policy.timers import NOT_SCHEDULED
 from weldquay.state.records import Worker
 
 
 class Dispatcher:
-    """One dispatcher: `step` takes events and returns the actions to carry out.
+    """Makes the decisions of one dispatcher: `step` takes events and returns the actions to execute.
 
     It does no I/O and reads no clock. Events about unknown requests, attempts and workers are ignored.
 
     Attributes:
-        parts: the objects that make the decisions.
-        context: the step.
-        table: the workers and the sets of them.
-        scheduler: the reservations.
-        lease: until when the endpoint list may be acted on.
+        components: the objects that make the decisions.
+        context: the state of the current step.
+        table: all workers, and which of them are ready, banned or reinstated.
+        scheduler: the capacity reservations.
+        lease: limits how long the endpoint list may be used.
         workers: the workers by number.
         jobs: the requests without a final answer, by request id.
         attempts: the attempts in flight, by request id and attempt number.
-        handlers: the method that handles each type of event; other events only cause a step.
+        handlers: the method that handles each type of event; events of other types only cause a step.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start with no workers and no requests.
 
         Args:
-            settings: the settings, until a `SettingsChanged` event.
-            seed: of the random generator.
+            settings: the settings, until a `SettingsChanged` event replaces them.
+            seed: seed of the random generator.
         """
-        parts = self.parts = DispatcherParts(settings, seed)
-        self.context = parts.context
-        self.table = parts.table
-        self.scheduler = parts.scheduler
-        self.lease = parts.lease
-        self.workers = parts.table.workers
-        self.jobs = parts.requests.jobs
-        self.attempts = parts.requests.attempts
+        components = self.components = PolicyComponents(settings, seed)
+        self.context = components.context
+        self.table = components.table
+        self.scheduler = components.scheduler
+        self.lease = components.lease
+        self.workers = components.table.workers
+        self.jobs = components.requests.jobs
+        self.attempts = components.requests.attempts
         self.handlers: dict[type, Callable[[Any], object]] = {
-            RequestReceived: parts.open_requests.accept,
-            AttemptEnded: parts.outcomes.apply,
-            AttemptProgress: parts.outcomes.record_progress,
-            ShutdownStarted: parts.open_requests.start_shutdown,
-            ProbeEnded: parts.probe_results.apply,
-            EndpointListUpdate: parts.endpoint_list.apply_update,
-            DiscoveryObservation: parts.endpoint_list.apply_observation,
+            RequestReceived: components.open_requests.accept,
+            AttemptEnded: components.outcomes.apply,
+            AttemptProgress: components.outcomes.record_progress,
+            ShutdownStarted: components.open_requests.start_shutdown,
+            ProbeEnded: components.probe_results.apply,
+            EndpointListUpdate: components.endpoint_list.apply_update,
+            DiscoveryObservation: components.endpoint_list.apply_observation,
             SettingsChanged: self.reconfigure,
-            WorkerBanChanged: parts.endpoint_list.change_ban,
-            WorkerStateRestored: parts.table.restore,
-            RequestMigrated: parts.open_requests.adopt,
-            ResponseStarted: parts.open_requests.begin_response,
-            ClientDisconnected: parts.open_requests.disconnect,
+            WorkerBanChanged: components.endpoint_list.apply_ban_change,
+            WorkerStateRestored: components.table.restore,
+            RequestMigrated: components.open_requests.resume_migrated,
+            ResponseStarted: components.open_requests.record_response_start,
+            ClientDisconnected: components.open_requests.handle_disconnect,
         }
 
     @property
@@ -89,21 +89,21 @@
         return self.table.ready_workers
 
     def snapshots(self) -> dict[int, WorkerSnapshot]:
-        """Return the state of each worker, for the process that replaces this one."""
+        """Return the state of each worker, by number, for the process that replaces this one."""
         return self.table.snapshots()
 
     def step(self, now_ns: int, events: list[Event]) -> list[Action]:
-        """Handle the events of a step and return the actions that follow, in order.
+        """Handle the events of a step and return the resulting actions, in order.
 
         Args:
             now_ns: time of the step, in nanoseconds of a monotonic clock.
-            events: what came since the last step, in order; may be empty.
+            events: the events since the last step, in order; may be empty.
 
         Raises:
             IndexError: a request names an unknown class.
         """
-        context, endpoint_list, index = self.context, self.parts.endpoint_list, self.parts.index
-        is_first = not context.started_ns
+        context, endpoint_list, index = self.context, self.components.endpoint_list, self.components.index
+        is_first_step = not context.started_ns
         context.started_ns = context.started_ns or now_ns
         context.now_ns = now_ns
         context.actions = []
@@ -111,15 +111,15 @@
             index.changed[getattr(event, "worker", 0)] = None
             if (handle := self.handlers.get(type(event))) is not None:
                 handle(event)
-        if endpoint_list.has_changed:  # once for all changes of a step
+        if endpoint_list.has_changed:  # computed once for all changes of a step
             endpoint_list.refresh_ready_workers()
-        if is_first and context.settings.polls_endpoint_list:
+        if is_first_step and context.settings.polls_endpoint_list:
             endpoint_list.schedule_first_poll()
         self.run_due_work(any(not isinstance(event, AttemptProgress) for event in events))
         return context.actions
 
     def reconfigure(self, event: SettingsChanged) -> None:
-        """Apply other settings; requests keep the class settings with which they were accepted."""
+        """Apply changed settings; open requests keep the class settings they were accepted with."""
         settings = self.context.settings = event.settings
         self.scheduler.reconfigure(
             self.context.now_ns,
@@ -127,30 +127,32 @@
             settings.dispatcher_count,
             settings.workers_queue_in_order,
         )
-        self.parts.runtimes.configure_classes(
+        self.components.runtimes.configure_classes(
             (rules.latency_objective_ns for rules in settings.classes),
             (rules.is_offered for rules in settings.classes),
         )
-        self.parts.slow_start.reconfigure()
-        self.parts.endpoint_list.reconfigure()
+        self.components.slow_start.reconfigure()
+        self.components.endpoint_list.reconfigure()
 
     def run_due_work(self, may_place: bool) -> None:
-        """Do what is due at this time.
+        """Run the work that is due, place queued requests and report ended reservations.
 
         Args:
-            may_place: whether queued requests are placed; False where the step had only progress notes.
+            may_place: whether queued requests are placed; False for a step with progress events only.
         """
-        parts, context, scheduler = self.parts, self.context, self.scheduler
-        queued = parts.requests.queued
-        if parts.endpoint_list.next_poll_ns != NOT_SCHEDULED:
-            parts.endpoint_list.poll_if_due(bool(queued))
-        parts.open_requests.answer_due()
-        if 0 <= parts.periodic_check.next_check_ns <= context.now_ns:
-            parts.periodic_check.run()
+        components, context, scheduler = self.components, self.context, self.scheduler
+        queued = components.requests.queued
+        if components.endpoint_list.next_poll_ns != NOT_SCHEDULED:
+            components.endpoint_list.poll_if_due(bool(queued))
+        components.open_requests.answer_expired()
+        if 0 <= components.periodic_check.next_check_ns <= context.now_ns:
+            components.periodic_check.run()
         if scheduler.by_request:
-            scheduler.expire(context.now_ns, lambda number: parts.ejection.is_healthy(self.workers[number]))
+            scheduler.expire(
+                context.now_ns, lambda number: components.ejection.is_healthy(self.workers[number])
+            )
         if queued and may_place:
-            parts.queue.place_queued()
+            components.queue.place_queued()
         if scheduler.results:
             context.actions += [
                 ReservationEnded(
@@ -158,4 +160,4 @@
                 )
                 for result in scheduler.take_results()
             ]
-        parts.periodic_check.schedule()
+        components.periodic_check.schedule()
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of workers: what they change and what is learned from them."""
+"""Load reports of workers: their effect on worker state and on estimates."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from weldquay.candidates.index import CandidateIndex
 from weldquay.estimators.report_interval import ReportIntervalEstimator
 from weldquay.interface import LoadReport
-from weldquay.policy.limits import REPORT_COVER_NS
+from weldquay.policy.limits import MAX_REPORT_LAG_NS
 from weldquay.policy.load import LoadEstimates
 from weldquay.policy.runtime_model import RuntimeModel
 from weldquay.policy.slow_start import SlowStart
@@ -19,22 +19,22 @@
 
 @dataclass(slots=True, eq=False)
 class LoadReports:
-    """Applies load reports, from probes and from answers, to workers and estimates.
+    """Applies load reports, from probe results and from answers, to workers and estimates.
 
     Attributes:
-        context: the step.
-        table: workers that reported recently are noted here.
-        index: the candidates.
-        interval: learns how often workers refresh their reports.
-        load_estimates: means of loads and capacities.
-        runtime_model: slowness of workers, and the usual service time by machine kind.
-        slow_start: which workers are warming up.
+        context: the state of the current step.
+        table: keeps the workers that reported recently.
+        index: the candidate index.
+        report_interval: estimates how often workers refresh their reports.
+        load_estimates: mean loads and capacities.
+        runtime_model: slowness of workers, and the mean service time by machine kind.
+        slow_start: tells which workers are warming up.
     """
 
     context: StepContext
     table: WorkerTable
     index: CandidateIndex
-    interval: ReportIntervalEstimator
+    report_interval: ReportIntervalEstimator
     load_estimates: LoadEstimates
     runtime_model: RuntimeModel
     slow_start: SlowStart
@@ -42,15 +42,16 @@
     def apply(self, worker: Worker, report: LoadReport) -> None:
         """Apply a report that has just arrived.
 
-        One with the same figures as the last only renews its time: attempts sent since stay counted.
+        A report with the same figures as the last one only updates the report time. Attempts sent since the
+        last new figures still count as unreported.
         """
         now_ns = self.context.now_ns
-        gap_ns, is_new = now_ns - worker.reported_ns, report != worker.report
+        since_last_report_ns, is_new = now_ns - worker.reported_ns, report != worker.report
         if worker.report is not None:
-            self.interval.learn(gap_ns, is_new)
+            self.report_interval.learn(since_last_report_ns, is_new)
         worker.reported_ns = now_ns
         if is_new:
-            self._apply_new(worker, report, gap_ns)
+            self._apply_new(worker, report, since_last_report_ns)
         number = worker.entry.worker
         self.table.recently_reported.pop(number, None)
         self.table.recently_reported[number] = worker
@@ -59,13 +60,13 @@
             self.load_estimates.record_zone_load(worker.entry.zone, -worker.free_slots)
             self.load_estimates.record_capacity(worker.estimated_slots)
 
-    def _apply_new(self, worker: Worker, report: LoadReport, gap_ns: int) -> None:
+    def _apply_new(self, worker: Worker, report: LoadReport, since_last_report_ns: int) -> None:
         now_ns, settings = self.context.now_ns, self.context.settings
         worker.report = report
-        cover_ns = REPORT_COVER_NS + min(gap_ns, int(self.interval.ns)) // 2
-        worker.apply_load_report(now_ns, report, cover_ns, settings.workers_queue_in_order)
+        report_lag_ns = MAX_REPORT_LAG_NS + min(since_last_report_ns, int(self.report_interval.ns)) // 2
+        worker.apply_load_report(now_ns, report, report_lag_ns, settings.workers_queue_in_order)
         if report.service_ms is None or self.slow_start.remaining_ns(worker) < math.inf:
-            return  # the service time of a warming worker does not show how fast it is
+            return  # a worker that is warming up is slower than it will be
         slowness = self.runtime_model.worker_slowness(worker)
         slowness = self.runtime_model.estimator.apply_service_time(
             worker.entry.kind, report.service_ms, slowness
--- a/weldquay/policy/outcomes.py
+++ b/weldquay/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of an attempt: a table by outcome, and the state that it changes."""
+"""Handling of attempt outcomes: a table of rules, and the state changes that they cause."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     """Applies the outcomes of attempts to requests and workers, by `OUTCOME_RULES`.
 
     Attributes:
-        context: the step.
-        requests: the requests and the attempts in flight.
+        context: the state of the current step.
+        requests: the requests without a final answer, and the attempts in flight.
         open_requests: ends requests and gives final answers.
-        retries: whether a request may be sent again.
-        ejection: health of workers.
-        load_estimates: means of loads.
-        load_reports: applies the reports that answers carry.
-        runtime_model: learns from successes.
-        idle_timeout: learns from connections that break.
+        retries: decides whether a request may be retried.
+        ejection: tracks worker health.
+        load_estimates: mean loads of zones.
+        load_reports: applies the load reports in answers.
+        runtime_model: learns from successful attempts.
+        idle_timeout: learns from connections that were reset.
     """
 
     context: StepContext
@@ -49,30 +49,30 @@
     idle_timeout: IdleTimeoutEstimator
 
     def apply(self, event: AttemptEnded) -> None:
-        """Release what the attempt held, learn from its outcome, then answer or queue its request.
+        """Release the load of an attempt, update worker state, and end, answer or requeue its request.
 
-        The outcome of an unknown attempt is ignored.
+        Outcomes of unknown attempts are ignored.
         """
         attempt = self.requests.remove_attempt(event.request_id, event.attempt)
         if attempt is None:
             return
         now_ns, worker, request = self.context.now_ns, attempt.worker, attempt.job.request
         rule = OUTCOME_RULES[event.outcome]
-        worker.record_change(now_ns, -request.slots, -request.memory)
+        worker.record_load_change(now_ns, -request.slots, -request.memory)
         if event.report is not None:
             self.load_reports.apply(worker, event.report)
-        if rule.is_sign_of_life:
-            self.ejection.record_sign_of_life(worker)
+        if rule.proves_liveness:
+            self.ejection.record_liveness(worker)
         worker.connection_idle_since_ns = now_ns if rule.is_connection_reusable else 0
-        if rule.learn is not None:
-            rule.learn(self, event, attempt)
+        if rule.handler is not None:
+            rule.handler(self, event, attempt)
         if event.request_finished or rule.finishes_request:
             self.open_requests.finish(event.request_id)
         elif event.request_id in self.requests.jobs:
-            self._continue(attempt.job, attempt, event.outcome)
+            self._retry_or_answer(attempt.job, attempt, event.outcome)
 
-    def _continue(self, job: Job, attempt: Attempt, outcome: Outcome) -> None:
-        """Queue the request again where it may have a further attempt, else give its final answer."""
+    def _retry_or_answer(self, job: Job, attempt: Attempt, outcome: Outcome) -> None:
+        """Queue the request again if it may have another attempt, else give its final answer."""
         if not outcome.never_executed and job.possibly_executed is None:
             job.possibly_executed = attempt
         job.unprocessable = outcome is Outcome.UNPROCESSABLE
@@ -83,29 +83,29 @@
         if (was_not_executed and has_attempts_left) or self.retries.may_retry(job, attempt):
             self.requests.queued[job.request.request_id] = job
         else:
-            self.open_requests.answer(job)
+            self.open_requests.give_final_answer(job)
 
     def record_progress(self, event: AttemptProgress) -> None:
-        """Record a sign of life of a running attempt, and its start."""
+        """Record the start of an attempt, or its progress; both show that the worker is alive."""
         attempt = self.requests.attempts.get((event.request_id, event.attempt))
         if attempt is not None:
             if event.progress is None:
                 attempt.started_ns = self.context.now_ns
-            self.ejection.record_sign_of_life(attempt.worker)
+            self.ejection.record_liveness(attempt.worker)
 
-    def learn_success(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Decay the worker's failure score and learn the running time."""
+    def apply_success(self, event: AttemptEnded, attempt: Attempt) -> None:
+        """Decay the worker's failure score and record the running time."""
         attempt.worker.failure_score *= FAILURE_SCORE_DECAY
         self.runtime_model.record_success(attempt, event.latency_ns)
 
-    def learn_error(self, _event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_error(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Raise the worker's failure score."""
         self.ejection.record_error(attempt.worker)
 
-    def learn_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
-        """Pause sends to the worker, and from the second overload on the request too.
+    def apply_overload(self, _event: AttemptEnded, attempt: Attempt) -> None:
+        """Back off from the worker and, from the request's second overload on, delay its retries.
 
-        The pause of a worker doubles, as its reports may show free slots that it does not give.
+        The worker's backoff doubles, as it may report free slots while it rejects requests.
         """
         job = attempt.job
         self.load_estimates.record_overload(attempt.worker.entry.zone)
@@ -114,12 +114,12 @@
         job.retry_not_before_ns = self.context.now_ns + FRESH_REPORT_NS * ((1 << doublings) - 1)
         self.ejection.record_overload(attempt.worker)
 
-    def learn_connect_failure(self, _event: AttemptEnded, attempt: Attempt) -> None:
+    def apply_connect_failure(self, _event: AttemptEnded, attempt: Attempt) -> None:
         """Eject the worker."""
         self.ejection.eject(attempt.worker)
 
-    def learn_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
-        """Learn how long an idle connection may be reused."""
+    def apply_reset(self, event: AttemptEnded, attempt: Attempt) -> None:
+        """Update the estimate of how long idle connections can be reused."""
         self.idle_timeout.record_reset(
             self.context.now_ns,
             self.context.settings.connection_idle_timeout_ns,
@@ -130,35 +130,35 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRule:
-    """What an outcome means. Whether a worker began the request is `Outcome.never_executed`.
+    """How an outcome is handled. `Outcome.never_executed` tells whether the worker began the request.
 
     Attributes:
-        is_sign_of_life: the worker has answered, so an ejection ends.
+        proves_liveness: the worker has answered, so an ejection ends.
         is_connection_reusable: the attempt leaves an idle connection to the worker.
         finishes_request: the client has its answer.
-        learn: what is learned from the outcome; None: nothing.
+        handler: the method that updates the state that is specific to this outcome; None: there is none.
     """
 
-    is_sign_of_life: bool = False
+    proves_liveness: bool = False
     is_connection_reusable: bool = False
     finishes_request: bool = False
-    learn: Callable[[AttemptOutcomes, AttemptEnded, Attempt], None] | None = None
+    handler: Callable[[AttemptOutcomes, AttemptEnded, Attempt], None] | None = None
 
 
 OUTCOME_RULES: Final[dict[Outcome, OutcomeRule]] = {
     Outcome.OK: OutcomeRule(
-        is_sign_of_life=True,
+        proves_liveness=True,
         is_connection_reusable=True,
         finishes_request=True,
-        learn=AttemptOutcomes.learn_success,
+        handler=AttemptOutcomes.apply_success,
     ),
     Outcome.ERROR: OutcomeRule(
-        is_sign_of_life=True, is_connection_reusable=True, learn=AttemptOutcomes.learn_error
+        proves_liveness=True, is_connection_reusable=True, handler=AttemptOutcomes.apply_error
     ),
-    Outcome.UNPROCESSABLE: OutcomeRule(is_sign_of_life=True, is_connection_reusable=True),
-    Outcome.OVERLOADED: OutcomeRule(is_connection_reusable=True, learn=AttemptOutcomes.learn_overload),
-    Outcome.CONNECT_FAILED: OutcomeRule(learn=AttemptOutcomes.learn_connect_failure),
-    Outcome.RESET: OutcomeRule(learn=AttemptOutcomes.learn_reset),
+    Outcome.UNPROCESSABLE: OutcomeRule(proves_liveness=True, is_connection_reusable=True),
+    Outcome.OVERLOADED: OutcomeRule(is_connection_reusable=True, handler=AttemptOutcomes.apply_overload),
+    Outcome.CONNECT_FAILED: OutcomeRule(handler=AttemptOutcomes.apply_connect_failure),
+    Outcome.RESET: OutcomeRule(handler=AttemptOutcomes.apply_reset),
     Outcome.TIMEOUT: OutcomeRule(),
     Outcome.CANCELLED: OutcomeRule(),
     Outcome.ABORTED_BEFORE_SEND: OutcomeRule(),
