--- a/weldquay/discovery/list_lease.py
+++ b/weldquay/discovery/list_lease.py
@@ -191,7 +191,7 @@
             self.expiry_ns = max(self.expiry_ns, expiry_ns)
 
 
-class EndlessLease(ListLease):
+class NonExpiringLease(ListLease):
     """A lease that never expires, for a transport that reports every change and every failure."""
 
     @property
--- a/weldquay/policy/assembly.py
+++ b/weldquay/policy/assembly.py
@@ -8,7 +8,7 @@
 from weldquay.candidates.inputs import CandidateInputs
 from weldquay.candidates.queue_order import QueueOrder
 from weldquay.discovery.backoff import Backoff
-from weldquay.discovery.list_lease import EndlessLease, ListLease
+from weldquay.discovery.list_lease import ListLease, NonExpiringLease
 from weldquay.estimators.idle_timeout import IdleTimeoutEstimator
 from weldquay.estimators.report_interval import ReportIntervalEstimator
 from weldquay.estimators.runtime import RuntimeEstimator
@@ -109,7 +109,7 @@
         self.lease = (
             ListLease(settings.has_local_discovery_agent)
             if settings.endpoint_list_expires
-            else EndlessLease()
+            else NonExpiringLease()
         )
         self.backoff = Backoff(context.random, settings.dispatcher_count, settings.has_local_discovery_agent)
         self.retries = RetryRules(context, self.requests)
