--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -42,7 +42,7 @@
 
     def advance(self, until_ns: int) -> None:
         """Advance the time, and add up the time without a lease."""
-        self.unserved_ns += max(0, until_ns - max(self.now_ns, self.lease.until_ns))
+        self.unserved_ns += max(0, until_ns - max(self.now_ns, self.lease.send_deadline_ns))
         super().advance(until_ns)
 
     def sample_until(self, until_ns: int) -> None:
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -73,9 +73,9 @@
     lease.confirm(BEGIN_NS)
     for failure, detected_s, since_update_s in failures:
         lease.fail(BEGIN_NS + int(detected_s * SECOND), int(since_update_s * SECOND), failure)
-    assert lease.until_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
+    assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
     lease.confirm(BEGIN_NS + 20 * SECOND)
-    assert lease.until_ns == BEGIN_NS + 20 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
+    assert lease.send_deadline_ns == BEGIN_NS + 20 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
 
 
 Refusal = tuple[float, float, float]  # first and last connection attempt that failed, then a refused poll
@@ -101,7 +101,7 @@
     for first_s, last_s, polled_s in refusals:
         lease.observe(BEGIN_NS + int(first_s * SECOND), BEGIN_NS + int(last_s * SECOND), is_reachable=False)
         lease.fail(BEGIN_NS + int(polled_s * SECOND), 0, Failure.REFUSED)
-    assert lease.until_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
+    assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
 
 
 @pytest.mark.parametrize(
@@ -117,10 +117,10 @@
     for second in range(3, 10):
         lease.observe(BEGIN_NS + 2 * SECOND, BEGIN_NS + second * SECOND, is_reachable=False)
         lease.fail(BEGIN_NS + second * SECOND, 0, later)
-    assert lease.until_ns == BEGIN_NS + 2 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
-    assert lease.state().missed
+    assert lease.send_deadline_ns == BEGIN_NS + 2 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
+    assert lease.state().may_have_missed_change
     lease.confirm(BEGIN_NS + 10 * SECOND)
-    assert lease.until_ns == BEGIN_NS + 10 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
+    assert lease.send_deadline_ns == BEGIN_NS + 10 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
 
 
 @pytest.mark.parametrize("failure", list(Failure))
@@ -131,9 +131,9 @@
     for _ in range(5):
         lease.fail(BEGIN_NS, SECOND, failure)
         lease.move(BEGIN_NS)
-    assert lease.until_ns == 0 and not lease.granted
+    assert lease.send_deadline_ns == 0 and not lease.granted
     lease.inherit(api.LeaseState(BEGIN_NS + SECOND))
-    assert lease.until_ns == BEGIN_NS + SECOND and lease.granted
+    assert lease.send_deadline_ns == BEGIN_NS + SECOND and lease.granted
 
 
 def test_failures_of_a_local_agent_extend_the_lease() -> None:
@@ -142,7 +142,7 @@
     lease.confirm(BEGIN_NS)
     for tenth in range(200):
         lease.fail(BEGIN_NS + tenth * 100 * MS, 200 * MS, Failure.RESPONSE_TIMEOUT)
-    assert lease.until_ns > BEGIN_NS + 20 * SECOND
+    assert lease.send_deadline_ns > BEGIN_NS + 20 * SECOND
 
 
 def test_a_change_of_address_limits_the_lease() -> None:
@@ -151,7 +151,7 @@
         lease = ListLease(is_local_agent)
         lease.confirm(BEGIN_NS + SECOND)
         lease.move(BEGIN_NS)
-        assert lease.until_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
+        assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
 
 
 # --- a model of one dispatcher's polls of a discovery with faults in any order ---
@@ -176,7 +176,7 @@
 
     def advance(self, until_ns: int) -> None:
         """Advance the time, and record how late an attempt could be sent by a list that is out of date."""
-        end_ns = min(until_ns, self.lease.until_ns)
+        end_ns = min(until_ns, self.lease.send_deadline_ns)
         reached_ns = self.known_ns + 1
         while reached_ns < end_ns and self.fault(reached_ns) in ("down", "cut"):
             reached_ns += STEP
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -71,9 +71,9 @@
 async def wait_for_lease_and_its_end(here: Site, _failing: Failing) -> None:
     """Wait until the list is confirmed, then until its lease has ended."""
     endpoint_list = here.program.coordinator.endpoint_list
-    await until(lambda: endpoint_list.expires_ns > time.monotonic_ns())
+    await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
     assert (await here.post("before")).body == b"TEXT"
-    await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
+    await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
 
 
 class ListThenFailures(Failing):
@@ -156,7 +156,7 @@
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
             endpoint_list = here.program.coordinator.endpoint_list
-            await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
+            await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
             silent.address_told = here.workers[0].address
             silent.left = 0
@@ -200,13 +200,13 @@
             down, _ = reserve(address)
             await until(lambda: here.program.counters.counts["discovery_failures"])
             if has_expired:  # it was reached meanwhile, and brought no news
-                lease.poll_missed, lease.expiry_ns = True, time.monotonic_ns()
+                lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
                 lease.expiry_ns += 10**10  # for the test's time, whatever the machine does
-            until_ns = lease.until_ns
+            until_ns = lease.send_deadline_ns
             async with newer_process(here) as second:
                 lease = second.coordinator.dispatcher.lease
-                assert lease.until_ns >= until_ns and lease.poll_missed == has_expired
+                assert lease.send_deadline_ns >= until_ns and lease.may_have_missed_change == has_expired
                 assert (await here.post(left_ms=300)).status == (503 if has_expired else 200)
                 assert here.workers[0].methods() == ([] if has_expired else ["POST"])
                 assert second.counters.counts["requests"] == 1
--- a/weldquay/discovery/list_lease.py
+++ b/weldquay/discovery/list_lease.py
@@ -54,8 +54,8 @@
         self.is_local_agent = is_local_agent
         self.expiry_ns = 0  # when a change that may have been missed counts as reported; 0: no lease
         # Since the last update discovery was reached, or may have been, and sent none: no extension.
-        self.poll_missed = False
-        self.watch_silent = False  # the watch fell silent, and no connection has timed out since
+        self.may_have_missed_change = False
+        self.watch_timed_out = False  # the watch fell silent, and no connection has timed out since
         self.proven_ns = 0  # no change up to then has been missed
         self.silent_until_ns = 0  # since the watch fell silent discovery was unreachable, up to then
         self.is_watching = False  # the last event was an update
@@ -68,7 +68,7 @@
         return self.expiry_ns > 0
 
     @property
-    def until_ns(self) -> int:
+    def send_deadline_ns(self) -> int:
         """The moment from which on no attempt is sent by the list; 0 without a lease."""
         return self.expiry_ns - SEND_MARGIN_NS if self.granted else 0
 
@@ -86,8 +86,8 @@
 
     def confirm(self, now_ns: int) -> None:
         """Extend the lease after a complete line, which shows that no change was missed."""
-        self.poll_missed = False
-        self.watch_silent = False
+        self.may_have_missed_change = False
+        self.watch_timed_out = False
         self.was_reachable = False
         self.was_unreachable = False
         self.is_watching = True
@@ -100,14 +100,14 @@
 
     def state(self) -> LeaseState:
         """Return the state to be handed to a later process of this dispatcher."""
-        return LeaseState(self.until_ns, self.poll_missed, self.watch_silent)
+        return LeaseState(self.send_deadline_ns, self.may_have_missed_change, self.watch_timed_out)
 
     def inherit(self, state: LeaseState) -> None:
         """Restore the state of an earlier process of this dispatcher."""
-        self.expiry_ns = state.until_ns + SEND_MARGIN_NS if state.until_ns else 0
+        self.expiry_ns = state.send_deadline_ns + SEND_MARGIN_NS if state.send_deadline_ns else 0
         self.proven_ns = max(0, self.expiry_ns - MAX_STALENESS_NS)
-        self.poll_missed = state.missed
-        self.watch_silent = state.silent
+        self.may_have_missed_change = state.may_have_missed_change
+        self.watch_timed_out = state.watch_timed_out
 
     def move(self, now_ns: int) -> None:
         """Limit the lease after a change of discovery's address."""
@@ -133,10 +133,10 @@
                 self._end_watch(now_ns)
             case DiscoveryFailure.HEARTBEAT_TIMEOUT:
                 self.is_watching = False
-                self.watch_silent = True
+                self.watch_timed_out = True
                 self.silent_until_ns = 0
             case DiscoveryFailure.RESPONSE_TIMEOUT:
-                self.poll_missed = True
+                self.may_have_missed_change = True
             case DiscoveryFailure.REFUSED:
                 self._extend_by_outage(begun_ns, begun_ns)
             case DiscoveryFailure.CONNECT_TIMEOUT:
@@ -154,7 +154,7 @@
         if not is_reachable:
             self._extend_by_outage(from_ns, until_ns)
         elif self.was_unreachable:
-            self.poll_missed = True
+            self.may_have_missed_change = True
         else:
             self.was_reachable = True
 
@@ -165,27 +165,27 @@
 
     def _explain_silence(self, begun_ns: int) -> None:
         """Take a connection that timed out and the silence of the watch before it for one network fault."""
-        if self.watch_silent and not self.was_reachable:
-            self.watch_silent = False
+        if self.watch_timed_out and not self.was_reachable:
+            self.watch_timed_out = False
             self.proven_ns = max(self.proven_ns, begun_ns, self.silent_until_ns)
 
     def _extend_by_outage(self, from_ns: int, until_ns: int) -> None:
         """Extend the lease where discovery was unreachable from the last proof until a moment."""
         self.was_unreachable = True
-        if self.watch_silent:
+        if self.watch_timed_out:
             self.silent_until_ns = until_ns
-        elif self.poll_missed:
+        elif self.may_have_missed_change:
             return
         elif self.was_reachable or from_ns - self.proven_ns > MAX_UNOBSERVED_NS:
-            self.poll_missed = True
+            self.may_have_missed_change = True
         else:
             self._prove(until_ns)
 
     def _extend_by_error(self, now_ns: int, expiry_ns: int) -> None:
         """Extend the lease after a poll that discovery accepted and ended with an error."""
         if self.was_unreachable:
-            self.poll_missed = True  # it is back
-        elif not self.watch_silent and not self.poll_missed:
+            self.may_have_missed_change = True  # it is back
+        elif not self.watch_timed_out and not self.may_have_missed_change:
             self.was_reachable = False
             self.proven_ns = max(self.proven_ns, now_ns)
             self.expiry_ns = max(self.expiry_ns, expiry_ns)
@@ -200,6 +200,6 @@
         return True
 
     @property
-    def until_ns(self) -> int:
+    def send_deadline_ns(self) -> int:
         """Later than any step."""
         return NO_EXPIRY_NS
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -130,14 +130,14 @@
     """The state of a lease on the endpoint list (`weldquay/discovery/list_lease.py`).
 
     Attributes:
-        until_ns: no attempt begins by the list from then on; 0: the list may be of any age.
-        missed: discovery was reached since the last update and sent none.
-        silent: the watch has timed out since the last update.
+        send_deadline_ns: no attempt is sent by the list from then on; 0: the list may be of any age.
+        may_have_missed_change: discovery was reachable since the last update and sent none.
+        watch_timed_out: the watch has timed out since the last update.
     """
 
-    until_ns: int = 0
-    missed: bool = False
-    silent: bool = False
+    send_deadline_ns: int = 0
+    may_have_missed_change: bool = False
+    watch_timed_out: bool = False
 
 
 NO_LEASE = LeaseState()
--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -141,7 +141,7 @@
         """
         now_ns = time.monotonic_ns()
         return (
-            now_ns < self._coordinator.endpoint_list.expires_ns
+            now_ns < self._coordinator.endpoint_list.send_deadline_ns
             and attempt.request.is_open
             and not attempt.ended
             and not worker.is_banned
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -122,7 +122,7 @@
         await self.server.listen(NO_DESCRIPTOR if offer is None else offer.descriptor)
         self.server.context.return_callback = self.migration.return_callback
         self.coordinator.start(self.workers, self.discovery)
-        if self.config.lease.until_ns:
+        if self.config.lease.send_deadline_ns:
             self.discovery.observe()
         self.service.restore_bans()
         self.tasks.start(self.reloader.run(), "configuration reload")
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -91,12 +91,12 @@
         self._events.enqueue(observation)
 
     @property
-    def expires_ns(self) -> int:
+    def send_deadline_ns(self) -> int:
         """The time on the monotonic clock (ns) at which the list's lease ends: no attempt starts after it.
 
         0: no attempt may start.
         """
-        return self._dispatcher.lease.until_ns
+        return self._dispatcher.lease.send_deadline_ns
 
     def worker_number(self, worker_id: str) -> int:
         """The number of a worker; a worker without one gets the next."""
@@ -125,7 +125,7 @@
 
     def log_lease_changes(self, now_ns: int, has_requests: bool) -> None:
         """Log when requests begin to wait because the list's lease has ended, and when it is renewed."""
-        has_expired = now_ns >= self._dispatcher.lease.until_ns
+        has_expired = now_ns >= self._dispatcher.lease.send_deadline_ns
         if has_expired and has_requests and not self._has_lease_expired:
             self._has_lease_expired = True
             self._counters.add("endpoint_list_leases_expired")
--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -144,7 +144,7 @@
     fields = {
         REVISION: chunk.revision,
         DISCOVERY_ADDRESS: None if address is None else list(address),
-        LEASE: [lease.until_ns, lease.missed, lease.silent],
+        LEASE: [lease.send_deadline_ns, lease.may_have_missed_change, lease.watch_timed_out],
         ENDPOINTS: list(chunk.endpoints),
     }
     return Packet(ENDPOINT_LIST_CHUNK, fields)
@@ -163,8 +163,15 @@
 def _decode_lease(values: Sequence[Any]) -> LeaseState:
     """A lease from the list of its values, of which an earlier release may have sent fewer."""
     defaults: Sequence[Any] = NO_LEASE
-    until_ns, missed, silent = [*values[: len(defaults)], *defaults[len(values) :]]
-    return LeaseState(until_ns=until_ns, missed=missed, silent=silent)
+    send_deadline_ns, may_have_missed_change, watch_timed_out = [
+        *values[: len(defaults)],
+        *defaults[len(values) :],
+    ]
+    return LeaseState(
+        send_deadline_ns=send_deadline_ns,
+        may_have_missed_change=may_have_missed_change,
+        watch_timed_out=watch_timed_out,
+    )
 
 
 def _encode_worker(message: WorkerStateMessage) -> Packet:
--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -55,7 +55,7 @@
         Requests that can only be late, or may not be sent again, get their final answer instead.
         """
         now_ns = self.context.now_ns
-        is_list_expired = now_ns >= self.lease.until_ns
+        is_list_expired = now_ns >= self.lease.send_deadline_ns
         self.index_refresh.begin_placement()
         # By job class and slots: least memory of a request that found no worker. Requests of the same kind
         # that need as much are skipped in this step.
