--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -61,7 +61,7 @@
             self.was_reachable = True
             self.advance(sample_ns)
             self.report(last_ns)
-            self.lease.observe(sample_ns, sample_ns, is_reachable=True)
+            self.lease.record_observation(sample_ns, sample_ns, is_reachable=True)
             last_ns = 0
         self.advance(until_ns)
         self.report(last_ns)
@@ -71,7 +71,7 @@
         if last_ns:
             timeout_ns = int(SAMPLE_TIMEOUT_S * SECOND) if self.fault(last_ns) == "cut" else 0
             until_ns = max(self.observed_from_ns, last_ns - timeout_ns)
-            self.lease.observe(self.observed_from_ns, until_ns, is_reachable=False)
+            self.lease.record_observation(self.observed_from_ns, until_ns, is_reachable=False)
             self.observed_from_ns = until_ns
 
     def poll(self) -> tuple[DiscoveryFailure | None, int]:
@@ -121,7 +121,7 @@
         """Attempt one connection, which the proxy accepts."""
         if not self.was_reachable:
             self.was_reachable = True
-            self.lease.observe(self.now_ns, self.now_ns, is_reachable=True)
+            self.lease.record_observation(self.now_ns, self.now_ns, is_reachable=True)
         self.advance(until_ns)
 
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -99,7 +99,9 @@
     lease.confirm(BEGIN_NS)
     lease.fail(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
     for first_s, last_s, polled_s in refusals:
-        lease.observe(BEGIN_NS + int(first_s * SECOND), BEGIN_NS + int(last_s * SECOND), is_reachable=False)
+        lease.record_observation(
+            BEGIN_NS + int(first_s * SECOND), BEGIN_NS + int(last_s * SECOND), is_reachable=False
+        )
         lease.fail(BEGIN_NS + int(polled_s * SECOND), 0, Failure.REFUSED)
     assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
 
@@ -112,10 +114,10 @@
     lease = ListLease()
     lease.confirm(BEGIN_NS)
     lease.fail(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
-    lease.observe(BEGIN_NS + 11 * SECOND // 10, BEGIN_NS + 2 * SECOND, is_reachable=False)
-    lease.observe(BEGIN_NS + 2 * SECOND, BEGIN_NS + 2 * SECOND, is_reachable=True)
+    lease.record_observation(BEGIN_NS + 11 * SECOND // 10, BEGIN_NS + 2 * SECOND, is_reachable=False)
+    lease.record_observation(BEGIN_NS + 2 * SECOND, BEGIN_NS + 2 * SECOND, is_reachable=True)
     for second in range(3, 10):
-        lease.observe(BEGIN_NS + 2 * SECOND, BEGIN_NS + second * SECOND, is_reachable=False)
+        lease.record_observation(BEGIN_NS + 2 * SECOND, BEGIN_NS + second * SECOND, is_reachable=False)
         lease.fail(BEGIN_NS + second * SECOND, 0, later)
     assert lease.send_deadline_ns == BEGIN_NS + 2 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
     assert lease.state().may_have_missed_change
--- a/weldquay/discovery/list_lease.py
+++ b/weldquay/discovery/list_lease.py
@@ -147,7 +147,7 @@
             case DiscoveryFailure.BUSY:
                 self._extend_by_error(now_ns, now_ns + BUSY_LEASE_NS)
 
-    def observe(self, from_ns: int, until_ns: int, is_reachable: bool) -> None:
+    def record_observation(self, from_ns: int, until_ns: int, is_reachable: bool) -> None:
         """Apply the result of connection attempts between two polls; see `DiscoveryObservation`."""
         if not self.granted or self.is_local_agent:
             return
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -120,7 +120,7 @@
             self._watch_task.cancel()
         self._watch_task = self._tasks.start(self._watch(), "discovery watch")
 
-    def observe(self) -> None:
+    def resume_sampling(self) -> None:
         """Continue an older process's observation of discovery, which may be down, before the first poll."""
         if not self.config.settings.has_local_discovery_agent:
             self._sampler.start(self.config.discovery)
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -123,7 +123,7 @@
         self.server.context.return_callback = self.migration.return_callback
         self.coordinator.start(self.workers, self.discovery)
         if self.config.lease.send_deadline_ns:
-            self.discovery.observe()
+            self.discovery.resume_sampling()
         self.service.restore_bans()
         self.tasks.start(self.reloader.run(), "configuration reload")
         if offer is not None:
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -77,7 +77,7 @@
 
     def apply_observation(self, event: DiscoveryObservation) -> None:
         """Apply what connection attempts between two polls have shown."""
-        self.lease.observe(event.from_ns, event.until_ns, event.is_reachable)
+        self.lease.record_observation(event.from_ns, event.until_ns, event.is_reachable)
 
     def _apply_entry(self, entry: WorkerEntry) -> None:
         worker = self.table.workers.setdefault(entry.worker, Worker(entry))
