--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -92,7 +92,7 @@
             self.was_reachable = self.is_sampling = False
             self.observed_from_ns = 0
             while failure is not None:
-                self.lease.fail(self.now_ns, since_update_ns, failure)
+                self.lease.record_failure(self.now_ns, since_update_ns, failure)
                 delay_ns = backoff.retry_delay_ns(self.now_ns, 10 * SECOND, since_update_ns, failure)
                 self.is_sampling = self.is_sampling or failure in SAMPLED_FAILURES
                 self.sample_until(self.now_ns + max(MS, delay_ns))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -72,7 +72,7 @@
     lease = ListLease()
     lease.confirm(BEGIN_NS)
     for failure, detected_s, since_update_s in failures:
-        lease.fail(BEGIN_NS + int(detected_s * SECOND), int(since_update_s * SECOND), failure)
+        lease.record_failure(BEGIN_NS + int(detected_s * SECOND), int(since_update_s * SECOND), failure)
     assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
     lease.confirm(BEGIN_NS + 20 * SECOND)
     assert lease.send_deadline_ns == BEGIN_NS + 20 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
@@ -97,12 +97,12 @@
     """Seconds from the last complete line; the watch is closed 1 s after it."""
     lease = ListLease()
     lease.confirm(BEGIN_NS)
-    lease.fail(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
+    lease.record_failure(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
     for first_s, last_s, polled_s in refusals:
         lease.record_observation(
             BEGIN_NS + int(first_s * SECOND), BEGIN_NS + int(last_s * SECOND), is_reachable=False
         )
-        lease.fail(BEGIN_NS + int(polled_s * SECOND), 0, Failure.REFUSED)
+        lease.record_failure(BEGIN_NS + int(polled_s * SECOND), 0, Failure.REFUSED)
     assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
 
 
@@ -113,12 +113,12 @@
     """A connection came up between two refused polls; the next update grants a new lease."""
     lease = ListLease()
     lease.confirm(BEGIN_NS)
-    lease.fail(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
+    lease.record_failure(BEGIN_NS + SECOND, SECOND, Failure.CLOSED)
     lease.record_observation(BEGIN_NS + 11 * SECOND // 10, BEGIN_NS + 2 * SECOND, is_reachable=False)
     lease.record_observation(BEGIN_NS + 2 * SECOND, BEGIN_NS + 2 * SECOND, is_reachable=True)
     for second in range(3, 10):
         lease.record_observation(BEGIN_NS + 2 * SECOND, BEGIN_NS + second * SECOND, is_reachable=False)
-        lease.fail(BEGIN_NS + second * SECOND, 0, later)
+        lease.record_failure(BEGIN_NS + second * SECOND, 0, later)
     assert lease.send_deadline_ns == BEGIN_NS + 2 * SECOND + MAX_STALENESS_NS - SEND_MARGIN_NS
     assert lease.state().may_have_missed_change
     lease.confirm(BEGIN_NS + 10 * SECOND)
@@ -131,10 +131,10 @@
     """Polls fail from the start of the process on; an inherited lease is one that was confirmed."""
     lease = ListLease(is_local_agent)
     for _ in range(5):
-        lease.fail(BEGIN_NS, SECOND, failure)
-        lease.move(BEGIN_NS)
+        lease.record_failure(BEGIN_NS, SECOND, failure)
+        lease.record_address_change(BEGIN_NS)
     assert lease.send_deadline_ns == 0 and not lease.granted
-    lease.inherit(api.LeaseState(BEGIN_NS + SECOND))
+    lease.restore(api.LeaseState(BEGIN_NS + SECOND))
     assert lease.send_deadline_ns == BEGIN_NS + SECOND and lease.granted
 
 
@@ -143,7 +143,7 @@
     lease = ListLease(is_local_agent=True)
     lease.confirm(BEGIN_NS)
     for tenth in range(200):
-        lease.fail(BEGIN_NS + tenth * 100 * MS, 200 * MS, Failure.RESPONSE_TIMEOUT)
+        lease.record_failure(BEGIN_NS + tenth * 100 * MS, 200 * MS, Failure.RESPONSE_TIMEOUT)
     assert lease.send_deadline_ns > BEGIN_NS + 20 * SECOND
 
 
@@ -152,7 +152,7 @@
     for is_local_agent, until_s in ((True, 3.8), (False, 5.8)):
         lease = ListLease(is_local_agent)
         lease.confirm(BEGIN_NS + SECOND)
-        lease.move(BEGIN_NS)
+        lease.record_address_change(BEGIN_NS)
         assert lease.send_deadline_ns == BEGIN_NS + round(until_s * 10) * SECOND // 10
 
 
@@ -230,7 +230,7 @@
             failure: Failure | None
             failure, since_update_ns = self.watch(until_ns)
             while failure is not None:
-                self.lease.fail(self.now_ns, since_update_ns, failure)
+                self.lease.record_failure(self.now_ns, since_update_ns, failure)
                 delay_ns = backoff.retry_delay_ns(self.now_ns, 10 * SECOND, since_update_ns, failure)
                 self.advance(self.now_ns + max(MS, delay_ns))
                 failure, since_update_ns = self.poll()
