--- a/weldquay/interface/actions.py
+++ b/weldquay/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a step of the decisions asks the caller to do, in order."""
+"""Actions: what a step of the decision module tells its caller to do, in this order."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     Attributes:
         request_id: the request.
         worker: the worker.
-        timeout_ns: maximum duration of the attempt; 0: until the client's time runs out.
-        send_before_ns: an attempt that has not been sent by then ends as `Outcome.ABORTED_BEFORE_SEND`, since
-            it could repeat an effect; 0: no limit.
+        timeout_ns: maximum duration of the attempt; 0: until the client's deadline.
+        send_before_ns: an attempt that has not been sent by then ends with `Outcome.ABORTED_BEFORE_SEND`,
+            since a later one could execute the request twice; 0: no limit.
     """
 
     request_id: int
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Give the final answer that the request was not served and may safely be sent again.
+    """Answer a request finally: it was not executed, and the client may safely send it again.
 
     Attributes:
         request_id: the request.
-        retry_after_ns: when the client may send it again, from now; 0: not given.
+        retry_after_ns: delay after which the client may send it again; 0: not given.
     """
 
     request_id: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the final answer that the request failed; it may have been executed.
+    """Answer a request finally: it failed, and may have been executed.
 
     Attributes:
         request_id: the request.
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Cause a `TimerDue` event.
+    """Schedule a `TimerDue` event.
 
     Attributes:
-        delay_ns: from now.
-        token: passed to the event; one of `weldquay.policy.timers.TimerToken`.
+        delay_ns: delay from now.
+        token: the event's token; one of `weldquay.policy.timers.TimerToken`.
     """
 
     delay_ns: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Poll discovery and watch the endpoint list."""
+    """Poll discovery for the endpoint list, and watch it for changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,10 +130,10 @@
 
     Attributes:
         request_id: the request.
-        worker: the worker with the reserved capacity.
-        reason: why it ended: placed, queued at the worker, or given up.
+        worker: the worker whose capacity was reserved.
+        reason: why the reservation ended: placed, queued at the worker, or the reason for giving it up.
         reserved_ns: how long the capacity was reserved.
-        delay_ns: how much later than first expected the reservation ended; negative: earlier.
+        delay_ns: how much later than first expected it ended; negative: earlier.
     """
 
     request_id: int
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the caller reports to a step of the decisions."""
+"""Events: what the caller of the decision module reports to a step of it."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 class Outcome(Enum):
     """How an attempt or a probe ended.
 
-    OK: with a result. ERROR: the worker failed. OVERLOADED: the worker was full and rejected it. TIMEOUT:
-    no answer in time. CONNECT_FAILED: no connection was established. RESET: the connection was lost.
-    CANCELLED: it was cancelled. ABORTED_BEFORE_SEND: it was not sent. UNKNOWN: not known. UNPROCESSABLE: the
-    request itself is invalid, so no other worker could process it.
+    OK: with a result. ERROR: the worker failed. OVERLOADED: the worker was at capacity and rejected it.
+    TIMEOUT: no answer in time. CONNECT_FAILED: no connection was established. RESET: the connection was lost.
+    CANCELLED: it was cancelled. ABORTED_BEFORE_SEND: it was not sent. UNKNOWN: the outcome is not known.
+    UNPROCESSABLE: the request itself is invalid, so no other worker could process it.
     """
 
     OK = "ok"
@@ -32,7 +32,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether the outcome proves that the worker did not begin the request."""
+        """Whether the outcome shows that the worker has not started the request."""
         return self in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ABORTED_BEFORE_SEND)
 
 
@@ -47,9 +47,9 @@
 class EndpointListKind(Enum):
     """What an endpoint list update contains.
 
-    DELTA: the entries that changed. FULL: all entries. CACHED: all entries, of any age. The others contain no
-    entries and leave the list as it was. UNCHANGED: discovery has no changes.
-    ADDRESS_CHANGED: a reload of the configuration gave discovery another address. FAILED: a poll or a watch
+    DELTA: the entries that changed. FULL: all entries. CACHED: all entries, from a stored list of any age.
+    The others contain no entries and leave the list as it was. UNCHANGED: discovery has no changes.
+    ADDRESS_CHANGED: a reload of the configuration has changed discovery's address. FAILED: a poll or a watch
     failed.
     """
 
@@ -65,10 +65,10 @@
     """How a poll of discovery, or its watch, failed.
 
     REFUSED: no connection was established, and the attempt failed at once. CONNECT_TIMEOUT: no connection was
-    established in time. UNAVAILABLE: a connection was established, and reset or answered 503 at once. CLOSED:
-    an open watch ended. HEARTBEAT_TIMEOUT: an open watch sent nothing, not even an empty line.
-    RESPONSE_TIMEOUT: discovery accepted the request and sent no update, or an invalid one. BUSY: it failed
-    after a wait in discovery's queue; also where the cause is unknown.
+    established in time. UNAVAILABLE: a connection was established, and at once reset or answered with a 5xx
+    status. CLOSED: an open watch ended. HEARTBEAT_TIMEOUT: an open watch sent nothing, not even an empty
+    line. RESPONSE_TIMEOUT: discovery accepted the request and sent no update, or an invalid one. BUSY: the
+    poll failed after a wait in discovery's queue; also used if the cause is unknown.
     """
 
     REFUSED = "refused"
@@ -82,13 +82,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A worker's own figures, as far as it reports them.
+    """The load that a worker reports; None stands for a value that it does not report.
 
     Attributes:
-        free_slots: slots that are free.
-        free_memory: memory that is free, in the units of `RequestReceived.memory`.
-        busy_requests: requests that run.
-        queued_requests: requests that wait at the worker.
+        free_slots: free slots.
+        free_memory: free memory, in the units of `RequestReceived.memory`.
+        busy_requests: number of running requests.
+        queued_requests: number of requests in the worker's queue.
         cpu_utilization: fraction of its processors in use.
         service_ms: recent service time, in milliseconds; every dispatcher gets the same value.
     """
@@ -106,14 +106,14 @@
     """An entry of the endpoint list.
 
     Attributes:
-        worker: number of the worker.
+        worker: the worker.
         state: its state.
         cell: its cell.
         kind: its machine kind.
         zone: its zone.
-        started_ns: when it started; 0: long ago.
+        started_ns: when it started; 0: long ago or unknown.
         weight: its weight in the list.
-        start_id: a number of this start of the worker, the same at all dispatchers.
+        start_id: identifies this start of the worker; the same at all dispatchers.
     """
 
     worker: int
@@ -130,7 +130,7 @@
     """The state of a lease on the endpoint list (`weldquay/discovery/list_lease.py`).
 
     Attributes:
-        send_deadline_ns: no attempt is sent by the list from then on; 0: the list may be of any age.
+        send_deadline_ns: no attempt may be sent by the list from then on; 0: the list may be of any age.
         may_have_missed_change: discovery was reachable since the last update and sent none.
         watch_timed_out: the watch has timed out since the last update.
     """
@@ -150,9 +150,9 @@
     Attributes:
         kind: what it contains.
         entries: the entries, in the order of the list.
-        since_update_ns: of a failure: time since the last update of the watch, or since the poll began.
-        failure: of a failure: how it failed.
-        lease: of a cached list: the lease that an earlier process of this dispatcher had on it.
+        since_update_ns: for FAILED: time since the last update of the watch, or since the start of the poll.
+        failure: for FAILED: how the poll or the watch failed.
+        lease: for CACHED: the lease that an earlier process of this dispatcher had on the list.
     """
 
     kind: EndpointListKind
@@ -164,13 +164,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryObservation:
-    """What connection attempts to discovery have shown since the last poll of it.
+    """The result of connection attempts to discovery since the last poll of it.
 
     Attributes:
-        from_ns: start of the time that was observed, on the clock of the steps.
-        until_ns: its end.
-        is_reachable: True: discovery was reachable then, or may have been. False: it was unreachable
-            throughout that time.
+        from_ns: start of the observed interval, on the clock of the steps.
+        until_ns: end of the interval.
+        is_reachable: True: discovery was reachable in the interval, or may have been. False: it was
+            unreachable throughout.
     """
 
     from_ns: int
@@ -180,17 +180,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request, to which the dispatcher owes one final answer.
+    """A client's request; the dispatcher has to give it one final answer.
 
     Attributes:
         request_id: the request.
         job_class: number of its class.
-        time_left_ns: time until its answer is due, from now.
-        slots: slots that it occupies at a worker.
+        time_left_ns: time from now until its deadline.
+        slots: number of slots that it occupies at a worker.
         memory: memory that it occupies at a worker.
-        runtime_hint_ns: its running time on a mean machine, as the client estimates it.
+        runtime_hint_ns: the client's estimate of its running time on an average machine.
         key: its idempotency key as a number; 0: none.
-        is_retry: the client marks it as a repeat.
+        is_retry: the client has marked it as a retry.
     """
 
     request_id: int
@@ -213,7 +213,7 @@
         worker: the worker.
         outcome: how it ended.
         latency_ns: time from the send to the outcome.
-        request_finished: the client has its answer.
+        request_finished: the client has got its answer.
         report: the load report in the answer.
     """
 
@@ -245,13 +245,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """The start or the progress of a running attempt.
+    """A worker's report that an attempt has started or made progress.
 
     Attributes:
         request_id: the request.
         attempt: number of the attempt, from 0.
         worker: the worker.
-        progress: fraction that is done; None: the attempt has just started.
+        progress: completed fraction; None: the attempt has just started.
     """
 
     request_id: int
@@ -262,7 +262,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The client has got the beginning of a response: the request has no other attempt from now on.
+    """The client has received the beginning of a response, so the request gets no further attempt.
 
     Attributes:
         request_id: the request.
@@ -277,7 +277,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """A client has left; its request needs no answer.
+    """A client has disconnected; its request needs no answer.
 
     Attributes:
         request_id: the request.
@@ -288,7 +288,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer of a `SetTimer` action is due.
+    """The timer of a `SetTimer` action is due.
 
     Attributes:
         token: the token of that action.
@@ -299,10 +299,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another dispatcher.
+    """A message from another dispatcher.
 
     Attributes:
-        sender: the dispatcher.
+        sender: the other dispatcher.
         data: the message.
     """
 
@@ -312,10 +312,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The dispatcher shuts down; it answers all requests before its end.
+    """The dispatcher shuts down; it answers all requests before it exits.
 
     Attributes:
-        time_left_ns: time until its end, from now.
+        time_left_ns: time from now until it exits.
     """
 
     time_left_ns: int
@@ -323,10 +323,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """A reload has changed the settings for the requests that are received from now on.
+    """A reload has changed the settings, which apply to requests that are received from now on.
 
     Attributes:
-        settings: the settings; classes keep their numbers, and new ones come last.
+        settings: the new settings; existing classes keep their numbers, new classes come last.
     """
 
     settings: Settings
@@ -338,7 +338,7 @@
 
     Attributes:
         worker: the worker.
-        is_banned: False: the ban is lifted; the worker may have been restarted.
+        is_banned: False: the ban was lifted; the worker may have been restarted meanwhile.
     """
 
     worker: int
@@ -347,11 +347,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerStateRestored:
-    """The state of a worker in an earlier process of this dispatcher.
+    """The state that an earlier process of this dispatcher had of a worker.
 
     Attributes:
         worker: the worker.
-        snapshot: its state.
+        snapshot: the state.
     """
 
     worker: int
@@ -365,7 +365,7 @@
     Attributes:
         request: the request.
         first_received_ns: when it was received.
-        attempts: attempts sent so far.
+        attempts: number of attempts sent so far.
         worker: worker of the attempt in flight; 0: none is in flight.
         sent_ns: when that attempt was sent.
         started_ns: when the worker reported its start; 0: not reported.
--- a/weldquay/interface/settings.py
+++ b/weldquay/interface/settings.py
@@ -6,15 +6,15 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # that module is loaded only where reservations are configured
+if TYPE_CHECKING:  # the module is loaded only if reservations are configured
     from weldquay.reservations.settings import ReservationSettings
 
 
 class Idempotency(Enum):
     """The effect of executing a request twice.
 
-    IDEMPOTENT: the same as once. IDEMPOTENT_BY_KEY: the same as once at workers that recognise its key.
-    NON_IDEMPOTENT: it may differ.
+    IDEMPOTENT: the same as executing it once. IDEMPOTENT_BY_KEY: the same as once at workers that recognise
+    its idempotency key. NON_IDEMPOTENT: may differ.
     """
 
     IDEMPOTENT = "safe"
@@ -23,7 +23,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The workers that recognise a repeat of an attempt by its idempotency key.
+    """The workers that recognise a repeated attempt by its idempotency key.
 
     ALL: every worker. ZONE, CELL: the workers in the zone or cell of the first attempt.
     """
@@ -35,20 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """The settings of a class of requests.
+    """The settings of a job class.
 
     Attributes:
-        latency_objective_ns: a request is on time within this duration, plus its allowance.
+        latency_objective_ns: a request that takes no longer than this plus its allowance is on time.
         client_timeout_ns: how long a client waits for an answer.
         idempotency: the effect of executing a request twice.
-        deduplication_scope: where idempotency keys are recognised.
+        deduplication_scope: which workers recognise an idempotency key.
         idempotency_window_ns: how long a key is recognised after its first attempt.
         priority_weight: value of a request that is on time.
-        late_weight: fraction of that value which a late request has; 0: late requests are rejected.
-        runtime_allowance: multiple of a request's own running time that is added to the objective.
+        late_weight: value of a late request, as a fraction of that; 0: late requests are rejected.
+        runtime_allowance: this multiple of a request's own running time is added to its objective.
         machine_kind: the machine kind that requests need; -1: any.
-        streams_response: responses are streamed.
-        is_offered: requests may name the class; False after a reload has removed it.
+        streams_response: workers stream their responses.
+        is_offered: new requests may name the class; False after a reload has removed it.
     """
 
     latency_objective_ns: int
@@ -71,35 +71,35 @@
     Attributes:
         classes: the classes of requests, by number.
         dispatcher_count: number of dispatchers.
-        dispatcher_index: number of this one among them, from 0.
+        dispatcher_index: index of this one among them, from 0.
         zone: zone of this dispatcher.
         clock_resolution_ns: resolution of the clock.
-        polls_endpoint_list: the dispatcher polls discovery; otherwise updates are pushed to it.
-        endpoint_list_expires: changes may be missed, so the list may be acted on only while its lease lasts.
-        has_local_discovery_agent: an agent on the same machine serves the list, so that polls have no cost.
-        max_poll_delay_ns: maximum delay of a poll after a failure.
+        polls_endpoint_list: the dispatcher polls discovery; otherwise it receives pushed updates.
+        endpoint_list_expires: updates may be missed, so the list may be used only while its lease lasts.
+        has_local_discovery_agent: an agent on the same machine serves the list, so polls cost nothing.
+        max_poll_delay_ns: maximum delay of a poll after a failed one.
         may_cancel: attempts may be cancelled.
         may_probe: workers may be probed.
-        may_message_peers: dispatchers may send messages to each other.
+        may_message_peers: dispatchers may send each other messages.
         may_hedge: a second attempt may be sent while the first is in flight.
         max_attempts: maximum number of attempts of a request.
-        max_retry_after_ns: maximum delay that a rejected client is given; 0: none is given.
-        progress_interval_ns: workers report progress this often while a request runs; 0: never.
+        max_retry_after_ns: maximum Retry-After of a rejected request; 0: none is sent.
+        progress_interval_ns: interval at which workers report the progress of a request; 0: never.
         reports_start: workers report the start of a request.
-        workers_queue_in_order: the first request in a worker's queue blocks those behind it until it fits.
-        connection_idle_timeout_ns: an idle connection is not reused after this duration.
+        workers_queue_in_order: the first request in a worker's queue blocks the others until it fits.
+        connection_idle_timeout_ns: a connection that was idle for this long is not reused.
         reports_in_answers: answers carry load reports.
         reports_in_probes: probe results carry load reports.
-        weights_per_work: priority weights are per nanosecond of work, not per request.
-        initial_capacity_fraction: fraction of its capacity that a worker has at its start.
-        slow_start_ns: how long the capacity takes to reach its full value.
-        overload_multiple: a warming worker fails under this multiple of what it can process.
-        overload_window_ns: the window over which that load is measured.
+        weights_per_work: priority weights apply per nanosecond of work, not per request.
+        initial_capacity_fraction: fraction of its capacity that a worker has when it starts.
+        slow_start_ns: time until a started worker has its full capacity.
+        overload_multiple: a worker that is warming up fails at this multiple of the load that it can process.
+        overload_window_ns: time window over which that load is measured.
         probe_cost: cost of a probe, in priority weight.
         cross_zone_cost: cost of an attempt in another zone, in priority weight.
-        wasted_work_cost: cost of work whose result is not used, in priority weight.
+        wasted_work_cost: cost of work whose result goes unused, in priority weight.
         handshake_cost: cost of a new connection, in priority weight.
-        reservations: settings of capacity reservations for large requests; None: there are none.
+        reservations: settings of the capacity reservations for large requests; None: no reservations.
     """
 
     classes: tuple[JobClass, ...]
--- a/weldquay/interface/worker_snapshot.py
+++ b/weldquay/interface/worker_snapshot.py
@@ -1,6 +1,6 @@
-"""The state that a dispatcher process has of one worker, for the process that replaces it in a hot restart.
+"""A dispatcher process's state of one worker, which a hot restart passes to the newer process.
 
-All times are integer nanoseconds of the monotonic clock, which both processes read.
+All times are integer nanoseconds on the monotonic clock, which both processes share.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-NEVER_REPORTED_NS = -2_000_000_000  # a report time so long ago that the report no longer counts
-INITIAL_BACKOFF_NS = 1_000_000_000  # the first pause before an ejected worker is tried again
+NEVER_REPORTED_NS = -2_000_000_000  # long enough ago that the load report is not used
+INITIAL_BACKOFF_NS = 1_000_000_000  # first delay before an ejected worker is tried again
 
 
 class LoadChange(NamedTuple):
-    """Slots and memory that an attempt of this dispatcher took (positive) or returned (negative)."""
+    """Slots and memory that an attempt of this dispatcher has taken (positive) or released (negative)."""
 
     at_ns: int
     slots: float
@@ -21,7 +21,7 @@
 
 
 class SlowStartSend(NamedTuple):
-    """Work that was sent to a warming worker, and the worker's age at that time."""
+    """Work that was sent to a worker that was warming up, and the worker's age at that time."""
 
     worker_age_ns: int
     work_ns: float
@@ -29,29 +29,29 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSnapshot:
-    """The state of one worker; the defaults are those of a worker without any.
+    """The state of one worker; the defaults are those of a worker about which nothing is known.
 
     Attributes:
         free_slots: by its last load report, less its queue; None without a report.
         free_memory: by its last load report; None without a report.
-        estimated_slots: its capacity as learned from its reports; 0 while unknown.
+        estimated_slots: its capacity, as estimated from its load reports; 0 while unknown.
         reported_ns: when its last load report arrived.
-        unreported_changes: load changes that its last report may not contain.
+        unreported_changes: load changes that its last load report may not include.
         unreported_slots: sum of the slots of `unreported_changes`.
         unreported_memory: sum of the memory of `unreported_changes`.
-        last_response_ns: when one of its attempts last gave a sign of life.
-        consecutive_rejections: attempts in a row that it rejected as overloaded.
+        last_response_ns: when it last responded to an attempt or reported its start or progress.
+        consecutive_rejections: consecutive attempts that it rejected as overloaded.
         failure_score: grows with failed attempts and decays with successful ones.
-        backoff_until_ns: no attempt before this time, after a rejection.
-        next_probe_ns: no health check before this time.
-        consecutive_probe_failures: failed health checks in a row.
-        is_ejected: it gets no attempts until a health check or a trial succeeds.
-        next_trial_ns: when an ejected worker is tried again.
-        trial_backoff_ns: the pause before the trial after that.
-        reinstated_ns: when operators lifted its ban; 0: never.
+        backoff_until_ns: after a rejection: it gets no attempt before this time.
+        next_probe_ns: it gets no health check before this time.
+        consecutive_probe_failures: consecutive health checks that failed.
+        is_ejected: it gets no attempts until a health check or a trial attempt succeeds.
+        next_trial_ns: when an ejected worker gets a trial attempt.
+        trial_backoff_ns: delay before the trial attempt after that.
+        reinstated_ns: when operators last lifted its ban; 0: never.
         slow_start_sends: work that was sent to it while it was warming up.
         slow_start_budget_ns: work that may still be sent to it while it is warming up.
-        slow_start_budget_at_ns: when that budget was computed; -1: it has to be computed.
+        slow_start_budget_at_ns: when that budget was computed; -1: it must be recomputed.
     """
 
     free_slots: float | None = None
