--- a/tests/test_peer_timeout.py
+++ b/tests/test_peer_timeout.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from weldquay.net.peer_timeout import GRACE_S, LATE_S, MAX_EXTENSIONS, PeerTimeout
+from weldquay.net.peer_timeout import EXTENSION_S, MAX_EXTENSIONS, MAX_TIMER_LATENESS_S, PeerTimeout
 
 TIMEOUT_S = 0.1
 STALL_S = 0.3
@@ -86,7 +86,7 @@
         nonlocal turns
         async with PeerTimeout(TIMEOUT_S):
             while True:
-                stall(TIMEOUT_S + GRACE_S + 2 * LATE_S)
+                stall(TIMEOUT_S + EXTENSION_S + 2 * MAX_TIMER_LATENESS_S)
                 turns += 1
                 await asyncio.sleep(0)
 
--- a/weldquay/net/peer_timeout.py
+++ b/weldquay/net/peer_timeout.py
@@ -1,8 +1,7 @@
-"""A timeout that judges a peer, and not a stall of this process.
+"""A timeout for the response of a peer, which does not count stalls of this process.
 
-After a stall of the event loop the timers that are due run before the tasks whose bytes have arrived
-meanwhile, and `asyncio.timeout` cancels a wait whose result is there.  Such a result is a peer's answer in
-time, however late this process reads it.
+After a stall of the event loop, expired timers run before the tasks whose data arrived during the stall.  So
+`asyncio.timeout` cancels an operation whose result is already available, although the peer responded in time.
 """
 
 from __future__ import annotations
@@ -10,33 +9,33 @@
 import asyncio
 from types import TracebackType
 
-LATE_S = 0.02  # a timer that runs this late shows a stall
-GRACE_S = 0.05  # for what has arrived, which takes a few turns of the loop to process
-MAX_EXTENSIONS = 5  # for stalls that follow on each other
-STALL_S = 0.1  # a timer that runs this late makes a timeout say nothing of the peer
-CHECK_LEAD_S = 0.001  # so that the check runs before the timeout where both are due in one turn
+MAX_TIMER_LATENESS_S = 0.02  # a timer that runs later than this indicates a stall
+EXTENSION_S = 0.05  # data that has arrived takes a few iterations of the event loop to process
+MAX_EXTENSIONS = 5  # for consecutive stalls
+STALL_THRESHOLD_S = 0.1  # if a timer ran later than this, the timeout shows nothing about the peer
+CHECK_LEAD_S = 0.001  # the check must run before the timeout if both are due in one loop iteration
 
 
 class PeerTimeout:
-    """An asynchronous context like `asyncio.timeout`, which is extended where the event loop runs late."""
+    """An asynchronous context manager like `asyncio.timeout`, extended when the event loop runs late."""
 
-    __slots__ = ("_check", "_due", "_extensions", "_seconds", "_timeout", "lateness_s")
+    __slots__ = ("_check", "_deadline", "_extensions", "_timeout", "_timeout_s", "lateness_s")
 
-    def __init__(self, seconds: float) -> None:
-        """Raise TimeoutError where the block takes longer than so many seconds."""
-        self._seconds = seconds
+    def __init__(self, timeout_s: float) -> None:
+        """Raise TimeoutError if the block takes longer than timeout_s."""
+        self._timeout_s = timeout_s
         self._extensions = 0
-        self.lateness_s = 0.0  # the longest time by which a check ran late
+        self.lateness_s = 0.0  # maximum delay of a check
 
     @property
     def has_stalled(self) -> bool:
-        """True where this process stood still when the timeout was due: it says nothing of the peer."""
-        return self.lateness_s > STALL_S
+        """True if this process stalled when the timeout was due, which then shows nothing about the peer."""
+        return self.lateness_s > STALL_THRESHOLD_S
 
     async def __aenter__(self) -> PeerTimeout:
         """Start the timeout."""
-        self._due = asyncio.get_running_loop().time() + self._seconds
-        self._timeout = asyncio.timeout_at(self._due)
+        self._deadline = asyncio.get_running_loop().time() + self._timeout_s
+        self._timeout = asyncio.timeout_at(self._deadline)
         await self._timeout.__aenter__()
         self._schedule_check()
         return self
@@ -47,19 +46,19 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End the timeout; raises TimeoutError in place of the cancellation that it caused."""
+        """Stop the timeout; raises TimeoutError in place of the cancellation that it caused."""
         self._check.cancel()
         await self._timeout.__aexit__(error_type, error, traceback)
 
     def _schedule_check(self) -> None:
-        self._check = asyncio.get_running_loop().call_at(self._due - CHECK_LEAD_S, self._extend_if_late)
+        self._check = asyncio.get_running_loop().call_at(self._deadline - CHECK_LEAD_S, self._extend_if_late)
 
     def _extend_if_late(self) -> None:
         now = asyncio.get_running_loop().time()
-        self.lateness_s = max(self.lateness_s, now - self._due)
-        if now < self._due + LATE_S or self._extensions == MAX_EXTENSIONS:
+        self.lateness_s = max(self.lateness_s, now - self._deadline)
+        if now < self._deadline + MAX_TIMER_LATENESS_S or self._extensions == MAX_EXTENSIONS:
             return
         self._extensions += 1
-        self._due = now + GRACE_S
-        self._timeout.reschedule(self._due)
+        self._deadline = now + EXTENSION_S
+        self._timeout.reschedule(self._deadline)
         self._schedule_check()
