--- a/weldquay/net/messages/endpoint_list.py
+++ b/weldquay/net/messages/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's list of match workers: complete, or its changes since a revision."""
+"""Discovery's list of match workers: the complete list, or its changes since a revision."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from weldquay.limits import MAX_PORT
 from weldquay.net.messages.common import Body, MessageError, read_json, string_field
 
-WORKER_STATES: dict[str, api.WorkerState] = {
+STATE_BY_PHASE: dict[str, api.WorkerState] = {
     "SERVING": api.WorkerState.READY,
     "DRAINING": api.WorkerState.DRAINING,
     "DELETED": api.WorkerState.GONE,
 }
-PHASES = {state: phase for phase, state in WORKER_STATES.items()}
+PHASE_BY_STATE = {state: phase for phase, state in STATE_BY_PHASE.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker in the list; up_since_ms: its start, in ms since 1970 (0: unknown)."""
+    """A worker in the list; up_since_ms: when it started, in ms since the Unix epoch (0: unknown)."""
 
     id: str
     host: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The list, or (is_complete False) the endpoints that have changed."""
+    """The complete list, or (is_complete False) the endpoints that have changed."""
 
     revision: int
     is_complete: bool
@@ -43,42 +43,42 @@
 
 
 def watch_target(revision: int) -> bytes:
-    """The request target of a watch on the changes since a revision."""
+    """Return the request target of a watch for changes since a revision."""
     return b"/catalog/members?follow=1&since=%d" % revision
 
 
 def parse_endpoint_list(data: Body) -> EndpointList:
-    """The list in a value of a watch.  Raises MessageError if it is malformed."""
+    """Parse a value of a watch.  Raises MessageError if it is malformed."""
     return endpoint_list_from_json(read_json(data))
 
 
 def endpoint_list_from_json(document: object) -> EndpointList:
-    """The list of a JSON value.  Raises MessageError if it is malformed."""
+    """Convert a JSON value to a list.  Raises MessageError if it is malformed."""
     if not isinstance(document, dict) or not isinstance(document.get("members"), list):
-        raise MessageError("a list of members is a JSON object with members")
+        raise MessageError("the endpoint list is not a JSON object with a list of members")
     revision = document.get("revision")
     if isinstance(revision, bool) or not isinstance(revision, int):
-        raise MessageError("revision is no whole number")
+        raise MessageError("revision is not an integer")
     endpoints = tuple(_endpoint_from_json(member) for member in document["members"])
     return EndpointList(revision, document.get("complete") is True, endpoints)
 
 
 def _endpoint_from_json(member: object) -> Endpoint:
     if not isinstance(member, dict):
-        raise MessageError("a member is a JSON object")
+        raise MessageError("a member is not a JSON object")
     host, colon, port = string_field(member, "host_port").rpartition(":")
     if not colon or not port.isdecimal() or int(port) > MAX_PORT:
-        raise MessageError("host_port is no HOST:PORT")
-    state = WORKER_STATES.get(string_field(member, "phase"))
+        raise MessageError("host_port is not HOST:PORT")
+    state = STATE_BY_PHASE.get(string_field(member, "phase"))
     if state is None:
-        raise MessageError("phase is unknown")
+        raise MessageError("phase is not SERVING, DRAINING or DELETED")
     cell = member.get("cell", 0)
     weight = member.get("size", 1.0)
     up_since_ms = member.get("up_since_ms", 0)
     if not all(
         isinstance(value, int | float) and math.isfinite(value) for value in (cell, weight, up_since_ms)
     ):
-        raise MessageError("cell, size or up_since_ms is no figure")
+        raise MessageError("cell, size or up_since_ms is not a finite number")
     return Endpoint(
         id=string_field(member, "id"),
         host=host.strip("[]"),
@@ -93,14 +93,14 @@
 
 
 def endpoint_to_json(endpoint: Endpoint) -> dict[str, Any]:
-    """An endpoint in discovery's form."""
+    """Convert an endpoint to the JSON object that discovery sends for it."""
     return {
         "id": endpoint.id,
         "host_port": f"{endpoint.host}:{endpoint.port}",
         "locality": endpoint.zone,
         "flavor": endpoint.kind,
         "cell": endpoint.cell,
-        "phase": PHASES[endpoint.state],
+        "phase": PHASE_BY_STATE[endpoint.state],
         "size": endpoint.weight,
         "up_since_ms": endpoint.up_since_ms,
     }
