--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Outages of discovery with interruptions: no attempt is sent by a list that has missed a change."""
+"""Interrupted outages of discovery: no attempt is sent by a list that may have missed a change."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.helpers import MS, SECOND
 from tests.newer_process import newer_process
 from tests.site import Site, site, until
-from tests.test_list_lease import FLEETS, World, faults_of
+from tests.test_list_lease import DISPATCHER_COUNTS, DiscoverySimulation, schedule_faults
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, MAX_UNOBSERVED_NS
 from weldquay.interface import DiscoveryFailure
@@ -26,34 +26,34 @@
 from weldquay.net.discovery_client import CONNECT_TIMEOUT_S, SAMPLED_FAILURES
 from weldquay.net.reachability_sampler import SAMPLE_INTERVAL_S, SAMPLE_TIMEOUT_S
 
-UNREACHABLE = ("down", "cut")
+UNREACHABLE = ("down", "partition")
 STALENESS_S = MAX_STALENESS_NS / 1e9
 
 
 @dataclass
-class SampledWorld(World):
-    """The model of `test_list_lease`, with connection attempts between the polls."""
+class SampledSimulation(DiscoverySimulation):
+    """The simulation of `test_list_lease`, with connection attempts between the polls."""
 
     sample_interval_ns: int = int(SAMPLE_INTERVAL_S * SECOND)
     was_reachable: bool = False  # since the last update
     is_sampling: bool = False
-    observed_from_ns: int = 0  # end of the last report; 0: none since the last update
-    unserved_ns: int = 0  # the time in which no attempt could be sent
+    observed_from_ns: int = 0  # end of the last reported interval; 0: no report since the last update
+    without_lease_ns: int = 0  # total time in which no attempt could be sent
 
     def advance(self, until_ns: int) -> None:
-        """Advance the time, and add up the time without a lease."""
-        self.unserved_ns += max(0, until_ns - max(self.now_ns, self.lease.send_deadline_ns))
+        """Advance the time, and sum up the time without a lease."""
+        self.without_lease_ns += max(0, until_ns - max(self.now_ns, self.lease.send_deadline_ns))
         super().advance(until_ns)
 
     def sample_until(self, until_ns: int) -> None:
-        """Attempt connections for a time, and report them as `ReachabilitySampler` does."""
+        """Attempt connections until a time, and report them as `ReachabilitySampler` does."""
         if not self.is_sampling:
             self.advance(until_ns)
             return
         last_ns = 0
         sample_ns = self.now_ns + self.sample_interval_ns
         while not self.was_reachable and sample_ns < until_ns:
-            if self.fault(sample_ns) in UNREACHABLE:
+            if self.fault_at(sample_ns) in UNREACHABLE:
                 self.observed_from_ns = self.observed_from_ns or sample_ns
                 last_ns = sample_ns
                 sample_ns += self.sample_interval_ns
@@ -67,23 +67,23 @@
         self.report(last_ns)
 
     def report(self, last_ns: int) -> None:
-        """Report attempts that failed, up to the last; one that times out takes a while."""
+        """Report failed attempts up to the last one that is decided; a timeout takes SAMPLE_TIMEOUT_S."""
         if last_ns:
-            timeout_ns = int(SAMPLE_TIMEOUT_S * SECOND) if self.fault(last_ns) == "cut" else 0
+            timeout_ns = int(SAMPLE_TIMEOUT_S * SECOND) if self.fault_at(last_ns) == "partition" else 0
             until_ns = max(self.observed_from_ns, last_ns - timeout_ns)
             self.lease.record_observation(self.observed_from_ns, until_ns, is_reachable=False)
             self.observed_from_ns = until_ns
 
     def poll(self) -> tuple[DiscoveryFailure | None, int]:
-        """Poll discovery; while no connection comes up, others are attempted."""
-        if self.fault(self.now_ns) != "cut":
+        """Poll discovery; during a connection timeout the sampling goes on."""
+        if self.fault_at(self.now_ns) != "partition":
             return super().poll()
         duration_ns = int(CONNECT_TIMEOUT_S * SECOND)
         self.sample_until(self.now_ns + duration_ns)
         return DiscoveryFailure.CONNECT_TIMEOUT, duration_ns
 
-    def play(self, dispatcher_count: int, seed: int, until_ns: int) -> int:
-        """Watch the list until then; return how late an attempt could be sent at the worst."""
+    def simulate(self, dispatcher_count: int, seed: int, until_ns: int) -> int:
+        """Follow the list until a time; return the maximum lateness of an attempt."""
         backoff = Backoff(random.Random(seed), dispatcher_count)
         self.lease.confirm(self.now_ns)
         while self.now_ns < until_ns:
@@ -99,26 +99,26 @@
                 failure, since_update_ns = self.poll()
             self.lease.confirm(self.now_ns)
             backoff.reset()
-        return self.worst_ns
+        return self.max_lateness_ns
 
 
 @dataclass
-class ProxiedWorld(SampledWorld):
-    """Discovery behind a proxy, which accepts connections and answers 503 while discovery is down."""
+class ProxiedSimulation(SampledSimulation):
+    """Discovery behind a proxy that accepts connections and answers 503 while discovery is down."""
 
     error: DiscoveryFailure = DiscoveryFailure.UNAVAILABLE
     error_after_s: float = 0.001
 
     def poll(self) -> tuple[DiscoveryFailure | None, int]:
         """Poll the proxy."""
-        if self.fault(self.now_ns) != "down":
+        if self.fault_at(self.now_ns) != "down":
             return super().poll()
         duration_ns = int(self.error_after_s * SECOND)
         self.advance(self.now_ns + duration_ns)
         return self.error, duration_ns
 
     def sample_until(self, until_ns: int) -> None:
-        """Attempt one connection, which the proxy accepts."""
+        """Attempt one connection, which the proxy accepts, so that sampling stops."""
         if not self.was_reachable:
             self.was_reachable = True
             self.lease.record_observation(self.now_ns, self.now_ns, is_reachable=True)
@@ -126,8 +126,8 @@
 
 
 def max_lateness_ns(faults: list[tuple[str, int, int]], dispatcher_count: int, seed: int) -> int:
-    """The longest time from the report of a missed change to a possible send; negative: none is late."""
-    return SampledWorld(faults).play(dispatcher_count, seed, faults[-1][2] + 10 * SECOND)
+    """Return the maximum lateness of an attempt by a stale list; negative: no attempt is late."""
+    return SampledSimulation(faults).simulate(dispatcher_count, seed, faults[-1][2] + 10 * SECOND)
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 230])
@@ -135,74 +135,78 @@
 def test_no_attempt_is_sent_late_however_long_an_interrupted_outage_lasts(
     down_s: float, dispatcher_count: int
 ) -> None:
-    """Down for 3 s, up for 0.1 s, down again: a change that came in between was used late by the outage."""
-    faults = faults_of([("down", 40, 30), ("down", 1, int(down_s * 10))], 0)
+    """Down for 3 s, up for 0.1 s, down again: a change in the gap was applied late by the whole outage."""
+    faults = schedule_faults([("down", 40, 30), ("down", 1, int(down_s * 10))], 0)
     assert max(max_lateness_ns(faults, dispatcher_count, seed) for seed in range(20)) <= 0
 
 
 OUTAGES = st.lists(
-    st.tuples(st.sampled_from(["down", "cut", "mute", "busy"]), st.integers(0, 120), st.integers(1, 900)),
+    st.tuples(
+        st.sampled_from(["down", "partition", "unresponsive", "busy"]),
+        st.integers(0, 120),
+        st.integers(1, 900),
+    ),
     min_size=1,
     max_size=6,
 )
 
 
 @settings(deadline=None, max_examples=100, derandomize=True)
-@given(OUTAGES, FLEETS, st.integers(0, 2**32))
-def test_no_attempt_is_sent_late_after_faults_that_follow_on_each_other(
-    drawn: list[tuple[str, int, int]], dispatcher_count: int, seed: int
+@given(OUTAGES, DISPATCHER_COUNTS, st.integers(0, 2**32))
+def test_no_attempt_is_sent_late_after_consecutive_faults(
+    drawn_faults: list[tuple[str, int, int]], dispatcher_count: int, seed: int
 ) -> None:
-    """Any time between two faults, also one that is too short for a poll: late by the next fault's length."""
-    assert max_lateness_ns(faults_of(drawn, 0), dispatcher_count, seed) <= 0
+    """A gap between faults may be too short for a poll: a change in it was applied late by the next fault."""
+    assert max_lateness_ns(schedule_faults(drawn_faults, 0), dispatcher_count, seed) <= 0
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 3, 30, 230, 410])
 @pytest.mark.parametrize("kind", UNREACHABLE)
-def test_a_plain_outage_is_served_throughout(kind: str, dispatcher_count: int) -> None:
-    """60 s without an interruption: the lease never ends before discovery is back."""
-    faults = faults_of([(kind, 40, 600)], 0)
+def test_requests_are_served_throughout_an_uninterrupted_outage(kind: str, dispatcher_count: int) -> None:
+    """Down for 60 s: the lease never expires before discovery is back."""
+    faults = schedule_faults([(kind, 40, 600)], 0)
     for seed in range(20):
-        world = SampledWorld(faults)
-        world.play(dispatcher_count, seed, faults[0][2] + 10 * SECOND)
-        assert world.unserved_ns == 0
+        simulation = SampledSimulation(faults)
+        simulation.simulate(dispatcher_count, seed, faults[0][2] + 10 * SECOND)
+        assert simulation.without_lease_ns == 0
 
 
 @pytest.mark.parametrize("dispatcher_count", [3, 30, 230, 410])
 def test_no_attempt_is_sent_late_after_an_outage_with_a_busy_recovery(dispatcher_count: int) -> None:
-    """Down for 8 s, then up and busy for 4 s: a drain was applied up to 7.8 s late."""
-    faults = faults_of([("down", 40, 80), ("busy", 0, 40)], 0)
+    """Down for 8 s, then up but busy for 4 s: a drain was applied up to 7.8 s late."""
+    faults = schedule_faults([("down", 40, 80), ("busy", 0, 40)], 0)
     assert max(max_lateness_ns(faults, dispatcher_count, seed) for seed in range(40)) <= 0
 
 
 @pytest.mark.parametrize("error", [DiscoveryFailure.UNAVAILABLE, DiscoveryFailure.BUSY])
 def test_no_attempt_is_sent_late_after_an_outage_that_accepts_connections(error: DiscoveryFailure) -> None:
-    """Discovery behind a proxy that answers 503, at once or after 2 s, cannot be observed by connecting."""
-    faults = faults_of([("down", 40, 30), ("down", 1, 300)], 0)
+    """A proxy accepts connections and answers 503 at once or after 2 s, so connecting shows nothing."""
+    faults = schedule_faults([("down", 40, 30), ("down", 1, 300)], 0)
     error_after_s = 2.0 if error is DiscoveryFailure.BUSY else 0.001
-    worlds = [ProxiedWorld(faults, error=error, error_after_s=error_after_s) for _ in range(20)]
+    simulations = [ProxiedSimulation(faults, error=error, error_after_s=error_after_s) for _ in range(20)]
     end_ns = faults[-1][2] + 10 * SECOND
-    assert max(world.play(3, seed, end_ns) for seed, world in enumerate(worlds)) <= 0
+    assert max(simulation.simulate(3, seed, end_ns) for seed, simulation in enumerate(simulations)) <= 0
 
 
 def test_no_attempt_is_sent_late_after_a_partition_that_follows_a_silent_watch() -> None:
-    """The watch falls silent 1 s before the partition, and a change comes in between."""
-    faults = faults_of([("watches", 40, 10), ("cut", 0, 300)], 0)
+    """The watch sends nothing for 1 s before the partition, and a change in that second is missed."""
+    faults = schedule_faults([("silent_watches", 40, 10), ("partition", 0, 300)], 0)
     assert max(max_lateness_ns(faults, 3, seed) for seed in range(20)) <= 0
 
 
 # --- on real sockets ---
 
 
-class Unanswering(Server):
-    """A discovery that accepts polls and does not answer them."""
+class UnresponsiveDiscovery(Server):
+    """A discovery that accepts polls and does not respond."""
 
     async def answer(self, _message: Message, _writer: asyncio.StreamWriter) -> None:
         """Send nothing."""
 
 
 @asynccontextmanager
-async def site_in_an_outage() -> AsyncIterator[tuple[Site, str]]:
-    """A site whose discovery has begun to refuse connections, and discovery's address."""
+async def site_during_outage() -> AsyncIterator[tuple[Site, str]]:
+    """Yield a site whose discovery refuses connections, and the address of discovery."""
     async with site() as here:
         await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
         address = here.discovery.address
@@ -213,35 +217,35 @@
             yield here, address
 
 
-async def open_for_a_moment(address: str, seconds: float) -> None:
-    """Have a discovery accept connections at the address for a time."""
-    moment = Unanswering()
+async def accept_briefly(address: str, seconds: float) -> None:
+    """Accept connections at discovery's address for some seconds, without a response."""
+    server = UnresponsiveDiscovery()
     sock, _ = reserve(address)
-    await moment.start_on(sock)
+    await server.start_on(sock)
     await asyncio.sleep(seconds)
-    moment.stop()
+    server.stop()
 
 
-async def statuses_of_requests(here: Site, length_s: float) -> set[int]:
-    """Send one request after the other for a time; return the statuses of their answers."""
+async def statuses_of_requests(here: Site, duration_s: float) -> set[int]:
+    """Send requests in sequence for some seconds; return the statuses of their responses."""
     statuses = set()
-    end_s = time.monotonic() + length_s
+    end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
         statuses.add((await here.post(left_ms=1000)).status)
     return statuses
 
 
-@pytest.mark.parametrize(("open_s", "is_served"), [(0.0, True), (MAX_UNOBSERVED_NS / 1e9 + 0.1, False)])
-def test_workers_get_nothing_by_a_list_that_missed_a_moment_of_discovery(
-    open_s: float, is_served: bool
+@pytest.mark.parametrize(("accepting_s", "is_served"), [(0.0, True), (MAX_UNOBSERVED_NS / 1e9 + 0.1, False)])
+def test_requests_are_served_only_while_an_outage_is_uninterrupted(
+    accepting_s: float, is_served: bool
 ) -> None:
-    """Discovery refuses connections, accepts them for a moment or not, and refuses them again for 8 s."""
+    """Discovery refuses connections for 8 s; it may accept them briefly before that."""
 
     async def scenario() -> None:
-        async with site_in_an_outage() as (here, address):
+        async with site_during_outage() as (here, address):
             await until(lambda: here.program.counters.counts["discovery_polls_refused"] >= 2)
-            if open_s:
-                await open_for_a_moment(address, open_s)
+            if accepting_s:
+                await accept_briefly(address, accepting_s)
             await asyncio.sleep(STALENESS_S + 0.2)
             assert await statuses_of_requests(here, 2.0) == ({200} if is_served else {503})
             assert all(not worker.methods() for worker in here.workers) != is_served
@@ -249,28 +253,28 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("open_s", [0.0, MAX_UNOBSERVED_NS / 1e9 + 0.1])
-def test_newer_process_knows_what_the_older_one_has_observed(open_s: float) -> None:
-    """A hot restart in the middle of an outage, with and without a moment in which discovery was back."""
+@pytest.mark.parametrize("accepting_s", [0.0, MAX_UNOBSERVED_NS / 1e9 + 0.1])
+def test_newer_process_inherits_the_observations_of_the_older_one(accepting_s: float) -> None:
+    """A hot restart during an outage, with and without a brief recovery of discovery before it."""
 
     async def scenario() -> None:
-        async with site_in_an_outage() as (here, address):
-            if open_s:
-                await open_for_a_moment(address, open_s)
+        async with site_during_outage() as (here, address):
+            if accepting_s:
+                await accept_briefly(address, accepting_s)
                 await until(lambda: here.program.counters.counts["discovery_reachable_between_polls"])
             async with newer_process(here) as newer:
                 await asyncio.sleep(STALENESS_S + 0.2)
-                assert await statuses_of_requests(here, 0.5) == ({503} if open_s else {200})
+                assert await statuses_of_requests(here, 0.5) == ({503} if accepting_s else {200})
                 assert newer.counters.counts["requests"]
 
     asyncio.run(scenario())
 
 
 def test_reload_to_an_address_that_refuses_connections_does_not_end_the_service() -> None:
-    """A reload moves discovery in the middle of an outage; the new address refuses connections too."""
+    """A reload during an outage changes discovery's address; the new one refuses connections too."""
 
     async def scenario() -> None:
-        async with site_in_an_outage() as (here, _):
+        async with site_during_outage() as (here, _):
             other, other_address = reserve()
             host, port = other_address.split(":")
             here.program.discovery.reconfigure(
