--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Polls of discovery: their backoff, the parser of the watch, and silent watches on real sockets."""
+"""Polls of discovery: the backoff, the parser of the watch, and heartbeat timeouts on real sockets."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from weldquay.net.messages import MessageError
 from weldquay.policy.dispatcher import Dispatcher
 
-FLEET = 200
-BUSY, SILENT, UNREACHED = (
+DISPATCHER_COUNT = 200
+BUSY, HEARTBEAT_TIMEOUT, CONNECT_TIMEOUT = (
     api.DiscoveryFailure.BUSY,
     api.DiscoveryFailure.HEARTBEAT_TIMEOUT,
     api.DiscoveryFailure.CONNECT_TIMEOUT,
@@ -30,130 +30,154 @@
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "max_s"), [(2.0, 1.6), (2.6, 1.0), (5.0, 0.2), (5.9, 0.2), (6.0, 3.6), (6.25, 3.6)]
+    ("since_update_s", "max_s"), [(2.0, 1.6), (2.6, 1.0), (5.0, 0.2), (5.9, 0.2), (6.0, 3.6), (6.25, 3.6)]
 )
-def test_jitter_after_silence_uses_remaining_clock(silent_s: float, max_s: float) -> None:
-    """The jitter uses all of the remaining time, and no more; past the clock's end a new one starts."""
-    waits = [
-        Backoff(random.Random(seed), FLEET).retry_delay_ns(
-            100 * SECOND, 10 * SECOND, int(silent_s * SECOND), SILENT
+def test_jitter_after_a_heartbeat_timeout_uses_the_remaining_time(
+    since_update_s: float, max_s: float
+) -> None:
+    """The jitter uses all of the remaining time and no more; after the deadline a new one is set."""
+    delays_ns = [
+        Backoff(random.Random(seed), DISPATCHER_COUNT).retry_delay_ns(
+            100 * SECOND, 10 * SECOND, int(since_update_s * SECOND), HEARTBEAT_TIMEOUT
         )
         for seed in range(500)
     ]
-    assert 0.9 * max_s <= max(waits) / SECOND <= max_s
-
-
-def test_failure_within_clock_is_polled_again_within_it() -> None:
-    """A response ends the clock, and an unreachable discovery restarts it."""
-    backoff, now_ns = Backoff(random.Random(1), FLEET), 100 * SECOND
-    begun_ns = now_ns - 2600 * MS
-    backoff.retry_delay_ns(now_ns, 10 * SECOND, 2600 * MS, SILENT)
-    assert all(backoff.retry_delay_ns(now_ns + SECOND, 10 * SECOND, 0, SILENT) <= 200 * MS for _ in range(50))
-    backoff.retry_delay_ns(begun_ns + 5 * SECOND, 10 * SECOND, 0, UNREACHED)
-    fresh = [backoff.retry_delay_ns(begun_ns + 5 * SECOND, 10 * SECOND, 0, UNREACHED) for _ in range(50)]
-    assert 3 * SECOND < max(fresh) <= 3600 * MS
+    assert 0.9 * max_s <= max(delays_ns) / SECOND <= max_s
+
+
+def test_poll_after_a_failure_meets_the_deadline() -> None:
+    """A success removes the deadline, and a failure to connect sets a new one."""
+    backoff, now_ns = Backoff(random.Random(1), DISPATCHER_COUNT), 100 * SECOND
+    outage_start_ns = now_ns - 2600 * MS
+    backoff.retry_delay_ns(now_ns, 10 * SECOND, 2600 * MS, HEARTBEAT_TIMEOUT)
+    assert all(
+        backoff.retry_delay_ns(now_ns + SECOND, 10 * SECOND, 0, HEARTBEAT_TIMEOUT) <= 200 * MS
+        for _ in range(50)
+    )
+    backoff.retry_delay_ns(outage_start_ns + 5 * SECOND, 10 * SECOND, 0, CONNECT_TIMEOUT)
+    delays_ns = [
+        backoff.retry_delay_ns(outage_start_ns + 5 * SECOND, 10 * SECOND, 0, CONNECT_TIMEOUT)
+        for _ in range(50)
+    ]
+    assert 3 * SECOND < max(delays_ns) <= 3600 * MS
     backoff.reset()
     assert (
-        max(backoff.retry_delay_ns(begun_ns + 5 * SECOND, 10 * SECOND, 0, SILENT) for _ in range(50))
+        max(
+            backoff.retry_delay_ns(outage_start_ns + 5 * SECOND, 10 * SECOND, 0, HEARTBEAT_TIMEOUT)
+            for _ in range(50)
+        )
         > 3 * SECOND
     )
 
 
 @pytest.mark.parametrize(("dispatchers", "min_s", "max_s"), [(3, 0.0, 3.6), (200, 5.0, 10.0)])
-def test_only_large_fleet_backs_off_beyond_clock(dispatchers: int, min_s: float, max_s: float) -> None:
-    """From the second late failure in a row on."""
+def test_only_a_large_fleet_backs_off_beyond_the_deadline(
+    dispatchers: int, min_s: float, max_s: float
+) -> None:
+    """From the second consecutive failure after a wait in discovery's queue on."""
     backoff = Backoff(random.Random(1), dispatchers)
     assert backoff.retry_delay_ns(100 * SECOND, 10 * SECOND, 2 * SECOND, BUSY) <= 3600 * MS
-    waits = [
+    delays_ns = [
         backoff.retry_delay_ns((110 + 10 * n) * SECOND, 10 * SECOND, 2 * SECOND, BUSY) for n in range(50)
     ]
-    assert min_s * SECOND <= min(waits) and max(waits) <= max_s * SECOND
+    assert min_s * SECOND <= min(delays_ns) and max(delays_ns) <= max_s * SECOND
 
 
 def test_local_agent_is_polled_at_once_and_soon_again() -> None:
     """Independently of the number of dispatchers and of failures."""
-    backoff = Backoff(random.Random(1), FLEET, is_local_agent=True)
+    backoff = Backoff(random.Random(1), DISPATCHER_COUNT, is_local_agent=True)
     assert backoff.initial_delay_ns(SECOND) == 0
     assert max(backoff.retry_delay_ns(n * SECOND, 10 * SECOND, 2 * SECOND) for n in range(50)) <= 100 * MS
 
 
 @pytest.mark.parametrize("work_ms", [1, 5, 10])
 def test_watches_that_fail_together_reopen_in_time(work_ms: int) -> None:
-    """200 dispatchers, one discovery; each ends its watch 0.6 s to 2.6 s after the silence began."""
-    draw, discovery, begun_ns = random.Random(work_ms), Discovery(work_ms * MS, 0), 100 * SECOND
-    fleet = [
-        Dispatcher(settings(dispatcher_count=FLEET, dispatcher_index=me, polls_endpoint_list=True), me)
-        for me in range(FLEET)
+    """200 dispatchers, one discovery: heartbeats stop, and each watch times out 0.6 s to 2.6 s later."""
+    rng, discovery, outage_start_ns = random.Random(work_ms), Discovery(work_ms * MS, 0), 100 * SECOND
+    dispatchers = [
+        Dispatcher(
+            settings(dispatcher_count=DISPATCHER_COUNT, dispatcher_index=index, polls_endpoint_list=True),
+            index,
+        )
+        for index in range(DISPATCHER_COUNT)
     ]
     queue: list[tuple[int, int, int, api.Event]] = []
-    for me, one in enumerate(fleet):
-        one.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
-        one.step(10 * SECOND, [api.TimerDue(3)])
-        one.step(11 * SECOND, [api.EndpointListUpdate(api.EndpointListKind.DELTA)])
-        at_ns = begun_ns + int((0.6 + 2 * draw.random()) * SECOND)
+    for index, dispatcher in enumerate(dispatchers):
+        dispatcher.step(SECOND, [api.EndpointListUpdate(api.EndpointListKind.CACHED, WORKERS)])
+        dispatcher.step(10 * SECOND, [api.TimerDue(3)])
+        dispatcher.step(11 * SECOND, [api.EndpointListUpdate(api.EndpointListKind.DELTA)])
+        at_ns = outage_start_ns + int((0.6 + 2 * rng.random()) * SECOND)
         queue.append(
             (
                 at_ns,
-                me,
-                me,
+                index,
+                index,
                 api.EndpointListUpdate(
-                    api.EndpointListKind.FAILED, since_update_ns=2600 * MS, failure=SILENT
+                    api.EndpointListKind.FAILED, since_update_ns=2600 * MS, failure=HEARTBEAT_TIMEOUT
                 ),
             )
         )
     heapq.heapify(queue)
-    received_ns, number = dict[int, int](), FLEET
+    received_ns, number = dict[int, int](), DISPATCHER_COUNT
     while queue:
-        now_ns, _, me, event = heapq.heappop(queue)
+        now_ns, _, index, event = heapq.heappop(queue)
         if isinstance(event, api.EndpointListUpdate) and event.kind is api.EndpointListKind.DELTA:
-            received_ns[me] = now_ns - begun_ns
+            received_ns[index] = now_ns - outage_start_ns
             continue
-        for action in fleet[me].step(now_ns, [event]):
+        for action in dispatchers[index].step(now_ns, [event]):
             number += 1
             if isinstance(action, api.SetTimer) and action.token == 3:
-                heapq.heappush(queue, (now_ns + action.delay_ns, number, me, api.TimerDue(3)))
+                heapq.heappush(queue, (now_ns + action.delay_ns, number, index, api.TimerDue(3)))
             elif isinstance(action, api.WatchEndpoints):
                 at_ns, answered = discovery.ask(now_ns)
                 kind = api.EndpointListKind.DELTA if answered else api.EndpointListKind.FAILED
-                heapq.heappush(queue, (at_ns, number, me, api.EndpointListUpdate(kind)))
-    assert len(received_ns) == FLEET and max(received_ns.values()) < 5600 * MS
+                heapq.heappush(queue, (at_ns, number, index, api.EndpointListUpdate(kind)))
+    assert len(received_ns) == DISPATCHER_COUNT and max(received_ns.values()) < 5600 * MS
 
 
-LIST: dict[str, Any] = {"revision": 7, "complete": True, "members": [{"id": 'a"}{', "cell": 1}, {"id": "b"}]}
+ENDPOINT_LIST: dict[str, Any] = {
+    "revision": 7,
+    "complete": True,
+    "members": [{"id": 'a"}{', "cell": 1}, {"id": "b"}],
+}
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1, 4])
 @pytest.mark.parametrize("size", [1, 7, 4096])
 def test_values_are_complete_in_any_layout(indent: int | None, size: int) -> None:
-    """On one line or indented, in pieces of any size, with heartbeats between them."""
-    text = json.dumps(LIST, indent=indent).encode() + b"\n\n" + b'{"revision":8}\r\n'
-    values, values_read = JsonStreamParser(), list[bytes]()
-    for at in range(0, len(text), size):
-        values_read += values.feed(text[at : at + size])
-    assert [json.loads(value) if value else None for value in values_read] == [LIST, None, {"revision": 8}]
+    """Values are on one line or indented, and arrive in chunks of any size with heartbeats between them."""
+    stream = json.dumps(ENDPOINT_LIST, indent=indent).encode() + b"\n\n" + b'{"revision":8}\r\n'
+    parser, received = JsonStreamParser(), list[bytes]()
+    for at in range(0, len(stream), size):
+        received += parser.feed(stream[at : at + size])
+    assert [json.loads(value) if value else None for value in received] == [
+        ENDPOINT_LIST,
+        None,
+        {"revision": 8},
+    ]
 
 
 @pytest.mark.parametrize("data", [b"x" * MAX_VALUE + b"y", b"[\n" * (MAX_VALUE // 2 + 1) + b"[[\n" * 9])
 def test_incomplete_value_is_limited(data: bytes) -> None:
-    """On one line, or on many."""
+    """The value is on one line, or on many."""
     with pytest.raises(MessageError, match="too long"):
         JsonStreamParser().feed(data * 2)
 
 
-def shorten_timeouts(monkeypatch: pytest.MonkeyPatch, clock_ns: int) -> None:
-    """Shorten the heartbeat timeout to 0.3 s, and the clock to clock_ns."""
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch, max_staleness_ns: int) -> None:
+    """Shorten the heartbeat timeout to 0.3 s, and set the staleness limit."""
     monkeypatch.setattr(discovery_client, "HEARTBEAT_S", 0.2)
     monkeypatch.setattr(discovery_client, "HEARTBEAT_GRACE_S", 0.1)
-    monkeypatch.setattr(backoff_module, "MAX_STALENESS_NS", clock_ns)
+    monkeypatch.setattr(backoff_module, "MAX_STALENESS_NS", max_staleness_ns)
 
 
-def test_silent_watch_is_polled_again_within_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One of 200 dispatchers polls from its known revision, and receives the drain that it missed."""
+def test_poll_after_a_heartbeat_timeout_meets_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One of 200 dispatchers polls from its known revision, and receives the drain that it has missed."""
     shorten_timeouts(monkeypatch, 2700 * MS)
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, group_size=FLEET) as here:
+        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as here:
             discovery.lists += [
                 list_of_one_worker(7, "SERVING", here.workers[0].address),
                 list_of_one_worker(8, "DRAINING", here.workers[0].address),
@@ -168,13 +192,13 @@
     asyncio.run(scenario())
 
 
-def test_each_silence_has_its_own_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A heartbeat in response to the new poll ends the first silence."""
+def test_each_heartbeat_timeout_has_its_own_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A heartbeat in response to a new poll removes the deadline of the first timeout."""
     shorten_timeouts(monkeypatch, 600 * MS)
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, group_size=FLEET) as here:
+        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as here:
             address = here.workers[0].address
             discovery.lists += [
                 list_of_one_worker(7, "SERVING", address),
@@ -192,8 +216,8 @@
     asyncio.run(scenario())
 
 
-def test_agents_list_is_applied_before_serving() -> None:
-    """With a local agent, the process waits for the agent's list before it serves."""
+def test_list_of_a_local_agent_is_applied_before_serving() -> None:
+    """A process with a local agent waits for the agent's list before it serves."""
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
@@ -206,14 +230,14 @@
     asyncio.run(scenario())
 
 
-def test_silent_agent_is_polled_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Polls of a local agent neither wait for the end of an outage nor back off."""
+def test_unresponsive_agent_is_polled_again_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Polls of a local agent have a short delay that does not grow with failures."""
     monkeypatch.setattr("weldquay.net.readiness.ENDPOINT_LIST_TIMEOUT_S", 0.5)
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, discovery_mode="push", group_size=FLEET) as here:
-            # The list that it was started with may be of any age: nothing is sent by it.
+        async with site(discovery=discovery, discovery_mode="push", group_size=DISPATCHER_COUNT) as here:
+            # The list in its configuration may be of any age, so no attempt is sent by it.
             assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
             polls_before = len(discovery.polls)
             discovery.lists.append(list_of_one_worker(9, "DRAINING", here.workers[0].address))
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -1,4 +1,4 @@
-"""However polls of discovery fail, a change counts as reported after 6 s and is applied within that time."""
+"""The staleness limit: however polls of discovery fail, a change is applied within 6 s."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "discovery.md"
 Failure = api.DiscoveryFailure
 SILENT_S = discovery_client.HEARTBEAT_S + discovery_client.HEARTBEAT_GRACE_S
-# By the page's name of a failure: the seconds until it is detected, and its kind.
+# By the name of the failure on the page: the seconds until it is detected, and its kind.
 FAILURES = {
     "refused at once": (0.0, Failure.REFUSED),
     "connection never comes up": (discovery_client.CONNECT_TIMEOUT_S, Failure.CONNECT_TIMEOUT),
@@ -50,15 +50,15 @@
 
 
 class MaxRandom(random.Random):
-    """A generator that always returns its maximum."""
+    """A generator whose `random` always returns its maximum."""
 
     def random(self) -> float:
-        """Nearly one."""
+        """Return a value just below 1."""
         return 1.0 - 1e-12
 
 
 def max_delay_s(dispatcher_count: int, failure: str) -> float:
-    """The longest delay after a failure, in seconds."""
+    """Return the maximum delay after a failure, in seconds."""
     backoff = Backoff(MaxRandom(), dispatcher_count)
     if failure not in FAILURES:
         return backoff.initial_delay_ns(100 * SECOND) / 1e9
@@ -67,14 +67,14 @@
 
 
 def page_rows() -> list[list[str]]:
-    """The rows of the page's first table."""
+    """Return the rows of the first table on the page."""
     lines = PAGE.read_text().split("| --- |", 1)[1].split("\n\n", 1)[0].splitlines()[1:]
     return [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
 
 
 @pytest.mark.parametrize("row", page_rows(), ids=lambda row: row[0])
-def test_the_times_on_the_page_are_those_of_the_code(row: list[str]) -> None:
-    """Each part, for a few and for many dispatchers, and their sum is within the staleness limit."""
+def test_times_on_the_page_match_the_code(row: list[str]) -> None:
+    """Each part for few and for many dispatchers; their sum is within the staleness limit."""
     failure, detect, few, many, queue, apply, total = row
     assert float(detect) == pytest.approx(FAILURES.get(failure, (0.0, Failure.CLOSED))[0])
     assert float(few) == pytest.approx(max_delay_s(3, failure), abs=0.05)
@@ -86,28 +86,28 @@
     assert float(total) <= MAX_STALENESS_NS / 1e9
 
 
-def test_the_page_names_every_failure() -> None:
-    """Each appears once."""
+def test_page_lists_every_failure() -> None:
+    """The table has one row for each failure."""
     assert sorted(row[0] for row in page_rows()) == sorted([*FAILURES, "new process, first ask"])
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 3, 6, 17, 20, 30, 200])
 def test_consecutive_failures_keep_delays_within_the_staleness_limit(dispatcher_count: int) -> None:
-    """Refused, silent and reset polls in any order."""
+    """Polls fail in different ways, in random order."""
     for seed in range(50):
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         backoff = Backoff(MaxRandom(), dispatcher_count)
         now_ns = 100 * SECOND
         for _ in range(30):
-            detect_s, kind = draw.choice(list(FAILURES.values()))
+            detect_s, kind = rng.choice(list(FAILURES.values()))
             now_ns += int(detect_s * SECOND)
             delay_ns = backoff.retry_delay_ns(now_ns, 10 * SECOND, int(detect_s * SECOND), kind)
             assert delay_ns + MAX_QUEUE_NS + RESPONSE_MARGIN_NS <= MAX_STALENESS_NS
             now_ns += delay_ns
 
 
-async def drain_applied(here: Site) -> None:
-    """Wait until the worker is listed as draining; requests find no worker then."""
+async def wait_for_drain(here: Site) -> None:
+    """Wait until the worker is listed as draining, so that requests are rejected."""
     await until(lambda: here.program.discovery.revision == 9)
     assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
 
@@ -131,15 +131,15 @@
 def test_a_drain_is_applied_after_failed_polls(
     manner: Manner, dispatcher_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two polls fail; the time from the second to the third, with all times at a tenth."""
+    """Two polls fail; the third follows the second soon.  All times are reduced to a tenth."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
         failing = Failing(manner, 2)
         async with site(discovery=failing, group_size=dispatcher_count) as here:
             failing.address_told = here.workers[0].address
-            await drain_applied(here)
-            # 0.4 s by the page's table; the rest is for a busy machine.
+            await wait_for_drain(here)
+            # 0.4 s by the table on the page; the rest allows for a busy machine.
             assert failing.asked[2] - failing.asked[1] < 2
             if manner is older_revision:
                 assert failing.targets[2].endswith("since=0")
@@ -147,24 +147,24 @@
     asyncio.run(scenario())
 
 
-def test_a_poll_that_hangs_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery would respond to a new one at once."""
+def test_a_poll_without_response_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Discovery does not answer the first poll, but would answer another one immediately."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
         failing = Failing(mute, 1)
         async with site(discovery=failing, group_size=3) as here:
             failing.address_told = here.workers[0].address
-            begun = time.monotonic()
-            await drain_applied(here)
-            assert time.monotonic() - begun < 2  # 0.3 s by the page's table
+            started_at = time.monotonic()
+            await wait_for_drain(here)
+            assert time.monotonic() - started_at < 2  # 0.3 s by the table on the page
             assert here.program.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
 
 
 def test_discovery_is_polled_soon_after_an_outage(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The delay does not depend on the length of the outage."""
+    """The delay of the next poll does not grow with the length of the outage."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
@@ -177,15 +177,15 @@
             here.program.discovery.watch()
             await until(lambda: here.program.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(down)
-            begun = time.monotonic()
-            await drain_applied(here)
-            assert time.monotonic() - begun < 2  # 0.36 s by the page's table
+            started_at = time.monotonic()
+            await wait_for_drain(here)
+            assert time.monotonic() - started_at < 2  # 0.36 s by the table on the page
 
     asyncio.run(scenario())
 
 
-def test_a_change_of_address_abandons_a_poll_that_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The new address is polled at once for its complete list, and no pending delay replaces that watch."""
+def test_a_change_of_address_ends_a_poll_without_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The new address is polled at once for its complete list; a pending retry leaves that watch alone."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
@@ -199,9 +199,9 @@
             config = here.program.config
             moved = replace(config, discovery=type(config.discovery)(host, int(port)))
             here.program.discovery.reconfigure(moved)
-            await drain_applied(here)
-            begun = time.monotonic()
-            await until(lambda: time.monotonic() - begun > 0.5)
+            await wait_for_drain(here)
+            started_at = time.monotonic()
+            await until(lambda: time.monotonic() - started_at > 0.5)
             assert len(new.asked) <= 4 and new.targets[0].endswith("since=0")
         new.stop()
 
