--- a/tests/test_peer_timeout.py
+++ b/tests/test_peer_timeout.py
@@ -1,4 +1,4 @@
-"""A timeout that judges a peer: what has arrived while the process stood still is not too late."""
+"""A timeout for a peer: data that arrives while the process stalls is not late."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def stall(seconds: float = STALL_S) -> None:
-    """Have the event loop stand still."""
+    """Block the event loop."""
     time.sleep(seconds)
 
 
-def call_after_turns(turns: int, callback: Callable[[], None]) -> None:
-    """Call a function after so many turns of the event loop."""
+def call_after_iterations(iterations: int, callback: Callable[[], None]) -> None:
+    """Call a function after a number of iterations of the event loop."""
     loop = asyncio.get_running_loop()
-    if turns:
-        loop.call_soon(call_after_turns, turns - 1, callback)
+    if iterations:
+        loop.call_soon(call_after_iterations, iterations - 1, callback)
     else:
         callback()
 
 
 def test_bytes_that_arrived_during_a_stall_are_read() -> None:
-    """The timer is due in the same turn of the loop in which the bytes are seen."""
+    """The timer is due in the loop iteration in which the bytes are seen."""
 
     async def scenario() -> None:
         near, far = socket.socketpair()
@@ -49,13 +49,13 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("turns", range(5))
-def test_connection_that_came_up_during_a_stall_is_used(turns: int) -> None:
-    """Setting up a connection takes several turns of the loop, and the stall may come at any of them."""
+@pytest.mark.parametrize("iterations", range(5))
+def test_connection_established_during_a_stall_is_used(iterations: int) -> None:
+    """Connecting takes several loop iterations, and the stall may come in any of them."""
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            call_after_turns(turns, stall)
+            call_after_iterations(iterations, stall)
             async with PeerTimeout(TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*server.getsockname())
                 await asyncio.sleep(0)
@@ -66,38 +66,38 @@
 
 
 def test_timeout_without_a_stall() -> None:
-    """It is raised in time, and the wait is cancelled."""
+    """TimeoutError is raised in time, and the wait is cancelled."""
 
     async def scenario() -> float:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(TimeoutError):
             async with PeerTimeout(TIMEOUT_S):
                 await asyncio.sleep(60)
-        return time.monotonic() - begun
+        return time.monotonic() - started_at
 
     assert TIMEOUT_S <= asyncio.run(scenario()) < 10
 
 
-def test_stalls_that_follow_on_each_other_extend_it_a_few_times() -> None:
-    """A process that always runs late must not wait for ever."""
-    turns = 0
+def test_consecutive_stalls_extend_it_a_few_times() -> None:
+    """A process that always runs late must not wait forever."""
+    iterations = 0
 
     async def run_late() -> None:
-        nonlocal turns
+        nonlocal iterations
         async with PeerTimeout(TIMEOUT_S):
             while True:
                 stall(TIMEOUT_S + EXTENSION_S + 2 * MAX_TIMER_LATENESS_S)
-                turns += 1
+                iterations += 1
                 await asyncio.sleep(0)
 
     with pytest.raises(TimeoutError):
         asyncio.run(run_late())
-    assert MAX_EXTENSIONS <= turns <= 4 * MAX_EXTENSIONS
+    assert MAX_EXTENSIONS <= iterations <= 4 * MAX_EXTENSIONS
 
 
 @pytest.mark.parametrize("stalls", [False, True])
-def test_timeout_after_a_stall_says_nothing_of_the_peer(stalls: bool) -> None:
-    """It is told from one of a process that ran on time."""
+def test_timeout_after_a_stall_is_marked(stalls: bool) -> None:
+    """`has_stalled` distinguishes it from a timeout of a process that ran on time."""
     timeout = PeerTimeout(TIMEOUT_S)
 
     async def wait() -> None:
@@ -112,7 +112,7 @@
 
 
 def test_cancellation_from_outside_is_not_a_timeout() -> None:
-    """The task that waits is cancelled as usual."""
+    """The waiting task is cancelled as usual."""
 
     async def scenario() -> None:
         async def wait() -> None:
--- a/tests/test_reachability_sampler.py
+++ b/tests/test_reachability_sampler.py
@@ -1,4 +1,4 @@
-"""Connection attempts to discovery between two polls: what each result is taken for."""
+"""Connection attempts to discovery between two polls: what each result shows."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def sample(bound: socket.socket, scenario: Callable[[ReachabilitySampler], object]) -> list[api.Event]:
-    """Sample a socket's address until the scenario has ended; return the observations."""
+    """Sample the address of a socket while a scenario runs; return the observations."""
     observations: list[api.Event] = []
 
     async def run() -> None:
@@ -38,7 +38,7 @@
 
 
 def test_refused_attempts_are_one_observation() -> None:
-    """From the first to the last attempt; the next report goes on from there."""
+    """It spans the first to the last attempt; the next report starts where it ends."""
     bound, _ = reserve()
 
     async def scenario(sampler: ReachabilitySampler) -> None:
@@ -46,15 +46,15 @@
         sampler.report()
         await asyncio.sleep(0.4)
 
-    begun_ns = time.monotonic_ns()
+    started_ns = time.monotonic_ns()
     first, second = sample(bound, scenario)
     assert isinstance(first, api.DiscoveryObservation) and isinstance(second, api.DiscoveryObservation)
-    assert not first.is_reachable and begun_ns < first.from_ns < first.until_ns == second.from_ns
+    assert not first.is_reachable and started_ns < first.from_ns < first.until_ns == second.from_ns
     assert second.until_ns > second.from_ns
 
 
-def test_attempt_that_comes_up_ends_the_sampling() -> None:
-    """Discovery was reachable; no more attempts are made before the next update."""
+def test_established_connection_ends_the_sampling() -> None:
+    """Discovery was reachable, so no more attempts are made until the next update."""
     bound, _ = reserve()
     bound.listen(5)
 
@@ -68,7 +68,7 @@
 
 
 def test_attempts_that_time_out_show_that_discovery_is_unreachable() -> None:
-    """A listener whose queue is full answers no SYN."""
+    """A listener with a full accept queue does not answer SYNs."""
     bound, _ = reserve()
     bound.listen(0)
     fillers = [socket.socket() for _ in range(4)]
@@ -85,8 +85,8 @@
         filler.close()
 
 
-def test_time_in_which_nothing_was_sampled_counts_as_reachable(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process ran out of descriptors for longer than the bound, and was able to sample again later."""
+def test_unobserved_time_counts_as_reachable(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process has no descriptors for longer than MAX_UNOBSERVED_NS, and can sample again later."""
     bound, _ = reserve()
     real_socket = socket.socket
     is_exhausted = False
@@ -110,8 +110,8 @@
     assert [getattr(each, "is_reachable", None) for each in observations] == [False, True]
 
 
-def test_update_starts_the_sampling_anew() -> None:
-    """After a reset the next failure samples again, also where discovery was reachable before."""
+def test_reset_allows_sampling_again() -> None:
+    """After a reset the next failure starts sampling again, even if discovery was reachable before."""
     bound, _ = reserve()
     bound.listen(5)
     seen: list[int] = []
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""The time until a started process is ready, with discovery failing in several ways."""
+"""The time until a started process is ready, while discovery fails in different ways."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from weldquay.discovery.backoff import Backoff
 from weldquay.net import readiness
 
-READY_S = 10.0  # nine in ten restarted processes
+MAX_READY_S = 10.0  # limit for nine in ten restarted processes
 
 
 class SlowDiscovery(Server):
-    """Discovery that answers after a while."""
+    """A discovery that responds after a second."""
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """A complete answer after a second."""
+        """Send a complete list after a second."""
         await asyncio.sleep(1.0)
         writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "SERVING", "127.0.0.1:1") + b"\n"))
 
 
-async def wait_for_yes(check: Callable[[], Awaitable[int]]) -> None:
-    """Repeat a check until its status is 200."""
+async def wait_for_ok(check: Callable[[], Awaitable[int]]) -> None:
+    """Repeat a check until it returns status 200."""
     while True:
         if await check() == 200:
             return
@@ -38,29 +38,29 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("manner", [mute, busy, reset, None])
 def test_a_process_is_ready_soon(mode: str, manner: Manner | None) -> None:
-    """With discovery silent, overloaded, resetting or slow: from the start to /_health and `ready`."""
+    """Discovery is unresponsive, busy, resetting or slow; from the start to /_health and `ready`."""
 
     async def scenario() -> None:
         started_at = time.monotonic()
         discovery = SlowDiscovery() if manner is None else Failing(manner, 99)
         async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
-            await wait_for_yes(here.health)
-            assert time.monotonic() - started_at < READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
-            await wait_for_yes(lambda: here.operate("ready", "GET"))
-            assert time.monotonic() - started_at < READY_S
+            await wait_for_ok(here.health)
+            assert time.monotonic() - started_at < MAX_READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
+            await wait_for_ok(lambda: here.operate("ready", "GET"))
+            assert time.monotonic() - started_at < MAX_READY_S
 
     asyncio.run(scenario())
 
 
 def test_the_endpoint_list_timeout_is_well_below_the_readiness_limit() -> None:
-    """And so is the first poll of the last one of many dispatchers."""
-    assert readiness.ENDPOINT_LIST_TIMEOUT_S < READY_S / 2
+    """So is the delay of the first poll in a large fleet."""
+    assert readiness.ENDPOINT_LIST_TIMEOUT_S < MAX_READY_S / 2
     for seed in range(200):
         assert Backoff(random.Random(seed), 200).initial_delay_ns(0) <= 3.6e9
 
 
-def test_a_restarted_process_soon_replaces_its_old_endpoint_list() -> None:
-    """One of few dispatchers polls discovery at once."""
+def test_a_restarted_process_soon_replaces_its_cached_list() -> None:
+    """In a small fleet a dispatcher polls discovery at once."""
 
     async def scenario() -> None:
         failing = Failing(mute, 0)
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -1,4 +1,4 @@
-"""The lease on the endpoint list: requests wait while the list may be out of date."""
+"""The lease on the endpoint list: requests are held while the list may be stale."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DelayedDiscovery(Server):
-    """A discovery that responds once it is allowed to, with a list of one worker."""
+    """A discovery that responds with a list of one worker, after `may_answer` is set."""
 
     def __init__(self, phase: str) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         self.may_answer = asyncio.Event()
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """Send the list, once it is allowed."""
+        """Send the list after `may_answer` is set."""
         self.asked += 1
         await self.may_answer.wait()
         writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
@@ -36,7 +36,7 @@
 def test_new_process_sends_nothing_by_its_cached_list(
     mode: str, phase: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A cached list may be of any age.  The first request triggers a poll of discovery, and waits for it."""
+    """A cached list may be of any age.  The first request triggers a poll and is held until its response."""
     monkeypatch.setattr("weldquay.net.readiness.ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -55,7 +55,7 @@
 
 
 def test_health_is_ready_once_list_is_confirmed() -> None:
-    """The health endpoint returns 503 until the list is confirmed."""
+    """The health check returns 503 until the list is confirmed."""
 
     async def scenario() -> None:
         discovery = DelayedDiscovery("SERVING")
@@ -68,42 +68,42 @@
     asyncio.run(scenario())
 
 
-async def wait_for_lease_and_its_end(here: Site, _failing: Failing) -> None:
-    """Wait until the list is confirmed, then until its lease has ended."""
+async def wait_for_lease_to_expire(here: Site, _failing: Failing) -> None:
+    """Wait until the list is confirmed, send a request, and wait until the lease has expired."""
     endpoint_list = here.program.coordinator.endpoint_list
     await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
     assert (await here.post("before")).body == b"TEXT"
     await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
 
 
-class ListThenFailures(Failing):
-    """A discovery that first sends a serving worker, then fails, and at last sends its drain."""
+class FailingAfterList(Failing):
+    """A discovery that first lists a serving worker, then fails, and finally lists it as draining."""
 
-    def __init__(self, manner: Manner, closes: bool) -> None:
+    def __init__(self, manner: Manner, closes_watch: bool) -> None:
         super().__init__(manner, 10**6)
-        self.first, self.closes = True, closes
+        self.is_first_poll, self.closes_watch = True, closes_watch
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Send the list, with a reset if the watch is to close; later polls follow the script."""
-        await until(lambda: not self.address_told.endswith(":1"))  # known a moment later
-        if not self.first:
+        """Send the list, and reset the watch if `closes_watch` is set; later polls fail as in `Failing`."""
+        await until(lambda: not self.address_told.endswith(":1"))  # it is set after the start
+        if not self.is_first_poll:
             await super().answer(message, writer)
-        elif self.closes:
+        elif self.closes_watch:
             await revision_then_reset(writer, self.address_told)
         else:
             writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.address_told) + b"\n"))
-        self.first = False
+        self.is_first_poll = False
 
 
-def test_requests_wait_once_lease_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After a silent watch and polls without response, no attempt starts once the lease has ended."""
+def test_requests_are_held_once_the_lease_has_expired(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a heartbeat timeout and polls without response, no attempt starts on an expired lease."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
-        failing = ListThenFailures(mute, closes=False)
+        failing = FailingAfterList(mute, closes_watch=False)
         async with site(discovery=failing, group_size=3) as here:
             failing.address_told = here.workers[0].address
-            await wait_for_lease_and_its_end(here, failing)
+            await wait_for_lease_to_expire(here, failing)
             assert (await here.post("after", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 1
@@ -115,10 +115,10 @@
     asyncio.run(scenario())
 
 
-def test_no_attempt_starts_on_connection_established_after_lease(
+def test_no_attempt_starts_on_a_connection_established_after_the_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The lease is checked right before the first byte."""
+    """The lease is checked immediately before the first byte."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -126,14 +126,14 @@
             connections = here.program.workers.connections
             lease, connect = here.program.coordinator.dispatcher.lease, connections.connect
 
-            async def slow(worker: object) -> object:
+            async def connect_slowly(worker: object) -> object:
                 connection = await connect(worker)  # type: ignore[arg-type]
                 if here.program.coordinator.attempts:
-                    lease.expiry_ns = 1  # it has run out meanwhile
+                    lease.expiry_ns = 1  # it expires while the connection is established
                 return connection
 
             monkeypatch.setattr(connections, "take_idle", lambda _worker: None)
-            monkeypatch.setattr(connections, "connect", slow)
+            monkeypatch.setattr(connections, "connect", connect_slowly)
             assert (await here.post(left_ms=300)).status == 503
             assert here.workers[0].methods() == []
             assert here.program.counters.counts["attempts_not_started"] == 1
@@ -142,44 +142,44 @@
 
 
 def test_reload_with_new_discovery_address_limits_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If the new address accepts polls without responding, the old list is valid for the lease's time."""
+    """If the new address accepts polls and does not respond, the old list is used until its lease expires."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
-        silent = Failing(mute, 10**6)
-        await silent.start()
+        unresponsive = Failing(mute, 10**6)
+        await unresponsive.start()
         async with site(group_size=3) as here:
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
             config = here.program.config
-            host, port = silent.address.split(":")
+            host, port = unresponsive.address.split(":")
             here.program.discovery.reconfigure(
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
             endpoint_list = here.program.coordinator.endpoint_list
             await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
-            silent.address_told = here.workers[0].address
-            silent.left = 0
+            unresponsive.address_told = here.workers[0].address
+            unresponsive.left = 0
             await until(lambda: here.program.discovery.revision == 9)
-        silent.stop()
+        unresponsive.stop()
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("manner", [reset, busy])
 def test_list_stays_valid_while_discovery_is_down(manner: Manner, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Polls that are reset or get 503 after a closed watch mean that no change can have been missed."""
+    """Polls that are reset or get 503 after a closed watch show that no change can have been missed."""
     hurry(monkeypatch)
 
     async def scenario() -> None:
-        down = ListThenFailures(manner, closes=True)
+        down = FailingAfterList(manner, closes_watch=True)
         async with site(discovery=down, group_size=3) as here:
             down.address_told = here.workers[0].address
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            begun = time.monotonic()
+            started_at = time.monotonic()
             await until(
-                lambda: len(down.asked) > 8 and time.monotonic() - begun > 1.5
-            )  # more than two clocks
+                lambda: len(down.asked) > 8 and time.monotonic() - started_at > 1.5
+            )  # more than twice the staleness limit
             assert (await here.post()).body == b"TEXT"
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 0
 
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("has_expired", [False, True])
 def test_newer_process_inherits_lease(has_expired: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """If discovery is down at a hot restart, the list is valid for as long as in the older process."""
+    """If discovery is down at a hot restart, the lease expires when it does in the older process."""
     monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -199,10 +199,10 @@
             here.discovery.stop()
             down, _ = reserve(address)
             await until(lambda: here.program.counters.counts["discovery_failures"])
-            if has_expired:  # it was reached meanwhile, and brought no news
+            if has_expired:  # discovery was reachable meanwhile, and sent no update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
-                lease.expiry_ns += 10**10  # for the test's time, whatever the machine does
+                lease.expiry_ns += 10**10  # longer than the test takes on a slow machine
             until_ns = lease.send_deadline_ns
             async with newer_process(here) as second:
                 lease = second.coordinator.dispatcher.lease
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -1,4 +1,4 @@
-"""Polls of discovery that fail, on real sockets."""
+"""Failing polls of discovery, on real sockets."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 from tests.site import play, site, until
 from weldquay.net import discovery_client
 
-NOTHING_NEW = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
-SHORT = {"HEARTBEAT_S": 0.05, "HEARTBEAT_GRACE_S": 0.05, "RESPONSE_TIMEOUT_S": 0.05}
+UNCHANGED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
+SHORT_TIMEOUTS = {"HEARTBEAT_S": 0.05, "HEARTBEAT_GRACE_S": 0.05, "RESPONSE_TIMEOUT_S": 0.05}
 
 
 @pytest.mark.parametrize(
-    ("answer", "drips", "limits"),
+    ("answer", "sends_partial_value", "limits"),
     [
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT),  # no heartbeat after it
-        (write_message("HTTP/1.1 503 Busy"), False, SHORT),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", False, SHORT),
-        (b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revision":7,"mem', False, SHORT),
+        # No heartbeat follows.
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT_TIMEOUTS),
+        (write_message("HTTP/1.1 503 Busy"), False, SHORT_TIMEOUTS),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", False, SHORT_TIMEOUTS),
+        (b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revision":7,"mem', False, SHORT_TIMEOUTS),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{", True, {"VALUE_TIMEOUT_S": 0.2}),
     ],
-    ids=["silent", "busy", "nonsense", "cut off", "no end"],
+    ids=["no heartbeat", "busy", "invalid JSON", "truncated value", "endless value"],
 )
 def test_failed_watch_is_polled_again(
-    answer: bytes, drips: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
+    answer: bytes, sends_partial_value: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery is silent, busy or sends invalid data; requests wait for its first valid response.
+    """Discovery sends nothing, is busy or sends invalid data; a request is held until its first valid value.
 
-    drips: bytes keep arriving, but no value is ever complete.
+    sends_partial_value: bytes keep arriving, but no value is ever complete.
     """
 
     class Failing(Server):
@@ -39,8 +40,8 @@
 
         async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
             self.polls += 1
-            writer.write(NOTHING_NEW if self.is_healthy else answer)
-            while drips and not self.is_healthy and not writer.is_closing():
+            writer.write(UNCHANGED_RESPONSE if self.is_healthy else answer)
+            while sends_partial_value and not self.is_healthy and not writer.is_closing():
                 writer.write(b" ")
                 await asyncio.sleep(0.02)
 
