--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -135,7 +135,7 @@
 def test_no_attempt_is_sent_late_however_long_an_interrupted_outage_lasts(
     down_s: float, dispatcher_count: int
 ) -> None:
-    """Down for 3 s, up for 0.1 s, down again: a change in the gap was applied late by the whole outage."""
+    """Down for 3 s, up for 0.1 s, down again: a change in the gap was applied late by the second outage."""
     faults = schedule_faults([("down", 40, 30), ("down", 1, int(down_s * 10))], 0)
     assert max(max_lateness_ns(faults, dispatcher_count, seed) for seed in range(20)) <= 0
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -35,7 +35,7 @@
 
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "discovery.md"
 Failure = api.DiscoveryFailure
-SILENT_S = discovery_client.HEARTBEAT_S + discovery_client.HEARTBEAT_GRACE_S
+WATCH_TIMEOUT_S = discovery_client.HEARTBEAT_S + discovery_client.HEARTBEAT_GRACE_S
 # By the name of the failure on the page: the seconds until it is detected, and its kind.
 FAILURES = {
     "refused at once": (0.0, Failure.REFUSED),
@@ -43,9 +43,9 @@
     "503 or reset at once": (0.0, Failure.UNAVAILABLE),
     "no answer at all": (discovery_client.RESPONSE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
     "no value after its head": (discovery_client.VALUE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
-    "silent watch": (SILENT_S, Failure.HEARTBEAT_TIMEOUT),
+    "silent watch": (WATCH_TIMEOUT_S, Failure.HEARTBEAT_TIMEOUT),
     "value that never ends": (discovery_client.VALUE_TIMEOUT_S, Failure.RESPONSE_TIMEOUT),
-    "watch reset or ended": (SILENT_S, Failure.CLOSED),
+    "watch reset or ended": (WATCH_TIMEOUT_S, Failure.CLOSED),
 }
 
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -21,14 +21,14 @@
 
     def __init__(self, phase: str) -> None:
         super().__init__()
-        self.phase, self.address_told, self.asked = phase, "127.0.0.1:1", 0
+        self.phase, self.worker_address, self.polls = phase, "127.0.0.1:1", 0
         self.may_answer = asyncio.Event()
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """Send the list after `may_answer` is set."""
-        self.asked += 1
+        self.polls += 1
         await self.may_answer.wait()
-        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
+        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.worker_address) + b"\n"))
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -42,9 +42,9 @@
     async def scenario() -> None:
         discovery = DelayedDiscovery(phase)
         async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as here:
-            discovery.address_told = here.workers[0].address
+            discovery.worker_address = here.workers[0].address
             waiting = asyncio.create_task(here.post(left_ms=3000))
-            await until(lambda: discovery.asked)
+            await until(lambda: discovery.polls)
             await asyncio.sleep(0.2)
             assert not waiting.done() and here.workers[0].methods() == []
             discovery.may_answer.set()
--- a/weldquay/discovery/list_lease.py
+++ b/weldquay/discovery/list_lease.py
@@ -55,7 +55,7 @@
         self.expiry_ns = 0  # from then on a missed change is deemed known; 0: no lease
         # Discovery was reachable since the last update, or may have been, and sent none: no extension.
         self.may_have_missed_change = False
-        self.watch_timed_out = False  # no connection has timed out since the heartbeat timeout
+        self.watch_timed_out = False  # and no connection attempt has timed out since
         self.complete_until_ns = 0  # the list contains all changes up to then
         self.unreachable_until_ns = 0  # discovery was unreachable from the watch's timeout up to then
         self.is_watching = False  # the last event was an update
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -124,15 +124,15 @@
         self._events.enqueue(api.WorkerBanChanged(self.worker_number(worker_id), is_banned))
 
     def log_lease_changes(self, now_ns: int, has_requests: bool) -> None:
-        """Log when requests are first held because the lease has expired, and when it is renewed."""
+        """Log when requests are first held because there is no valid lease, and when there is one again."""
         has_expired = now_ns >= self._dispatcher.lease.send_deadline_ns
         if has_expired and has_requests and not self._has_lease_expired:
             self._has_lease_expired = True
             self._counters.add("endpoint_list_leases_expired")
-            log.warning("endpoint list lease expired: requests are held until discovery responds")
+            log.warning("no valid lease on the endpoint list: requests are held until discovery responds")
         elif self._has_lease_expired and not has_expired:
             self._has_lease_expired = False
-            log.info("endpoint list lease renewed: requests are no longer held")
+            log.info("the lease on the endpoint list is valid again: requests are no longer held")
 
     def _discard_departed(self) -> None:
         """Discard the numbers of workers that the decision module has discarded.
--- a/weldquay/net/readiness.py
+++ b/weldquay/net/readiness.py
@@ -22,7 +22,7 @@
         self.coordinator = coordinator
 
     def has_endpoint_list(self) -> bool:
-        """Return whether the list is confirmed or its timeout is over; after that, requests are held."""
+        """Return whether the list is confirmed, or its timeout is over so that requests are held instead."""
         age_s = time.monotonic() - self.lifecycle.started_at
         return self.coordinator.is_endpoint_list_confirmed or age_s > ENDPOINT_LIST_TIMEOUT_S
 
