--- a/weldquay/policy/request_queue.py
+++ b/weldquay/policy/request_queue.py
@@ -55,7 +55,7 @@
         Requests that can only be late, or may no longer be retried, get their final answer instead.
         """
         now_ns = self.context.now_ns
-        is_list_expired = now_ns >= self.lease.until_ns
+        is_list_expired = now_ns >= self.lease.send_deadline_ns
         self.index_refresh.begin_placement()
         # By job class and slots: the least memory of a request that found no worker. Requests of the same
         # class and slots that need at least as much memory are skipped in this step.
