--- a/weldquay/net/client_context.py
+++ b/weldquay/net/client_context.py
@@ -44,7 +44,7 @@
         # During a hot restart: hands a connection to the newer process.
         self.migrate_connection: Callable[[MigratedConnection], None] | None = None
         # Forwards the body of a callback that matches no attempt here to the older process.
-        self.return_callback: Callable[[bytes], None] = _ignore_callback
+        self.forward_callback: Callable[[bytes], None] = _ignore_callback
         self.reconfigure(config)
 
     def reconfigure(self, config: Config) -> None:
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -120,7 +120,7 @@
         await self.operators.listen()
         offer = await self.migration.request_listener()
         await self.server.listen(NO_DESCRIPTOR if offer is None else offer.descriptor)
-        self.server.context.return_callback = self.migration.return_callback
+        self.server.context.forward_callback = self.migration.forward_callback
         self.coordinator.start(self.workers, self.discovery)
         if self.config.lease.until_ns:
             self.discovery.observe()
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -125,7 +125,7 @@
         await self.parts.readiness.wait_for_endpoint_list()
         await self.hot_restart.confirm_ready()
 
-    def return_callback(self, body: bytes) -> None:
+    def forward_callback(self, body: bytes) -> None:
         """Forward a callback that matches no attempt here."""
         self.hot_restart.send(ForwardedCallback(body))
 
--- a/weldquay/net/request_handler.py
+++ b/weldquay/net/request_handler.py
@@ -99,7 +99,7 @@
         body = self.channel.body
         callback = parse_callback(body, self.context.config.report_fields)
         if not self.context.coordinator.handle_callback(callback):
-            self.context.return_callback(bytes(body))
+            self.context.forward_callback(bytes(body))
         self._respond(204)
 
     def _continue_accepted_request(self, accepted: AcceptedRequest) -> None:
