--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -118,7 +118,7 @@
     document: dict[str, Any]  # the file's JSON object
 
 
-def numbered(names: tuple[str, ...]) -> dict[str, int]:
+def assign_numbers(names: tuple[str, ...]) -> dict[str, int]:
     """The numbers of names, in their order; looking up another name gives it the next number."""
     numbers: defaultdict[str, int] = defaultdict(lambda: len(numbers))
     numbers.update({name: number for number, name in enumerate(names)})
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -11,7 +11,7 @@
 import zlib
 
 from weldquay import interface as api
-from weldquay.net.config import Config, numbered
+from weldquay.net.config import Config, assign_numbers
 from weldquay.net.counter_names import DISCOVERY_FAILURE_COUNTERS, LIST_COUNTERS
 from weldquay.net.counters import Counters
 from weldquay.net.event_queue import EventQueue
@@ -38,8 +38,8 @@
         self._events = events
         # Constant for the process's life, so that a worker's start always has the same time in the module.
         self._clock_offset_ns = time.time_ns() - time.monotonic_ns()
-        self._zone_numbers = numbered(config.zones)
-        self._kind_numbers = numbered(config.kinds)
+        self._zone_numbers = assign_numbers(config.zones)
+        self._kind_numbers = assign_numbers(config.kinds)
         self._last_number = 0
         self._has_lease_expired = False  # requests wait for discovery
         self.worker_numbers: dict[str, int] = {}
