--- a/weldquay/net/connection_pool.py
+++ b/weldquay/net/connection_pool.py
@@ -48,7 +48,7 @@
         self._connect_timeout_s = config.connect_timeout_ns / 1e9
         self._idle_timeout_s = config.settings.connection_idle_timeout_ns / 1e9 * IDLE_TIMEOUT_FRACTION
 
-    def limit(self, fraction: float) -> None:
+    def set_limit_fraction(self, fraction: float) -> None:
         """Lower the limit to a fraction of its full value: another process uses the rest."""
         self.max_connections = int(self.connection_limit * fraction)
         surplus = max(0, self.open_connections - self.max_connections)
--- a/weldquay/net/worker_client.py
+++ b/weldquay/net/worker_client.py
@@ -37,7 +37,7 @@
 
     def limit_connections(self, fraction: float) -> None:
         """Lower the limit of connections to a fraction of its full value: another process uses the rest."""
-        self.connections.limit(fraction)
+        self.connections.set_limit_fraction(fraction)
 
     @property
     def busy(self) -> bool:
