--- a/weldquay/net/action_executor.py
+++ b/weldquay/net/action_executor.py
@@ -1,4 +1,4 @@
-"""The actions of the decision module, carried out on the network side."""
+"""Execution of the decision module's actions on the network."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 log = logging.getLogger(__name__)
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class ActionExecutor:
-    """Carries out the actions of a step, each by the handler of its type in `handlers`.
+    """Executes the actions of a decision step; `handlers` maps each action type to its handler.
 
-    `workers` and `discovery` are set before the first action.
+    `workers` and `discovery` must be set before the first action is executed.
     """
 
     workers: WorkerClient
@@ -85,7 +85,7 @@
         self.workers.send(attempt)
 
     def _abort_before_send(self, action: api.Send, request: ClientRequest | None) -> None:
-        """Report an attempt that is not allowed to start any more."""
+        """Report an attempt that may no longer be started."""
         number = 0
         if request is not None:
             number = request.attempts_started
@@ -130,13 +130,13 @@
         self._counters.add(RESERVATION_COUNTERS[action.reason])
         request = self._requests.by_number.get(action.request_id)
         log.info(
-            "reservation ended: request %s, worker %s: %s after %.0f ms, %.0f ms from its first start time",
+            "reservation ended: request %s, worker %s, reason %s, held %.0f ms, %.0f ms later than planned",
             request.id if request is not None else action.request_id,
             self._worker_ids[action.worker],
             action.reason,
-            action.reserved_ns / MS,
-            action.delay_ns / MS,
+            action.reserved_ns / NS_PER_MS,
+            action.delay_ns / NS_PER_MS,
         )
 
     def _send_to_peer(self, _action: api.SendToPeer) -> None:
-        log.warning("message to a peer dropped: a real dispatcher has no connection to its peers")
+        log.warning("message to a peer dropped: dispatchers have no connections to their peers")
--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -1,7 +1,7 @@
-"""Attempts: one POST of a request to a worker, and the outcomes of its response or failure.
+"""Sending of attempts: each is one POST of a request to a worker, whose response or failure is its outcome.
 
 Rules: a worker has at most one attempt of a request at a time, and no byte of an attempt is written after the
-end of the endpoint list's lease, after the client has disconnected, or after the attempt's deadline.
+endpoint list's lease has expired, after the client has disconnected, or after the attempt's deadline.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 )
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-ACCEPT_TIMEOUT_S = 0.6  # connecting included; workers accept or reject within 50 ms, 250 ms if they pause
-LATE_RESPONSE_S = 2.0  # the 202 may come this long after the callback that ended the attempt
+ACCEPT_TIMEOUT_S = 0.6  # includes connecting; workers accept or reject within 50 ms, or 250 ms if they pause
+LATE_RESPONSE_S = 2.0  # how long the 202 may arrive after the callback that ended the attempt
 
 ACCEPTED = 202
 
 
 class AttemptRunner:
-    """The attempts that are being sent, and wait for their 202 or another response."""
+    """Sends attempts and handles their responses; `sending` has those without a response yet."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.reconfigure(config)
 
     def reconfigure(self, config: Config) -> None:
-        """Use other settings for the attempts from now on."""
+        """Use the settings of a new configuration for later attempts."""
         self._report_fields = config.report_fields
         self._may_hedge = config.settings.may_hedge
 
@@ -69,7 +69,8 @@
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt: close its connection if there is no response yet, and send a DELETE.
 
-        The DELETE is sent even if the connection is closed: a 202 may be under way, and the job with it.
+        The DELETE is sent even if the connection is closed: the worker may already have accepted the job,
+        with its 202 still in transit.
         """
         task = self.sending.get(attempt)
         if task is not None:
@@ -78,7 +79,7 @@
             self._cancellation.start(attempt)
 
     def is_sending(self, request: ClientRequest) -> bool:
-        """True while an attempt of the request waits for its response."""
+        """Return whether an attempt of the request is waiting for its response."""
         return any(attempt.request is request for attempt in self.sending)
 
     async def stop(self) -> None:
@@ -88,21 +89,21 @@
     async def _run(self, attempt: Attempt) -> None:
         worker = self._workers[attempt.worker_id]
         request = attempt.request
-        # Earlier attempts must have been cancelled first: at this worker, or without hedging at all workers,
-        # since a 202 may have been lost in a reset and its job runs until the DELETE arrives.
+        # Earlier attempts must be cancelled first: at this worker, or at all workers if hedging is not
+        # allowed.  A reset may have discarded a 202, in which case the job runs until the DELETE arrives.
         cancellations = self._cancellation.pending(request.id, worker if self._may_hedge else None)
         if cancellations:
             await asyncio.wait(cancellations)
         job = request.payload
         assert isinstance(job, JobPayload)
-        left_ns = attempt.deadline_ns - time.monotonic_ns()
-        headers = job_headers(request.id, job, left_ns, worker.host_header)
+        remaining_ns = attempt.deadline_ns - time.monotonic_ns()
+        headers = job_headers(request.id, job, remaining_ns, worker.host_header)
         message = h11.Request(method=job.method, target=job.target, headers=headers)
-        timeout_s = ACCEPT_TIMEOUT_S if request.is_idempotent else left_ns / 1e9 + LATE_RESPONSE_S
+        timeout_s = ACCEPT_TIMEOUT_S if request.is_idempotent else remaining_ns / 1e9 + LATE_RESPONSE_S
         timeout = PeerTimeout(timeout_s)
         try:
             async with timeout:
-                connection = await self._acquire(worker, attempt)
+                connection = await self._acquire_connection(worker, attempt)
                 response = await self._connections.send(worker, connection, message, job.body)
         except AttemptAborted:
             self._counters.add("attempts_not_started")
@@ -110,34 +111,35 @@
         except RequestNotSent:
             self._coordinator.attempt_ended(attempt, api.Outcome.CONNECT_FAILED)
         except ConnectionLost:
-            self._reset(attempt)
+            self._on_reset(attempt)
         except TimeoutError:
             self._on_timeout(attempt, timeout)
         else:
             if response.status != ACCEPTED:  # after a 202 the worker's callbacks end the attempt
                 self._on_rejection(attempt, response)
 
-    async def _acquire(self, worker: WorkerEndpoint, attempt: Attempt) -> WorkerConnection:
-        """A connection on which the attempt is written next.
+    async def _acquire_connection(self, worker: WorkerEndpoint, attempt: Attempt) -> WorkerConnection:
+        """Return a connection on which the attempt can be sent at once.
 
-        A job that must not run twice gets a new connection: an idle one may have been dropped silently, and
-        if it is reset by the request, whether the job ran is unknown.
-        Raises RequestNotSent, and AttemptAborted if the attempt is not allowed to start any more.
+        A job that must not run twice gets a new connection.  The peer of an idle one may be gone without
+        notice; if the request then causes a reset, whether the job ran is unknown.
+        Raises RequestNotSent, and AttemptAborted if the attempt may no longer start.
         """
         connection = self._connections.take_idle(worker) if attempt.request.is_idempotent else None
         if connection is None:
             connection = await self._connections.connect(worker)
-        if not self._is_allowed(worker, attempt):
+        if not self._may_send(worker, attempt):
             connection.abort()
-            raise AttemptAborted("the attempt is not allowed to start any more")
+            raise AttemptAborted("the attempt may no longer start")
         attempt.possibly_sent = True
         return connection
 
-    def _is_allowed(self, worker: WorkerEndpoint, attempt: Attempt) -> bool:
-        """True if the attempt may start now, after all that it had to wait for.
+    def _may_send(self, worker: WorkerEndpoint, attempt: Attempt) -> bool:
+        """Return whether the attempt may still be sent.
 
-        Meanwhile the worker may have begun to drain, or have been banned; the lease of the endpoint list may
-        have ended; the client may have disconnected; or the attempt may be too late for a safe retry.
+        While it waited for cancellations and a connection, the worker may have begun to drain or been banned,
+        the endpoint list's lease may have expired, the client may have disconnected, or the latest time for a
+        safe retry may have passed.
         """
         now_ns = time.monotonic_ns()
         return (
@@ -149,27 +151,27 @@
             and not 0 < attempt.send_before_ns < now_ns
         )
 
-    def _reset(self, attempt: Attempt) -> None:
+    def _on_reset(self, attempt: Attempt) -> None:
         """End an attempt whose response was lost, and cancel its job: the worker may have accepted it."""
         if not attempt.ended:
             self._coordinator.attempt_ended(attempt, api.Outcome.RESET)
             self._cancellation.start(attempt)
 
     def _on_timeout(self, attempt: Attempt, timeout: PeerTimeout) -> None:
-        """Handle a missing response."""
-        if not attempt.possibly_sent:  # the time went into the connection
+        """Handle an attempt whose connection or response timed out."""
+        if not attempt.possibly_sent:  # the timeout expired while connecting
             has_stalled = self._connections.has_stalled(timeout)
             self._coordinator.attempt_ended(
                 attempt, api.Outcome.ABORTED_BEFORE_SEND if has_stalled else api.Outcome.CONNECT_FAILED
             )
             return
         self._counters.add("worker_responses_missing")
-        # A connection may fail silently: an idempotent request is retried well before its deadline.
+        # A connection may fail silently, so an idempotent request is retried well before its deadline.
         if attempt.request.is_idempotent and not attempt.started_ns:
-            self._reset(attempt)
+            self._on_reset(attempt)
 
     def _on_rejection(self, attempt: Attempt, response: WorkerResponse) -> None:
-        """End an attempt by a response other than 202."""
+        """End an attempt that got a response other than 202."""
         load_report = parse_load_report(response.headers.get(b"x-backend-load"), self._report_fields)
         outcome = api.Outcome.ERROR
         if response.status in (503, 504) and response.headers.get(b"x-unprocessed") == b"1":
--- a/weldquay/net/attempt_table.py
+++ b/weldquay/net/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts in flight: their registration, their deadlines and their ends."""
+"""The table of attempts in flight, which also enforces their deadlines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AttemptTable:
-    """The attempts that have not ended, by their numbers and by their workers."""
+    """The attempts that have not ended, indexed by number and by worker."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         self._events = events
         self._requests = requests
         self._cancel_at_worker = cancel_at_worker
-        self.by_number: dict[tuple[int, int], Attempt] = {}  # by the request's number and the attempt's
-        self.by_worker: dict[tuple[str, str], Attempt] = {}  # by the request's id and the worker's
+        self.by_number: dict[tuple[int, int], Attempt] = {}  # keys: request number, attempt number
+        self.by_worker: dict[tuple[str, str], Attempt] = {}  # keys: request id, worker id
 
     def __len__(self) -> int:
-        """The number of attempts in flight."""
+        """Return the number of attempts in flight."""
         return len(self.by_number)
 
     def add(self, attempt: Attempt) -> None:
-        """Register an attempt until its end, and start its deadline timer."""
+        """Add an attempt and start its deadline timer."""
         request = attempt.request
         attempt.deadline_timer = self._loop.call_later(
             max(0, attempt.deadline_ns - time.monotonic_ns()) / 1e9,
@@ -50,7 +50,7 @@
         self.by_worker[request.id, attempt.worker_id] = attempt
 
     def remove(self, attempt: Attempt) -> None:
-        """Mark an attempt as ended and take it out, without an event."""
+        """Mark an attempt as ended and remove it, without an event for the decision module."""
         attempt.ended = True
         if attempt.deadline_timer is not None:
             attempt.deadline_timer.cancel()
@@ -66,9 +66,9 @@
         load_report: api.LoadReport | None = None,
         result: str = "",
     ) -> None:
-        """End an attempt with its outcome, and answer the request if that is OK.
+        """End an attempt with an outcome; if that is OK, answer the request.
 
-        Only the first end of an attempt counts; a further one changes nothing.
+        Calls for an attempt that has already ended have no effect.
         """
         if attempt.ended:
             return
@@ -95,7 +95,7 @@
         )
 
     def cancel(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """End an attempt with the outcome CANCELLED or TIMEOUT, and cancel it at its worker."""
+        """End an attempt as CANCELLED or TIMEOUT, and cancel its job at the worker."""
         if not attempt.ended:
             self.end(attempt, outcome)
             self._cancel_at_worker(attempt)
--- a/weldquay/net/cancellation.py
+++ b/weldquay/net/cancellation.py
@@ -1,4 +1,4 @@
-"""The cancellation of jobs at their workers: DELETE, repeated while it fails and the request is open."""
+"""Cancellation of jobs at their workers: a DELETE, retried while it fails and the request is open."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from weldquay.net.worker_connection import WorkerRequestError
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-CANCEL_TIMEOUT_S = 2.0  # of one DELETE, connecting included
-CANCEL_RETRY_S = 0.1  # the first backoff after a failed DELETE; it doubles
+CANCEL_TIMEOUT_S = 2.0  # for one DELETE, including connecting
+CANCEL_RETRY_S = 0.1  # initial backoff after a failed DELETE; doubled after each further failure
 
 
 class JobCancellation:
-    """The DELETE requests under way, by request and worker."""
+    """Sends DELETE requests and tracks the pending ones by request and worker."""
 
     def __init__(
         self, counters: Counters, workers: dict[str, WorkerEndpoint], connections: ConnectionPool
@@ -30,22 +30,22 @@
 
     @property
     def has_pending(self) -> bool:
-        """True while any DELETE is under way."""
+        """Whether any cancellation is pending."""
         return bool(self._by_request)
 
     def is_pending(self, request_id: str) -> bool:
-        """True while a DELETE of the request is under way to a worker."""
+        """Return whether a cancellation of the request is pending at any worker."""
         return request_id in self._by_request
 
     def pending(self, request_id: str, worker: WorkerEndpoint | None = None) -> list[asyncio.Task[None]]:
-        """The tasks that cancel a request at a worker, or at all workers if none is given."""
+        """Return the tasks that cancel a request at a worker, or at all workers if none is given."""
         by_worker = self._by_request.get(request_id)
         if by_worker is None:
             return []
         return [task for other, task in by_worker.items() if worker is None or other is worker]
 
     def start(self, attempt: Attempt) -> None:
-        """Cancel an attempt's job; nothing happens if its worker has been discarded."""
+        """Start the cancellation of an attempt's job; ignored if its worker has been removed."""
         worker = self._workers.get(attempt.worker_id)
         if worker is None:
             return
@@ -54,8 +54,8 @@
         task = self._tasks.start(self._cancel(worker, attempt.request), f"cancellation of {request_id}")
         by_worker[worker] = task
 
-        def on_done(ended: asyncio.Task[None]) -> None:
-            if by_worker.get(worker) is ended:
+        def on_done(done: asyncio.Task[None]) -> None:
+            if by_worker.get(worker) is done:
                 del by_worker[worker]
             if not by_worker and self._by_request.get(request_id) is by_worker:
                 del self._by_request[request_id]
@@ -69,7 +69,7 @@
     async def _cancel(self, worker: WorkerEndpoint, request: ClientRequest) -> None:
         """Send DELETE until it succeeds or the request has ended.
 
-        Until then the job may be running, and a retry that must not overlap with it waits for this task.
+        Until then the job may be running; a retry that must not overlap with it waits for this task.
         """
         backoff_s = CANCEL_RETRY_S
         while not await self._delete(worker, request.id) and request.is_open:
@@ -77,9 +77,9 @@
             backoff_s *= 2
 
     async def _delete(self, worker: WorkerEndpoint, request_id: str) -> bool:
-        """Send one DELETE; True if the job has ended.
+        """Send one DELETE, and return whether the job has ended.
 
-        A worker that refuses the connection is not running any more, and neither is its job.
+        A worker that refuses the connection is no longer running, so neither is its job.
         """
         try:
             async with PeerTimeout(CANCEL_TIMEOUT_S):
