--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -162,7 +162,7 @@
             writer.write(data[:30])
             await until(
                 lambda: any(
-                    connection.has_received and connection.requests.open_request is None
+                    connection.has_received_data and connection.requests.open_request is None
                     for connection in here.program.server.connections
                 )
             )
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -135,9 +135,9 @@
             client = socket.create_connection(("127.0.0.1", here.program.server.port))
             client.sendall(data[:-1])
             connection, *_ = await until(lambda: list(here.program.server.connections))
-            await until(lambda: connection.has_received)
+            await until(lambda: connection.has_received_data)
             client.sendall(data[-1:])
-            late = connection.since + connection_table.REQUEST_TIMEOUT_S + 0.1
+            late = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
             here.program.server.table.enforce_timeouts(late)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
@@ -155,8 +155,8 @@
             client = socket.create_connection(("127.0.0.1", here.program.server.port))
             client.sendall(data[:20])
             connection, *_ = await until(lambda: list(here.program.server.connections))
-            await until(lambda: connection.has_received)
-            late = connection.since + connection_table.REQUEST_TIMEOUT_S + 0.1
+            await until(lambda: connection.has_received_data)
+            late = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
             for position in range(20, 30):
                 client.sendall(data[position : position + 1])
                 here.program.server.table.enforce_timeouts(late)
--- a/tests/test_connection_table.py
+++ b/tests/test_connection_table.py
@@ -22,9 +22,9 @@
 class FakeConnection:
     """A connection without a socket."""
 
-    def __init__(self, state: ConnectionState, since: float = 0.0) -> None:
+    def __init__(self, state: ConnectionState, state_entered_at: float = 0.0) -> None:
         self.state = state
-        self.since = since
+        self.state_entered_at = state_entered_at
         self.is_unread = False
         self.is_unsent = False
         self.is_aborted = False
@@ -106,9 +106,9 @@
     """Below it nothing is evicted; a reservation lowers it, to no less than MIN_CONNECTIONS."""
     table, (connection,) = table_of(IDLE)
     table.max_connections = 2
-    assert table.make_room() and not connection.is_aborted
+    assert table.ensure_capacity() and not connection.is_aborted
     table.max_connections = 1
-    assert table.make_room() and connection.is_aborted
+    assert table.ensure_capacity() and connection.is_aborted
     table.connection_limit = 100
     table.reserve(30)
     assert table.max_connections == 70
--- a/weldquay/net/action_executor.py
+++ b/weldquay/net/action_executor.py
@@ -139,4 +139,4 @@
         )
 
     def _send_to_peer(self, _action: api.SendToPeer) -> None:
-        log.warning("message to a peer dropped: dispatchers have no connections to their peers")
+        log.warning("message to a peer dropped: peers are connected only in the simulator")
--- a/weldquay/net/client_connection.py
+++ b/weldquay/net/client_connection.py
@@ -1,16 +1,16 @@
-"""One connection that a client or a worker opened: its state, what it reads and how it closes.
+"""One connection opened by a client or a worker: its state, reading and closing.
 
 Rules:
 - One request is handled at a time.
-- The connection is read while a request waits for its answer, since only a read shows that the client has
+- Reading continues while a request waits for its answer, since only a read detects that the client has
   disconnected.
-- A bad request is answered, then the connection closes.
-- Each close is a lingering close, so that no reset destroys an answer.  A request that arrives after the
-  shutdown of the writing half is not handled.
+- A bad request is answered, then the connection is closed.
+- Every close is a lingering close, so that no reset destroys an answer.  A request that arrives after the
+  write half has been shut down is not handled.
 - The server owns the connection and may close it at any time.
 
-The states and their transitions are in `connection_state`; `ClientConnection.enter` is the one place where
-they change, except for an eviction.
+`connection_state` defines the states and their transitions.  Only `ClientConnection.enter` changes the state,
+except when the table evicts the connection.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 from weldquay.net.requests import AcceptedRequest
 from weldquay.net.streams import WRITABLE, CountingReader, has_event, unread
 
-MAX_POSTPONED_TIMEOUTS = 3  # 0.3 s of a client that keeps sending, more only while the event loop is late
+MAX_POSTPONED_TIMEOUTS = 3  # 0.3 s for a client that keeps sending; longer only if the event loop runs late
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptedConnection:
-    """A connection that the older process has migrated, and its open request if this process accepted it."""
+    """A connection migrated by the older process, with its open request if this process accepted it."""
 
     migrated: MigratedConnection
     accepted: AcceptedRequest | None
 
 
 class ClientConnection:
-    """A connection that a client or a worker opened."""
+    """A connection opened by a client or a worker."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         writer: asyncio.StreamWriter,
         adopted: AdoptedConnection | None,
     ) -> None:
-        """Add the connection to the table; adopted: None for one that this process accepted."""
+        """Add the connection to the table; adopted: None if this process accepted the connection itself."""
         self.context = context
         self.table = table
         self.reader = reader
@@ -62,87 +62,87 @@
         self.requests = RequestHandler(
             context, self.channel, self, None if adopted is None else adopted.accepted
         )
-        self.has_received = False  # any byte has been received
-        self.migration: ConnectionMigration | None = None  # to a newer process
+        self.has_received_data = False
+        self.migration: ConnectionMigration | None = None  # to the newer process
         self.lingering_close: LingeringClose | None = None
         self.state = ConnectionState.READING
-        self.since = time.monotonic()  # when the state began (s)
-        self.postponed_timeouts = 0  # of the state, for a client that has done its part
+        self.state_entered_at = time.monotonic()  # s
+        self.postponed_timeouts = 0  # in this state, see _is_local_io_pending
         if adopted is not None and adopted.migrated.request is None:
             if adopted.migrated.is_idle:
                 self.state = ConnectionState.IDLE
-            self.since = adopted.migrated.state_since or self.since
+            self.state_entered_at = adopted.migrated.state_since or self.state_entered_at
         table.add(self)
 
     # --- the state machine ---
 
     @property
     def is_lingering(self) -> bool:
-        """True once the last answer is written."""
+        """Whether the last answer has been written and the connection is closing."""
         return self.state is ConnectionState.LINGERING
 
     def enter(self, state: ConnectionState) -> None:
-        """Change the state; a transition that TRANSITIONS does not contain is ignored."""
+        """Change the state; a transition that is not in TRANSITIONS is ignored."""
         if state not in TRANSITIONS[self.state]:
             return
         self.table.move(self, state)
         self.state = state
-        self.since = time.monotonic()
+        self.state_entered_at = time.monotonic()
         self.postponed_timeouts = 0
         if state is ConnectionState.LINGERING:
-            self.lingering_close = LingeringClose(self.reader, self.writer, self.since)
+            self.lingering_close = LingeringClose(self.reader, self.writer, self.state_entered_at)
         elif state is ConnectionState.IDLE and self.context.migrate_connection is not None:
             asyncio.get_running_loop().call_soon(self.start_migration)
 
     def start_lingering_close(self) -> None:
-        """Close after what was written."""
+        """Close once all written data has been sent."""
         self.enter(ConnectionState.LINGERING)
 
     def close_gracefully(self) -> None:
-        """Start a lingering close, unless unread bytes have arrived: those are answered first."""
+        """Start a lingering close, unless unread data has arrived: its request is answered first."""
         if not self.has_unread_data():
             self.start_lingering_close()
 
     def abort(self) -> None:
-        """Close at once; what is not written yet is lost."""
+        """Close at once, discarding unsent data."""
         self.writer.transport.abort()
 
     def on_timeout(self, now: float) -> None:
-        """Handle a request or a lingering close that took too long; now: on the monotonic clock (s)."""
-        if self._is_process_late():
+        """Handle the timeout of a request or a lingering close; now: on the monotonic clock (s)."""
+        if self._is_local_io_pending():
             self.postponed_timeouts += 1
         elif self.state is ConnectionState.LINGERING:
             if self.lingering_close is not None and self.lingering_close.has_progressed(now):
-                self.since = now
+                self.state_entered_at = now
             else:
                 self.abort()
-        elif self.has_received:
+        elif self.has_received_data:
             self.requests.reject(408, "the request was not whole in time")
         elif not self.has_unread_data():
             self.context.counters.add("client_connections_silent")
             self.abort()
 
-    def _is_process_late(self) -> bool:
-        """True where the client has done its part, and this process has yet to read or write.
+    def _is_local_io_pending(self) -> bool:
+        """Return whether the delay is on this side: data can be read or written and has not been.
 
-        After a stall of the event loop a timeout may be handled before the bytes that have arrived.
+        After a stall of the event loop, a timeout may be handled before the bytes that have arrived.
         """
         if self.postponed_timeouts == MAX_POSTPONED_TIMEOUTS:
             return False
         if self.state is ConnectionState.LINGERING:
             return self.has_unsent_data() and has_event(self.writer, WRITABLE)
-        return self.has_received and self.has_unread_data()
+        return self.has_received_data and self.has_unread_data()
 
     def connection_lost(self) -> None:
-        """Remove the connection from the table and end its open request."""
+        """Remove the lost connection from the table and end its open request."""
         self.table.remove(self)
         self.requests.disconnect()
 
     def start_migration(self) -> None:
-        """Migrate to the newer process, unless the connection is closing or in the middle of a request."""
+        """Migrate to the newer process, unless the connection is closing or has a partial request."""
         if self.migration is not None or self.is_lingering or self.writer.is_closing():
             return
-        if self.state is ConnectionState.READING and self.has_received:
+        if self.state is ConnectionState.READING and self.has_received_data:
             return
         if self.requests.open_request is None or self.requests.read_ahead.is_migratable:
             self.migration = ConnectionMigration(self, self.context)
@@ -150,15 +150,15 @@
     # --- reading and writing ---
 
     def has_unread_data(self) -> bool:
-        """True where bytes, or the end of the stream, have arrived and are not read yet."""
+        """Return whether bytes or the end of the stream have arrived and are unread."""
         return unread(self.reader, self.writer)
 
     def has_unsent_data(self) -> bool:
-        """True while a part of an answer is not yet in the system's send buffer."""
+        """Return whether part of an answer is not yet in the system's send buffer."""
         return self.writer.transport.get_write_buffer_size() > 0
 
     def write(self, data: bytes) -> None:
-        """Write bytes of an answer."""
+        """Queue bytes of an answer for sending."""
         self.writer.write(data)
 
     async def run(self) -> None:
@@ -169,7 +169,7 @@
         """
         while not self.is_lingering:
             if self.requests.open_request is None:
-                # Not with an open request: a client that does not read must not stop the reads.
+                # Not while a request is open: a client that does not read answers must not stop the reads.
                 await self.writer.drain()
             data = await self.reader.read(READ_SIZE)
             if self.migration is not None:
@@ -182,8 +182,8 @@
             await self.lingering_close.drain()
 
     def _receive(self, data: bytes) -> None:
-        """Handle received bytes; b"" is the end of the stream."""
-        self.has_received = self.has_received or bool(data)
+        """Handle received bytes; b"" marks the end of the stream."""
+        self.has_received_data = self.has_received_data or bool(data)
         if self.state is ConnectionState.READING:
             self.table.mark_active(self)
         if self.requests.open_request is None:
@@ -193,7 +193,7 @@
             self.channel.feed_data(data)
 
     def _advance(self) -> None:
-        """Parse what was read and handle it, up to a request that waits for its answer."""
+        """Parse and handle buffered requests until one waits for its answer."""
         requests = self.requests
         while requests.open_request is None and not self.is_lingering and self.migration is None:
             progress = self.channel.advance()
@@ -211,9 +211,9 @@
                 return
 
     async def resume(self) -> None:
-        """Handle the requests that were read already, once the client has read its answers.
+        """Handle the requests already in the buffer, once the client has read its earlier answers.
 
-        Without that wait, a client that sends requests and does not read would fill the memory with answers.
+        Otherwise a client that sends requests without reading would fill the memory with answers.
         """
         with suppress(OSError):
             await self.writer.drain()
--- a/weldquay/net/client_context.py
+++ b/weldquay/net/client_context.py
@@ -1,4 +1,4 @@
-"""What the client connections of one process share."""
+"""The state shared by all client connections of one process."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from weldquay.net.tasks import Tasks
 
 
-def _ignore_callback(_body: bytes) -> None:
-    """Drop a callback that matches no attempt: there is no other process."""
+def _drop_callback(_body: bytes) -> None:
+    """Drop a callback that matches no attempt, since there is no older process to forward it to."""
 
 
 class ClientContext:
-    """The configuration, modes and request ids that all client connections use."""
+    """The configuration, modes and open request ids shared by all client connections."""
 
     def __init__(
         self,
@@ -30,33 +30,33 @@
         is_serving: Callable[[], bool],
         read_ahead_budget: ReadAheadBudget,
     ) -> None:
-        """Share these; is_serving: the result of a health check."""
+        """Create the context; is_serving: returns the result for health checks."""
         self.counters = counters
         self.coordinator = coordinator
         self.is_serving = is_serving
         self.read_ahead_budget = read_ahead_budget
         self.tasks = Tasks()
-        self.is_closing = False  # every connection closes after its answer
+        self.is_closing = False  # each connection closes after its next answer
         self.is_rejecting = False  # new job requests are rejected
         self.open_request_ids: set[str] = set()
-        # During a hot restart: ids of the requests that are open at the older process.
+        # During a hot restart: ids of the requests that are open in the older process.
         self.peer_request_ids: set[str] = set()
-        # During a hot restart: hands a connection to the newer process.
+        # During a hot restart: sends a connection to the newer process.
         self.migrate_connection: Callable[[MigratedConnection], None] | None = None
-        # Forwards the body of a callback that matches no attempt here to the older process.
-        self.forward_callback: Callable[[bytes], None] = _ignore_callback
+        # Forwards to the older process the body of a callback that matches no attempt here.
+        self.forward_callback: Callable[[bytes], None] = _drop_callback
         self.reconfigure(config)
 
     def reconfigure(self, config: Config) -> None:
-        """Use another configuration for the requests from now on."""
+        """Use a new configuration for later requests."""
         self.config = config
-        # The number of each offered class, by its name.
+        # Offered classes: name to number.
         self.classes = {
             name.encode(): number for number, name in enumerate(config.class_names) if name in config.offered
         }
 
     def has_request(self, request_id: str) -> bool:
-        """True where a request with this id is open here or at the older process."""
+        """Return whether a request with this id is open in this process or the older one."""
         return request_id in self.open_request_ids or request_id in self.peer_request_ids
 
     def disconnect(self, request: ClientRequest) -> None:
@@ -65,7 +65,7 @@
         self.coordinator.client_disconnected(request)
 
     def accept_migrated_request(self, unparsed: bytes, migrated: MigratedRequest) -> AcceptedRequest:
-        """Continue an open request of the older process; unparsed begins with its bytes."""
+        """Continue an open request of the older process; `unparsed` starts with its bytes."""
         request, body = parse_request(unparsed)
         metadata = parse_request_metadata(request.headers)
         answers: list[Answer] = []
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -1,4 +1,4 @@
-"""The client-facing server: one listener for clients, health checks and the callbacks of workers."""
+"""The client-facing server: one listener for clients, health checks and callbacks of workers."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 log = logging.getLogger(__name__)
 
-LISTEN_BACKLOG = 1024  # connections in the system's queue; beyond it a client repeats its SYN after a second
-# Connections accepted in one turn of the event loop.  They are counted up to four turns later, and
-# limits.RESERVE has descriptors for them.
+LISTEN_BACKLOG = 1024  # connections; beyond it the system drops SYNs, which clients repeat after a second
+# Connections accepted in one iteration of the event loop.  They are counted up to four iterations later;
+# limits.RESERVE includes descriptors for them.
 MAX_ACCEPTS = 4
 TIMEOUT_CHECK_INTERVAL_S = 0.1
 STOP_POLL_INTERVAL_S = 0.01
-READ_AHEAD_FRACTION = 1 / 8  # of the memory for clients
+READ_AHEAD_FRACTION = 1 / 8  # of the memory available to clients
 
 
 async def _bind(address: Address) -> socket.socket:
-    """A socket bound to an address; OSError where that is not available."""
+    """Return a socket bound to an address.  Raises OSError if the address is not available."""
     infos = await asyncio.get_running_loop().getaddrinfo(address.host, address.port, type=socket.SOCK_STREAM)
     family, kind, protocol, _, socket_address = infos[0]
     listener = socket.socket(family, kind, protocol)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # A newer process can start beside one that does not answer.
+    # Allows a newer process to start while an unresponsive one is still running.
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     listener.bind(socket_address)
     return listener
 
 
 class ClientServer:
-    """The listener and the connections that clients and workers opened."""
+    """The listener, and the connections opened by clients and workers."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         coordinator: RequestCoordinator,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Create the server without a listener; is_serving: the result of a health check."""
+        """Create the server without a listener; is_serving: returns the result for health checks."""
         client_memory_bytes = (config.memory_mb - BASE_MB) * 1024 * 1024
         connection_limit = min(
             config.sockets - config.sockets * 3 // 10 - RESERVE,
@@ -84,13 +84,13 @@
         return int(self.listener.getsockname()[1])
 
     def reconfigure(self, config: Config) -> None:
-        """Use another configuration for the requests from now on."""
+        """Use a new configuration for later requests."""
         self.context.reconfigure(config)
 
     # --- accepting ---
 
     async def listen(self, inherited: int = NO_DESCRIPTOR) -> None:
-        """Open the listener, or use the inherited descriptor of an older process; `accept` begins to accept.
+        """Open the listener, or inherit its descriptor from an older process; `accept` starts accepting.
 
         Raises:
             OSError: the address is not available.
@@ -102,11 +102,11 @@
         self.context.tasks.start(self._enforce_timeouts(), "client timeouts")
 
     async def accept(self) -> None:
-        """Begin to accept.
+        """Start accepting connections.
 
-        asyncio accepts up to its backlog in one turn of the loop, so the system's backlog is set separately.
-        With a larger one many clients could use up all descriptors before their connections are counted, and
-        asyncio would stop accepting for a second, callbacks included.
+        asyncio accepts up to `backlog` connections in one iteration of the loop, so the system's backlog is
+        set separately.  With a larger value many clients could use up all descriptors before their
+        connections are counted, and asyncio would then accept nothing, not even callbacks, for a second.
         """
         assert self.listener is not None
         self.server = await asyncio.get_running_loop().create_server(
@@ -115,7 +115,7 @@
         self.listener.listen(LISTEN_BACKLOG)
 
     def stop_accepting(self) -> None:
-        """Stop accepting; the system's queue is left to another process, or to a later `accept`."""
+        """Stop accepting; connections in the listen queue are left to another process or a later `accept`."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -133,19 +133,19 @@
     async def _serve_connection(
         self, reader: CountingReader, writer: asyncio.StreamWriter, adopted: AdoptedConnection | None
     ) -> None:
-        """Serve a connection until it ends."""
+        """Serve a connection until it is closed."""
         counters = self.context.counters
-        if not self.table.make_room():
+        if not self.table.ensure_capacity():
             counters.add("client_connections_over_limit")
             writer.transport.abort()
-            self._disconnect(adopted)
+            self._end_open_request(adopted)
             return
         connection = ClientConnection(self.context, self.table, reader, writer, adopted)
         counters.add("client_connections")
         try:
             await connection.run()
         except OSError:
-            pass  # the connection is lost: no answer can be delivered
+            pass  # the connection is lost, so no answer can be sent
         except Exception:
             log.exception("client connection failed")
             counters.add("client_connections_failed")
@@ -156,7 +156,7 @@
     # --- hot restart ---
 
     def start_migration(self, migrate_connection: Callable[[MigratedConnection], None]) -> None:
-        """Stop accepting, and migrate each connection between two requests, or with its open request."""
+        """Stop accepting, and migrate each connection between two requests or with its open request."""
         self.stop_accepting()
         self.context.migrate_connection = migrate_connection
         for state in (ConnectionState.IDLE, ConnectionState.READING, ConnectionState.WAITING):
@@ -164,7 +164,7 @@
                 connection.start_migration()
 
     def accept_migrated(self, migrated: MigratedConnection) -> None:
-        """Adopt a connection, and its open request, from the older process.
+        """Adopt a connection and its open request from the older process.
 
         The request is accepted at once, since its callbacks may arrive before the connection is set up.
         """
@@ -184,35 +184,35 @@
             )
         except OSError:  # the client has disconnected
             sock.close()
-            self._disconnect(adopted)
+            self._end_open_request(adopted)
 
-    def _disconnect(self, adopted: AdoptedConnection | None) -> None:
-        """End the open request of a migrated connection that could not be set up."""
+    def _end_open_request(self, adopted: AdoptedConnection | None) -> None:
+        """End the open request of a connection that could not be adopted."""
         if adopted is not None and adopted.accepted is not None:
             self.context.disconnect(adopted.accepted.request)
 
     # --- closing ---
 
     def begin_closing(self) -> None:
-        """Close the idle connections now, and the others after their answers."""
+        """Close idle connections now, and the others after their next answer."""
         self.context.is_closing = True
         for connection in list(self.table.by_state[ConnectionState.IDLE]):
             connection.close_gracefully()
 
     def reject_requests(self) -> None:
-        """Reject new job requests, and close each connection after its answer."""
+        """Reject new job requests, and close each connection after its next answer."""
         self.context.is_closing = True
         self.context.is_rejecting = True
 
     def reopen(self) -> None:
-        """Accept job requests and keep connections again."""
+        """Accept job requests again, and keep connections open between requests."""
         self.context.is_closing = False
         self.context.is_rejecting = False
 
     async def stop(self, linger_s: float = LINGER_TIMEOUT_S) -> None:
-        """Close the listener and all connections after their answers are written; after linger_s (s) at once.
+        """Close the listener, and all connections once their answers are written, or after linger_s.
 
-        New job requests are rejected.  The system's queue is emptied first, since closing the listener would
+        New job requests are rejected.  The listen queue is emptied first, since closing the listener would
         reset the connections in it.
         """
         self.reject_requests()
@@ -221,7 +221,7 @@
                 await self._empty_listen_queue()
                 self.stop_accepting()
                 await self._close_connections()
-        except TimeoutError:  # clients that do not read must not delay the exit
+        except TimeoutError:  # a client that does not read must not delay the exit
             for connection in list(self.connections):
                 connection.abort()
         self.stop_accepting()
--- a/weldquay/net/connection_migration.py
+++ b/weldquay/net/connection_migration.py
@@ -1,4 +1,4 @@
-"""The migration of one client connection to the newer process, during a hot restart."""
+"""Migration of one client connection to the newer process during a hot restart."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from weldquay.net.requests import ClientRequest
 from weldquay.net.streams import HUNG_UP, CountingReader, has_event
 
-MIGRATION_POLL_INTERVAL_S = 0.02  # between two checks of whether the open request can migrate
+MIGRATION_POLL_INTERVAL_S = 0.02  # between checks whether the open request can migrate
 
 
 class MigratableConnection(Protocol):
-    """What the migration uses of the connection."""
+    """The part of a client connection that the migration needs."""
 
     state: ConnectionState
-    since: float  # when the state began, on the monotonic clock (s)
+    state_entered_at: float  # on the monotonic clock (s)
     reader: CountingReader
     writer: asyncio.StreamWriter
     channel: HttpChannel
@@ -32,21 +32,21 @@
 
 
 class ConnectionMigration:
-    """The migration of one connection, between two requests or with its open request."""
+    """Migrates one connection, either between two requests or with its open request."""
 
     __slots__ = ("connection", "context")
 
     def __init__(self, connection: MigratableConnection, context: ClientContext) -> None:
-        """Stop reading, so that the connection's pending read ends and it calls `run`."""
+        """Stop reading; the connection's pending read then ends, and the connection calls `run`."""
         self.connection = connection
         self.context = context
         connection.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection.reader.feed_eof()
 
     async def run(self, data: bytes) -> None:
-        """Migrate the connection with `data` and whatever else was read.
+        """Migrate the connection with `data` and all other data that has been read.
 
-        Waits until an open request can migrate too, or has its answer, and until all answers are written.
+        Waits until the open request, if any, can migrate or is answered, and until all answers are written.
 
         Raises:
             OSError: the connection is lost.
@@ -65,19 +65,19 @@
             migrate(self._migrated_connection(data))
 
     async def _wait_for_open_request(self) -> bool:
-        """Wait until the open request can migrate or has its answer; False if the client disconnects."""
+        """Wait until the open request can migrate or is answered; return False if the client disconnects."""
         connection = self.connection
         coordinator = self.context.coordinator
         while (open_request := connection.requests.open_request) is not None:
             if self.context.migrate_connection is not None and coordinator.can_migrate(open_request):
                 break
-            if has_event(connection.writer, HUNG_UP):  # reading has stopped, so no read would show it
+            if has_event(connection.writer, HUNG_UP):  # reading is paused, so no read detects it
                 return False
             await asyncio.sleep(MIGRATION_POLL_INTERVAL_S)
         return True
 
     def _migrated_connection(self, data: bytes) -> MigratedConnection:
-        """The message for the newer process; `data` is what was read and not fed to the channel."""
+        """Build the message for the newer process; `data` has been read but not fed to the channel."""
         connection = self.connection
         unparsed = connection.channel.trailing + data
         request = None
@@ -89,16 +89,16 @@
             connection.requests.open_request = None
         self.context.counters.add("connections_migrated")
         return MigratedConnection(
-            # A duplicate, so that closing this process's descriptor does not end the connection.
+            # Duplicated, so that closing the descriptor of this process does not close the connection.
             os.dup(connection.writer.get_extra_info("socket").fileno()),
             unparsed,
             connection.state is ConnectionState.IDLE,
-            connection.since,
+            connection.state_entered_at,
             request,
         )
 
     def _serialize(self, open_request: ClientRequest) -> bytes:
-        """The bytes of the open request, with the time that is left until its deadline."""
+        """Serialize the open request, with the remaining time until its deadline."""
         channel = self.connection.channel
         assert channel.request is not None
         remaining_ns = open_request.deadline_ns - time.monotonic_ns()
--- a/weldquay/net/connection_state.py
+++ b/weldquay/net/connection_state.py
@@ -9,17 +9,17 @@
 class ConnectionState(Enum):
     """The states of a client connection."""
 
-    READING = "reading"  # new, or part of a request has arrived; REQUEST_TIMEOUT_S
-    WAITING = "waiting"  # an open request has no answer yet
+    READING = "reading"  # new, or part of a request has arrived; limited to REQUEST_TIMEOUT_S
+    WAITING = "waiting"  # a request is open and not answered yet
     IDLE = "idle"  # kept open between two requests
-    LINGERING = "lingering"  # the last answer is written, received bytes are dropped; LINGER_TIMEOUT_S
+    LINGERING = "lingering"  # last answer written, received bytes dropped; limited to LINGER_TIMEOUT_S
 
-    # Members are compared by identity; Enum's own hash is a Python function, called at each table lookup.
+    # Enum.__hash__ is implemented in Python and would run at each table lookup; members compare by identity.
     __hash__ = object.__hash__
 
 
 TRANSITIONS: Mapping[ConnectionState, frozenset[ConnectionState]] = {
-    # A whole request may arrive at once, so an idle connection can skip READING and WAITING.
+    # A complete request may arrive at once, so IDLE can skip READING and WAITING.
     ConnectionState.READING: frozenset(
         {ConnectionState.WAITING, ConnectionState.IDLE, ConnectionState.LINGERING}
     ),
--- a/weldquay/net/connection_table.py
+++ b/weldquay/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The client connections by state: the limit of their number, eviction and timeouts."""
+"""The client connections by state: connection limit, eviction and timeouts."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from weldquay.net.connection_state import ConnectionState
 from weldquay.net.counters import Counters
 
-MIN_CONNECTIONS = 8  # the limit is never lower, however many connections another process has
-# From a connection's start, or the first byte of a later request, to the last byte of the request.  The
-# protocol allows slow clients 3 s.
+MIN_CONNECTIONS = 8  # lower bound of the limit, however many connections the other process has
+# From the start of the connection, or the first byte of a later request, to the last byte of the request.
+# The protocol allows slow clients 3 s.
 REQUEST_TIMEOUT_S = 2.6
-LINGER_TIMEOUT_S = 1.0  # of a lingering close, for a client that reads nothing
+LINGER_TIMEOUT_S = 1.0  # for a lingering close whose client reads nothing
 EVICTION_COUNTERS: dict[ConnectionState, str] = {
     ConnectionState.READING: "client_connections_evicted_reading",
     ConnectionState.IDLE: "client_connections_evicted_idle",
@@ -21,36 +21,36 @@
 
 
 class ManagedConnection(Protocol):
-    """What the table uses of a connection."""
+    """The part of a client connection that the table needs."""
 
     state: ConnectionState
-    since: float  # when the state began, on the monotonic clock (s)
+    state_entered_at: float  # on the monotonic clock (s)
 
     def has_unread_data(self) -> bool:
-        """True where bytes, or the end of the stream, have arrived and are not read yet."""
+        """Return whether bytes or the end of the stream have arrived and are unread."""
 
     def has_unsent_data(self) -> bool:
-        """True while a part of an answer is not yet in the system's send buffer."""
+        """Return whether part of an answer is not yet in the system's send buffer."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once, discarding unsent data."""
 
     def on_timeout(self, now: float) -> None:
-        """Handle a state that has lasted too long; now: on the monotonic clock (s)."""
+        """Handle the timeout of the current state; now: on the monotonic clock (s)."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=ManagedConnection)
 
 
 class ConnectionTable(Generic[ConnectionT]):
-    """All client connections, and those in each state."""
+    """All client connections, also indexed by state."""
 
     def __init__(self, counters: Counters, connection_limit: int) -> None:
         self.counters = counters
-        self.connection_limit = connection_limit  # without another process of this dispatcher
+        self.connection_limit = connection_limit  # if no other process of this dispatcher is running
         self.max_connections = connection_limit
         self.connections: dict[ConnectionT, None] = {}
-        # In each state the oldest first; in READING the one that has received nothing for the longest time.
+        # The oldest in a state come first; in READING, the one that has received nothing for longest.
         self.by_state: dict[ConnectionState, dict[ConnectionT, None]] = {
             state: {} for state in ConnectionState
         }
@@ -61,32 +61,33 @@
         self.by_state[connection.state][connection] = None
 
     def remove(self, connection: ConnectionT) -> None:
-        """Remove a connection; one that is not in the table is ignored."""
+        """Remove a connection, if it is in the table."""
         self.by_state[connection.state].pop(connection, None)
         self.connections.pop(connection, None)
 
     def move(self, connection: ConnectionT, state: ConnectionState) -> None:
-        """Move a connection from its present state to the end of those in another one."""
+        """Move a connection from its current state to the end of another state's list."""
         del self.by_state[connection.state][connection]
         self.by_state[state][connection] = None
 
     def mark_active(self, connection: ConnectionT) -> None:
-        """Move a connection to the end of those in its state."""
+        """Move a connection to the end of its state's list."""
         same_state = self.by_state[connection.state]
         same_state[connection] = same_state.pop(connection)
 
     def reserve(self, count: int) -> None:
-        """Lower the limit by the connections that another process has or needs."""
+        """Lower the limit by the number of connections that another process has or needs."""
         self.max_connections = max(MIN_CONNECTIONS, self.connection_limit - count)
 
-    def make_room(self) -> bool:
-        """Return whether one more connection fits within the limit; evict one where that is necessary."""
+    def ensure_capacity(self) -> bool:
+        """Return whether one more connection may be added; at the limit, evict one to allow it."""
         return len(self.connections) < self.max_connections or self.evict_one()
 
     def evict_one(self) -> bool:
-        """Close one connection in EVICTION_ORDER, the oldest of a state first; False if there is none.
+        """Evict one connection, by EVICTION_ORDER and then by age; return False if none qualifies.
 
-        A connection with an open request, unsent answer or unread data is not evicted.
+        A connection with an open request or unsent data is not evicted, nor one with unread data, unless it
+        is LINGERING and drops what it reads.
         """
         for state in EVICTION_ORDER:
             for connection in self.by_state[state]:
@@ -102,7 +103,7 @@
         return False
 
     def enforce_timeouts(self, now: float) -> None:
-        """Handle the connections that have been READING or LINGERING for too long.
+        """Call on_timeout of the connections that have been READING or LINGERING for too long.
 
         now: on the monotonic clock (s).
         """
@@ -111,5 +112,5 @@
             (ConnectionState.LINGERING, LINGER_TIMEOUT_S),
         ):
             for connection in list(self.by_state[state]):
-                if now - connection.since >= timeout_s:
+                if now - connection.state_entered_at >= timeout_s:
                     connection.on_timeout(now)
