--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -160,7 +160,7 @@
             for worker in here.workers:
                 worker.script = partial(hold, worker)
             calls = [asyncio.create_task(here.post(f"d{number}")) for number in range(6)]
-            await until(lambda: len(accepted) == 2 and pool.waiting)
+            await until(lambda: len(accepted) == 2 and pool.waiters)
             answer.set()
             assert [(await call).body for call in calls] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
--- a/weldquay/net/connection_pool.py
+++ b/weldquay/net/connection_pool.py
@@ -37,7 +37,7 @@
         self._tasks = Tasks()
         self.reconfigure(config)
         self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # of all workers, the longest idle first
-        self.waiting: deque[asyncio.Future[None]] = deque()  # requests that wait for a connection
+        self.waiters: deque[asyncio.Future[None]] = deque()  # requests that wait for a connection
         self.open_connections = 0
         self.connection_limit = config.sockets * 3 // 10  # the clients' side has the other sockets
         self.max_connections = self.connection_limit
@@ -54,7 +54,7 @@
         surplus = max(0, self.open_connections - self.max_connections)
         for connection in list(self.idle)[:surplus]:
             self._close_idle_connection(connection)
-        for _ in range(len(self.waiting)):
+        for _ in range(len(self.waiters)):
             self._wake_next()
 
     async def request(self, worker: WorkerEndpoint, method: bytes, target: bytes) -> WorkerResponse:
@@ -169,7 +169,7 @@
 
     async def _wait_for_turn(self) -> None:
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiting.append(turn)
+        self.waiters.append(turn)
         try:
             await turn
         except asyncio.CancelledError:
@@ -179,8 +179,8 @@
 
     def _wake_next(self) -> None:
         """Wake the request that has waited longest: a connection has been closed, or is idle."""
-        while self.waiting:
-            turn = self.waiting.popleft()
+        while self.waiters:
+            turn = self.waiters.popleft()
             if not turn.done():
                 turn.set_result(None)
                 return
