--- a/weldquay/net/connection_pool.py
+++ b/weldquay/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all workers: idle ones for reuse, the limit on their number, and their ends."""
+"""The pool of connections to all workers: reuse of idle ones, and the limit on open ones."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 )
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-IDLE_TIMEOUT_FRACTION = 0.8  # of the workers' idle timeout; a connection idle for longer is not reused
+IDLE_TIMEOUT_FRACTION = 0.8  # of the workers' idle timeout; connections idle for longer are not reused
 MAX_IDLE_PER_WORKER = 2
-CONNECTION_WAIT_S = 0.2  # for a connection below the limit; with connecting it fits in the accept timeout
-SWEEP_INTERVAL_S = 1.0
+CONNECTION_WAIT_S = 0.2  # wait for the limit; together with connecting it fits into the accept timeout
+IDLE_CHECK_INTERVAL_S = 1.0
 
 
 class ConnectionPool:
@@ -36,29 +36,29 @@
         self._counters = counters
         self._tasks = Tasks()
         self.reconfigure(config)
-        self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # of all workers, the longest idle first
-        self.waiters: deque[asyncio.Future[None]] = deque()  # requests that wait for a connection
+        self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # of all workers, longest idle first
+        self.waiters: deque[asyncio.Future[None]] = deque()  # requests waiting for the limit
         self.open_connections = 0
-        self.connection_limit = config.sockets * 3 // 10  # the clients' side has the other sockets
+        self.connection_limit = config.sockets * 3 // 10  # the other sockets are for client connections
         self.max_connections = self.connection_limit
-        self._tasks.start(self._sweep(), "closing of idle connections")
+        self._tasks.start(self._close_expired_connections(), "closing of idle connections")
 
     def reconfigure(self, config: Config) -> None:
-        """Use other settings for the connections from now on."""
+        """Use the settings of a new configuration for later connections."""
         self._connect_timeout_s = config.connect_timeout_ns / 1e9
         self._idle_timeout_s = config.settings.connection_idle_timeout_ns / 1e9 * IDLE_TIMEOUT_FRACTION
 
     def set_limit_fraction(self, fraction: float) -> None:
-        """Lower the limit to a fraction of its full value: another process uses the rest."""
+        """Set the limit to a fraction of its full value; another process uses the rest."""
         self.max_connections = int(self.connection_limit * fraction)
-        surplus = max(0, self.open_connections - self.max_connections)
-        for connection in list(self.idle)[:surplus]:
+        excess = max(0, self.open_connections - self.max_connections)
+        for connection in list(self.idle)[:excess]:
             self._close_idle_connection(connection)
         for _ in range(len(self.waiters)):
             self._wake_next()
 
     async def request(self, worker: WorkerEndpoint, method: bytes, target: bytes) -> WorkerResponse:
-        """Send a request without a body, on an idle connection or on a new one.
+        """Send a request without a body, on an idle connection or a new one.
 
         Raises RequestNotSent, AttemptAborted, ConnectionLost.
         """
@@ -73,7 +73,7 @@
         request: h11.Request,
         body: Body = b"",
     ) -> WorkerResponse:
-        """Send a request on a connection, then keep the connection as idle or close it.
+        """Send a request on a connection, then keep the connection for reuse or close it.
 
         Raises RequestNotSent, ConnectionLost.
         """
@@ -93,7 +93,7 @@
                 connection.abort()
 
     def take_idle(self, worker: WorkerEndpoint) -> WorkerConnection | None:
-        """An idle connection that can be reused, the last used first; None if there is none."""
+        """Return the most recently used reusable idle connection, or None."""
         while worker.idle_connections:
             connection = worker.idle_connections[-1]
             if time.monotonic() - connection.idle_since < self._idle_timeout_s and connection.is_usable():
@@ -104,10 +104,10 @@
         return None
 
     async def connect(self, worker: WorkerEndpoint) -> WorkerConnection:
-        """Open a connection, once the limit allows it.
+        """Open a connection, waiting until the limit allows it.
 
-        Raises RequestNotSent if the worker cannot be reached, and AttemptAborted if the limit or a stall of
-        this process is the cause.
+        Raises RequestNotSent if the worker cannot be reached, and AttemptAborted if the connection failed due
+        to the limit or a stall of this process.
         """
         if self.open_connections >= self.max_connections:
             await self._wait_for_connection()
@@ -126,11 +126,11 @@
             self._on_closed()
             raise
         self._counters.add("worker_connections")
-        self._tasks.start(self._count_out(writer), "a connection's end")
+        self._tasks.start(self._wait_until_closed(writer), "wait for a worker connection to close")
         return WorkerConnection(reader, writer)
 
     def has_stalled(self, timeout: PeerTimeout) -> bool:
-        """True if a timeout that has ended is due to a stall of this process; it is counted then."""
+        """Return whether a stall of this process caused an expired timeout; stalls are counted."""
         if timeout.has_stalled:
             self._counters.add("worker_connections_stalled")
         return timeout.has_stalled
@@ -151,10 +151,10 @@
         connection.abort()
 
     async def _wait_for_connection(self) -> None:
-        """Wait until one more connection is allowed; the longest idle connection is closed for it.
+        """Wait until the limit allows one more connection, evicting the longest idle one.
 
         There may be more workers than connections, so idle ones must not block requests to other workers.
-        Raises AttemptAborted after CONNECTION_WAIT_S: the shortage is this process's, not the worker's.
+        Raises AttemptAborted after CONNECTION_WAIT_S, since the shortage is local and not the worker's fault.
         """
         try:
             async with asyncio.timeout(CONNECTION_WAIT_S):
@@ -162,35 +162,35 @@
                     if self.idle:
                         self._counters.add("worker_connections_evicted")
                         self._close_idle_connection(next(iter(self.idle)))
-                    await self._wait_for_turn()
+                    await self._wait_for_wake_up()
         except TimeoutError:
             self._counters.add("worker_connections_over_limit")
-            raise AttemptAborted("no connection came free below the limit") from None
+            raise AttemptAborted("the limit on worker connections was reached") from None
 
-    async def _wait_for_turn(self) -> None:
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiters.append(turn)
+    async def _wait_for_wake_up(self) -> None:
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.waiters.append(waiter)
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._wake_next()  # the turn passes to the next request
+            if waiter.done() and not waiter.cancelled():
+                self._wake_next()  # pass the wake-up on to the next request
             raise
 
     def _wake_next(self) -> None:
-        """Wake the request that has waited longest: a connection has been closed, or is idle."""
+        """Wake the longest-waiting request, after a connection was closed or became idle."""
         while self.waiters:
-            turn = self.waiters.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self.waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
-    async def _count_out(self, writer: asyncio.StreamWriter) -> None:
-        """Count a connection as closed once it is."""
+    async def _wait_until_closed(self, writer: asyncio.StreamWriter) -> None:
+        """Wait until a connection is closed, then count it as closed."""
         try:
             await writer.wait_closed()
         except OSError:
-            pass  # how the connection ended makes no difference
+            pass  # the cause of the close is irrelevant
         finally:
             self._on_closed()
 
@@ -198,10 +198,10 @@
         self.open_connections -= 1
         self._wake_next()
 
-    async def _sweep(self) -> None:
-        """Close idle connections that the worker has closed or that are near their idle timeout."""
+    async def _close_expired_connections(self) -> None:
+        """Close idle connections that the worker has closed, or that are near the idle timeout."""
         while True:
-            await asyncio.sleep(SWEEP_INTERVAL_S)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             expired_before = time.monotonic() - self._idle_timeout_s
             for connection in list(self.idle):
                 if connection.idle_since <= expired_before or not connection.is_usable():
