--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a real dispatcher: GW_* variables and the JSON file that GW_CONFIG names."""
+"""The configuration of a dispatcher process: GW_* variables and the JSON file named by GW_CONFIG."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from weldquay.reservations.settings import ReservationSettings
 
-# Fields of `Config` that a reload takes from the file.
+# Fields of `Config` that a reload updates from the file.
 RELOADABLE_FIELDS = (
     "discovery",
     "settings",
@@ -32,7 +32,7 @@
     "kinds",
     "document",
 )
-# Fields that need a restart, in the order in which a reload reports them, with their external names.
+# Fields whose change needs a restart, with their external names, in the order of a reload's report.
 RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -41,8 +41,8 @@
     "memory_mb": "memory_mb",
     "lease": "lease",
 }
-START_ONLY_KEYS = {"seed", "known"}  # keys of the file that are used at a start only
-OPTIONAL_KEYS = {"room", "origin"}  # keys of the file that a reload may add, remove or change in any way
+START_ONLY_KEYS = {"seed", "known"}  # keys of the file that are read only at startup
+OPTIONAL_KEYS = {"room", "origin"}  # keys of the file that a reload may add, remove or change freely
 
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
 DEFAULT_MAX_OPEN = 10_000  # requests
@@ -53,38 +53,38 @@
 
 
 class ConfigError(OperatorError):
-    """The configuration is invalid, at a start or a reload; the text is one line for operators."""
+    """The configuration is invalid, at startup or on reload; the text is one line for operators."""
 
     error_code = "config-error"
-    remedy = "correct the value that is named; `weldquay config check FILE` lists all that is wrong"
+    remedy = "correct the named value; `weldquay config check FILE` lists all errors"
 
 
 class ConfigUnset(ConfigError):
-    """No configuration file is named."""
+    """GW_CONFIG is not set."""
 
     error_code = "config-unset"
-    remedy = "set GW_CONFIG to the path of the configuration file; example/config.json is one"
+    remedy = "set GW_CONFIG to the path of the configuration file; see example/config.json"
 
 
 class ConfigUnreadable(ConfigError):
-    """The file cannot be read, or is no JSON object."""
+    """The file cannot be read, or is not a JSON object."""
 
     error_code = "config-unreadable"
-    remedy = "see that the file is there, whole and readable for this user; write it anew where it is torn"
+    remedy = "check that the file exists, is complete and readable by this user; restore a damaged one"
 
 
 class SiteMismatch(ConfigError):
-    """The file contradicts the facts of the site that GW_CATALOGUE names."""
+    """The file contradicts the catalogue of the site named by GW_CATALOGUE."""
 
     error_code = "site-mismatch"
-    remedy = "correct the value, or name another site; `weldquay config explain RULE` tells why"
+    remedy = "correct the value, or set another site; `weldquay config explain RULE` gives the reason"
 
 
 class ReloadRefused(ConfigError):
-    """A running dispatcher cannot apply the file; it continues with its current configuration."""
+    """A running dispatcher cannot apply the file, and keeps its current configuration."""
 
     error_code = "reload-refused"
-    remedy = "put back what is named and send SIGHUP; `weldquay config diff OLD NEW` shows what differs"
+    remedy = "restore the named value and send SIGHUP; `weldquay config diff OLD NEW` shows the differences"
 
 
 class Address(NamedTuple):
@@ -101,41 +101,41 @@
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # of the operators' interface
+    mgmt: Address | None  # for operators' requests
     seed: int
     settings: api.Settings
     class_names: tuple[str, ...]  # by class number
-    offered: frozenset[str]  # the classes that requests may name; a reload may have removed some
+    offered: frozenset[str]  # classes that requests may use; without those that a reload has removed
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    report_fields: dict[str, str]  # the meaning of each field in a load report
+    report_fields: dict[str, str]  # the meaning of each field of a load report
     connect_timeout_ns: int
-    max_open: int  # limit of open requests
-    sockets: int  # limit of file descriptors
+    max_open: int  # limit on open requests
+    sockets: int  # limit on file descriptors
     memory_mb: int
     known: EndpointList  # the cached endpoint list
-    lease: api.LeaseState  # of an earlier process, on the cached list
-    document: dict[str, Any]  # the file's JSON object
+    lease: api.LeaseState  # lease of an earlier process on the cached list
+    document: dict[str, Any]  # the JSON object of the file
 
 
 def assign_numbers(names: tuple[str, ...]) -> dict[str, int]:
-    """The numbers of names, in their order; looking up another name gives it the next number."""
+    """Number the names in order; looking up a further name assigns the next number."""
     numbers: defaultdict[str, int] = defaultdict(lambda: len(numbers))
     numbers.update({name: number for number, name in enumerate(names)})
     return numbers
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read and check the configuration that GW_CONFIG names.  Raises ConfigError."""
+    """Read and check the configuration file named by GW_CONFIG.  Raises ConfigError."""
     path = environ.get("GW_CONFIG")
     if not path:
-        raise ConfigUnset("GW_CONFIG is not set: it names the configuration file")
+        raise ConfigUnset("GW_CONFIG, the path of the configuration file, is not set")
     try:
         document = reading.parse(reading.decode(reading.read_file(Path(path))))
     except reading.ReadingError as error:
         raise ConfigUnreadable(str(error), f"GW_CONFIG: {path}") from None
     if not isinstance(document, dict):
-        raise ConfigUnreadable("it holds no JSON object", path)
+        raise ConfigUnreadable("the content is not a JSON object", path)
     try:
         reservations_path = environ.get("GW_ROOM")
         if reservations_path:
@@ -150,8 +150,8 @@
 
 
 def _check_site(document: dict[str, Any], site: str) -> None:
-    """Check a document against a site's facts, by the checker's rules.  Raises SiteMismatch."""
-    from weldquay.config import catalogue, checking  # imported only if a site is named
+    """Check a document against the catalogue of a site, by the checker's rules.  Raises SiteMismatch."""
+    from weldquay.config import catalogue, checking  # imported only if a site is set
 
     errors = checking.errors(document, catalogue.load(site))
     if errors:
@@ -161,15 +161,15 @@
 
 
 def _read_reservations_file(path: str) -> dict[str, Any]:
-    """The reservation settings of a file of their own, as a JSON object."""
-    # Imported only if used: its library takes memory.
+    """Return the JSON object of a separate file of reservation settings."""
+    # Imported only if needed, since its dependency takes memory.
     from weldquay.reservations import settings as reservation_settings
 
     return reservation_settings.read_file(Path(path))
 
 
-def _reservations(document: dict[str, Any]) -> ReservationSettings | None:
-    """The reservation settings of a document; None if it has none."""
+def _reservation_settings(document: dict[str, Any]) -> ReservationSettings | None:
+    """Return the reservation settings of a document, or None if it has none."""
     settings = document.get("room")
     if settings is None:
         return None
@@ -179,7 +179,7 @@
 
 
 def load_saved(environ: Mapping[str, str], document: object) -> Config | None:
-    """The configuration of a document that an older process saved; None if it is invalid."""
+    """Return the configuration of a document saved by an older process, or None if it is invalid."""
     try:
         return read(environ, document) if isinstance(document, dict) else None
     except (ValueError, MessageError):
@@ -187,52 +187,53 @@
 
 
 def reload(environ: Mapping[str, str], running: Config) -> tuple[Config, list[str]]:
-    """The running configuration with the file's reloadable fields, and the changes that need a restart.
+    """Apply the file's reloadable fields to the running configuration.
 
-    The changes are the external names of the fields.  For the reloadable fields the file has precedence over
-    the variables, which cannot change in a running process.
+    Returns the new configuration, and the external names of changed fields that need a restart.  For
+    reloadable fields the file has precedence over the environment variables, which cannot change in a running
+    process.
     Raises ConfigError; ReloadRefused if the file itself is valid.
     """
-    fresh = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    _check_complete("", running.document, fresh.document)
-    if fresh.zones[: len(running.zones)] != running.zones:
-        raise ReloadRefused("zones may be added to, but not changed, while the dispatcher runs")
-    if fresh.kinds[: len(running.kinds)] != running.kinds:
-        raise ReloadRefused("kinds may be added to, but not changed, while the dispatcher runs")
-    fresh = _renumber_classes(fresh, running)
-    reloaded = replace(running, **{name: getattr(fresh, name) for name in RELOADABLE_FIELDS})
+    new = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
+    _check_same_keys("", running.document, new.document)
+    if new.zones[: len(running.zones)] != running.zones:
+        raise ReloadRefused("a reload can append zones, but not change existing ones")
+    if new.kinds[: len(running.kinds)] != running.kinds:
+        raise ReloadRefused("a reload can append kinds, but not change existing ones")
+    new = _renumber_classes(new, running)
+    reloaded = replace(running, **{name: getattr(new, name) for name in RELOADABLE_FIELDS})
     needs_restart = [
         external_name
         for name, external_name in RESTART_FIELDS.items()
-        if getattr(fresh, name) != getattr(running, name)
+        if getattr(new, name) != getattr(running, name)
     ]
     return reloaded, needs_restart
 
 
-def _check_complete(path: str, running: object, fresh: object) -> None:
-    """Check that a file has all keys of the running one, with values of the same types.
+def _check_same_keys(path: str, running: object, new: object) -> None:
+    """Check that a new document has all keys of the running one, with values of the same types.
 
-    In a list of objects each must have the keys that all objects have in the running file.
+    In a list of objects, each must have the keys that all objects of the running list have.
     Raises ReloadRefused.
     """
-    if isinstance(running, dict) and isinstance(fresh, dict):
+    if isinstance(running, dict) and isinstance(new, dict):
         for name, value in running.items():
             if name not in START_ONLY_KEYS | OPTIONAL_KEYS and value is not None:
                 key = f"{path}.{name}" if path else name
-                if fresh.get(name) is None:
+                if new.get(name) is None:
                     raise ReloadRefused(f"missing key {key}")
-                _check_complete(key, value, fresh[name])
-    elif isinstance(running, list) and isinstance(fresh, list):
-        common = _common_keys(running)
-        if common is not None:
-            for number, item in enumerate(fresh):
-                _check_complete(f"{path}.{number}", common, item)
-    elif _json_type(running) is not _json_type(fresh):
-        raise ReloadRefused(f"{path} is no longer a {_json_type(running).__name__}: {fresh!r}")
+                _check_same_keys(key, value, new[name])
+    elif isinstance(running, list) and isinstance(new, list):
+        common_keys = _common_keys(running)
+        if common_keys is not None:
+            for number, item in enumerate(new):
+                _check_same_keys(f"{path}.{number}", common_keys, item)
+    elif _json_type(running) is not _json_type(new):
+        raise ReloadRefused(f"{path} must stay a {_json_type(running).__name__}: {new!r}")
 
 
 def _common_keys(items: list[object]) -> dict[str, object] | None:
-    """The keys that all objects of a list have, with the first one's values; None for other lists."""
+    """Return the keys that all objects of a list have, with the first one's values; None for other lists."""
     objects = [item for item in items if isinstance(item, dict)]
     if not objects or len(objects) < len(items):
         return None
@@ -240,29 +241,29 @@
 
 
 def _json_type(value: object) -> type:
-    """The type of a JSON value; an integer counts as a float."""
+    """Return the type of a JSON value; integers count as floats."""
     return float if isinstance(value, int) and not isinstance(value, bool) else type(value)
 
 
-def _renumber_classes(fresh: Config, running: Config) -> Config:
-    """The fresh configuration with the class numbers of the running one; new classes come last.
+def _renumber_classes(new: Config, running: Config) -> Config:
+    """Return the new configuration with the class numbers of the running one; new classes come last.
 
-    A removed class keeps its number and its settings, for the requests that were submitted with it.
+    A removed class keeps its number and settings for the requests that already use it.
     """
     classes = {
         name: replace(job_class, is_offered=False)
         for name, job_class in zip(running.class_names, running.settings.classes, strict=True)
     }
-    classes.update(zip(fresh.class_names, fresh.settings.classes, strict=True))
+    classes.update(zip(new.class_names, new.settings.classes, strict=True))
     return replace(
-        fresh,
+        new,
         class_names=tuple(classes),
-        settings=replace(fresh.settings, classes=tuple(classes.values())),
+        settings=replace(new.settings, classes=tuple(classes.values())),
     )
 
 
 def read(environ: Mapping[str, str], document: dict[str, Any]) -> Config:
-    """The configuration of a document; the variables have precedence.
+    """Return the configuration of a document; environment variables have precedence.
 
     Raises ValueError or MessageError if a value is missing or malformed.
     """
@@ -270,18 +271,18 @@
     settings, field_meanings = decode_settings(flat)
     class_names = _class_names(flat, settings)
     if flat.integer("caps.max_attempts", 1) < 1:
-        raise ValueError("caps.max_attempts is no positive number")
+        raise ValueError("caps.max_attempts must be at least 1")
     limits = _section(document, "limits")
     if any((document.get("access") or {}).values()):
-        raise ValueError("access is not enforced by this version: leave it out")
+        raise ValueError("access is not enforced by this version: remove it")
     mgmt = environ.get("GW_MGMT") or document.get("mgmt")
     return Config(
         name=_text("GW_NAME", environ.get("GW_NAME") or document.get("name")),
-        listen=address("GW_LISTEN", environ.get("GW_LISTEN") or document.get("listen")),
-        discovery=address("GW_DISCOVERY", environ.get("GW_DISCOVERY") or document.get("discovery")),
-        mgmt=address("GW_MGMT", mgmt) if mgmt else None,
+        listen=parse_address("GW_LISTEN", environ.get("GW_LISTEN") or document.get("listen")),
+        discovery=parse_address("GW_DISCOVERY", environ.get("GW_DISCOVERY") or document.get("discovery")),
+        mgmt=parse_address("GW_MGMT", mgmt) if mgmt else None,
         seed=_seed(document.get("seed", "0")),
-        settings=_socket_settings(settings, document),
+        settings=_settings_for_http_discovery(settings, document),
         class_names=class_names,
         offered=frozenset(class_names),
         zones=tuple(flat.items("zones")),
@@ -291,62 +292,62 @@
         max_open=flat.integer("caps.max_open", DEFAULT_MAX_OPEN),
         sockets=_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
         memory_mb=_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
-        known=_known_list(document.get("known")),
+        known=_cached_endpoint_list(document.get("known")),
         lease=api.LeaseState(),
         document=document,
     )
 
 
 def _section(document: dict[str, Any], name: str) -> dict[str, Any]:
-    """A JSON object in the document; empty if it is absent.  Raises ValueError if it is another value."""
+    """Return a JSON object of the document, empty if absent.  Raises ValueError for another type."""
     section = document.get(name) or {}
     if isinstance(section, dict):
         return section
-    raise ValueError(f"{name} is no JSON object")
+    raise ValueError(f"{name} is not a JSON object")
 
 
 def _class_names(flat: FlatSettings, settings: api.Settings) -> tuple[str, ...]:
-    """The names of the job classes by number.  Raises ValueError for a repeated name or a bad deadline."""
+    """Return the job class names by number.  Raises ValueError for a duplicate name or invalid deadline."""
     names = tuple(flat.text(f"services.{number}.name") for number in range(len(settings.classes)))
     if len(set(names)) < len(names):
-        raise ValueError("two classes have the same name")
+        raise ValueError("duplicate class name")
     for name, job_class in zip(names, settings.classes, strict=True):
         if job_class.client_timeout_ns <= 0 or job_class.latency_objective_ns <= 0:
-            raise ValueError(f"class {name} has a deadline that is no positive number")
+            raise ValueError(f"class {name} has a deadline that is not positive")
     return names
 
 
-def _socket_settings(settings: api.Settings, document: dict[str, Any]) -> api.Settings:
-    """The decoded settings, adapted to discovery over HTTP.
+def _settings_for_http_discovery(settings: api.Settings, document: dict[str, Any]) -> api.Settings:
+    """Return the decoded settings, adapted to discovery over HTTP.
 
-    It only responds to polls, whatever mode the settings name for the simulator; in the mode `push` an agent
-    on this machine has the list.
+    Discovery over HTTP only responds to polls, whatever mode the settings select for the simulator.  In the
+    mode `push`, an agent on this machine provides the list.
     """
     return replace(
         settings,
         polls_endpoint_list=True,
         endpoint_list_expires=True,
         has_local_discovery_agent=not settings.polls_endpoint_list,
-        reservations=_reservations(document),
+        reservations=_reservation_settings(document),
     )
 
 
-def _known_list(document: object) -> EndpointList:
-    """The cached endpoint list; an invalid one is ignored, since it only shortens the start."""
+def _cached_endpoint_list(document: object) -> EndpointList:
+    """Return the cached endpoint list; an invalid one is ignored, since it only shortens the startup."""
     empty = EndpointList(0, True, ())
     if document is None:
         return empty
     try:
         return endpoint_list_from_json(document)
     except MessageError as error:
-        log.warning("known is left out: %s", error)
+        log.warning("ignoring the invalid endpoint list in known: %s", error)
         return empty
 
 
 def _limit(limits: dict[str, Any], name: str, default: int, min_value: int) -> int:
     value = limits.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < min_value:
-        raise ValueError(f"limits.{name} is no whole number from {min_value} up: {value!r}")
+        raise ValueError(f"limits.{name} must be an integer of at least {min_value}: {value!r}")
     return value
 
 
@@ -360,12 +361,12 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise ValueError(f"seed is no hexadecimal number: {value!r}") from None
+        raise ValueError(f"seed is not a hexadecimal number: {value!r}") from None
 
 
-def address(name: str, value: object) -> Address:
-    """The address of HOST:PORT; name: of the setting, for errors.  Raises ValueError."""
+def parse_address(name: str, value: object) -> Address:
+    """Parse HOST:PORT; name: the setting's, for errors.  Raises ValueError."""
     host, colon, port = _text(name, value).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise ValueError(f"{name} is no HOST:PORT: {value!r}")
+        raise ValueError(f"{name} is not of the form HOST:PORT: {value!r}")
     return Address(host.strip("[]"), int(port))
--- a/weldquay/net/config_reload.py
+++ b/weldquay/net/config_reload.py
@@ -1,4 +1,4 @@
-"""The reload of the configuration on SIGHUP."""
+"""Reloading of the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Reloads the configuration, and saves the running one for the next process."""
 
     def __init__(self, parts: DispatcherParts) -> None:
-        """Reconfigure these parts."""
+        """Create a reloader; parts: what a reload reconfigures."""
         self.parts = parts
         self.requested = asyncio.Event()
         self.saved_config = StateFile(parts.config.name, ".config")
@@ -28,7 +28,7 @@
         self.saved_config.write(self.parts.config.document)
 
     async def run(self) -> None:
-        """Reload after each request, in every phase from the start to the end of a drain."""
+        """Reload when requested, in every phase from the start to the end of a drain."""
         lifecycle = self.parts.lifecycle
         while True:
             await self.requested.wait()
@@ -39,7 +39,7 @@
             lifecycle.enter(previous_phase)
 
     def _reload(self) -> None:
-        """Apply the file's configuration; one with an error changes nothing."""
+        """Apply the file's configuration; if it is invalid, nothing changes."""
         try:
             config, restart_keys = reload(os.environ, self.parts.config)
         except ConfigError as error:
