--- a/weldquay/net/counter_names.py
+++ b/weldquay/net/counter_names.py
@@ -1,6 +1,6 @@
-"""The names of the counters that exist for each outcome, list update or end of a reservation.
+"""The counter names for each outcome, endpoint list update, discovery failure and reservation end reason.
 
-Operators' dashboards use these names, so they do not follow the names of classes or enum members.
+Operators' dashboards use these names, so they are independent of the names of classes and enum members.
 """
 
 from __future__ import annotations
--- a/weldquay/net/counters.py
+++ b/weldquay/net/counters.py
@@ -1,4 +1,4 @@
-"""The metrics of one process, for its log: counters and peaks."""
+"""The metrics of one process, which it logs: counters and peak values."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class Counters:
-    """Counts by name, and the largest value of each measured quantity."""
+    """Counters by name, and the peak value of each measured quantity."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.peaks: dict[str, float] = {}
 
     def add(self, name: str) -> None:
-        """Increment a count."""
+        """Increment a counter."""
         self.counts[name] += 1
 
     def peak(self, name: str, value: float) -> None:
-        """Record a value of a quantity; only the largest one is kept."""
+        """Record a value of a quantity; only the largest is kept."""
         if value > self.peaks.get(name, 0.0):
             self.peaks[name] = value
 
     def line(self) -> str:
-        """All counts and peaks as one line of JSON, sorted by name; peaks have three decimals."""
+        """Return all counters and peaks as one line of JSON, sorted by name; peaks have 3 decimals."""
         peaks = {name: round(value, 3) for name, value in self.peaks.items()}
         return ujson.dumps(dict(sorted({**self.counts, **peaks}.items())))
--- a/weldquay/net/dispatcher_parts.py
+++ b/weldquay/net/dispatcher_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one dispatcher process, which its lifecycle modules act on together."""
+"""The components of one dispatcher process, shared by the modules that control its lifecycle."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class DispatcherParts:
-    """The configuration, the phase, the coordinator and the network sides of one process."""
+    """The configuration, lifecycle, coordinator, servers and clients of one process."""
 
     def __init__(self, config: Config) -> None:
-        """Create the parts, in a running event loop; nothing is opened or sent."""
+        """Create the components in a running event loop; no socket is opened and nothing is sent."""
         self.config = config
         self.lifecycle = Lifecycle(config.name)
         self.counters = Counters()
@@ -29,7 +29,7 @@
         self.server = ClientServer(config, self.counters, self.coordinator, self.readiness.is_serving)
 
     def reconfigure(self, config: Config) -> None:
-        """Use another configuration in all parts."""
+        """Use a new configuration in all components."""
         self.config = config
         self.discovery.reconfigure(config)
         self.coordinator.reconfigure(config)
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -1,4 +1,4 @@
-"""One dispatcher process: its start, its signals and its graceful shutdown."""
+"""One dispatcher process: start, signal handling and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 
 log = logging.getLogger(__name__)
 
-# After SIGTERM clients keep their connections for a while.  Dispatchers that restart one after another are
-# away together for a moment, so clients whose connections close at once may find no dispatcher.  Connections
-# that are kept longer bring requests that cannot end here.
+# Client connections stay open for this long after SIGTERM.  During a rolling restart several dispatchers
+# may be unavailable at the same moment, so clients whose connections close at once may find no dispatcher.
+# Connections that stay open longer deliver requests that this process cannot complete.
 DRAIN_KEEP_CONNECTIONS_S = 2.0
-DRAIN_KEEP_CONNECTIONS_FRACTION = 0.58  # at most, of the time until all is answered
+DRAIN_KEEP_CONNECTIONS_FRACTION = 0.58  # upper bound, as a fraction of the time until the final answers
 # SIGKILL follows SIGTERM after the longest client timeout (at most MAX_CLIENT_TIMEOUT_S) and KILL_DELAY_S.
 MAX_CLIENT_TIMEOUT_S = 3.0
 KILL_DELAY_S = 0.7
-FINAL_ANSWERS_S = 0.35  # before SIGKILL: for the last answers, the cancellation of attempts, and the exit
-CANCELLATION_S = 0.12  # of it: for the cancellation of attempts
-EXIT_S = 0.15  # of it: from the close of all connections to the end of the process
+FINAL_ANSWERS_S = 0.35  # reserved before SIGKILL for the last answers, cancellation of attempts, and exit
+CANCELLATION_S = 0.12  # part of FINAL_ANSWERS_S: for the cancellation of attempts
+EXIT_S = 0.15  # part of FINAL_ANSWERS_S: from the close of all connections to the process exit
 POLL_INTERVAL_S = 0.05
 
 
 class CannotListen(OperatorError):
-    """The address is in use, or is not one of this machine."""
+    """The address is in use, or does not belong to this machine."""
 
     error_code = "cannot-listen"
-    remedy = "end the other program at that address, or change GW_LISTEN or GW_MGMT to one of this machine's"
+    remedy = "stop the program at that address, or set GW_LISTEN or GW_MGMT to an address of this machine"
 
 
 class DispatcherProcess:
-    """One dispatcher process, from its start to its exit."""
+    """One dispatcher process, from start to exit."""
 
     def __init__(self, config: Config) -> None:
-        """Create the parts, in a running event loop."""
+        """Create the components in a running event loop."""
         self.parts = DispatcherParts(config)
         self.lifecycle = self.parts.lifecycle
         self.counters = self.parts.counters
@@ -65,19 +65,19 @@
 
     @property
     def config(self) -> Config:
-        """The running configuration."""
+        """The current configuration."""
         return self.parts.config
 
     @property
     def phase(self) -> Phase:
-        """The present phase."""
+        """The current phase."""
         return self.lifecycle.phase
 
     def _send_to_peer(self, message: HotRestartMessage) -> None:
         self.hot_restart.send(message)
 
     async def run(self) -> int:
-        """Serve until SIGTERM or SIGINT; the exit status."""
+        """Serve until SIGTERM or SIGINT, and return the exit status."""
         self._handle_signals()
         try:
             await self.start()
@@ -85,12 +85,12 @@
             reason = error if isinstance(error, AddressConflict) else CannotListen(str(error))
             print(f"weldquay: {reason.advice()}", file=sys.stderr)
             return 1
-        gc.freeze()  # the collector need not examine what the start created
+        gc.freeze()  # excludes the objects created so far from garbage collection
         LoopMonitor(self.counters).start(self.tasks)
         await self.lifecycle.shutdown_requested.wait()
         await self.shut_down()
         self.print_counters()
-        # The handler of SIGHUP ends with the loop, and the default action would end the process.
+        # The SIGHUP handler is removed with the loop; the default action would kill the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         return 0
 
@@ -103,7 +103,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def request_shutdown(self) -> None:
-        """Have `run` shut down."""
+        """Make `run` start the graceful shutdown."""
         self.lifecycle.request_shutdown()
 
     def print_counters(self) -> None:
@@ -111,11 +111,11 @@
         log.info("counters %s", self.counters.line())
 
     async def start(self) -> None:
-        """Open the listeners, take over from an older process if there is one, and serve.
+        """Open the listeners, take over from an older process if there is one, and start serving.
 
         Raises:
             OSError: an address is not available.
-            AddressConflict: a process of the same name has another address.
+            AddressConflict: a process of the same name listens on another address.
         """
         await self.operators.listen()
         offer = await self.migration.request_listener()
@@ -138,9 +138,9 @@
         self.reloader.save()
 
     async def shut_down(self) -> None:
-        """Serve the clients that keep their connections for a while, answer all requests, then stop.
+        """Serve connected clients for a while, answer all open requests, then stop.
 
-        After a hot restart the connections migrate to the newer process instead of being closed.
+        During a hot restart, connections migrate to the newer process instead of being closed.
         """
         loop = asyncio.get_running_loop()
         requested_at = self.lifecycle.shutdown_requested_at or loop.time()
@@ -159,26 +159,26 @@
                 await self._wait_for_pending_work()
                 if is_migrating:
                     await self._wait_for_migration()
-        # In the turn of the loop in which nothing is pending: a request that came later would be lost.
+        # In the same iteration of the loop in which nothing is pending: a later request would be lost.
         self.server.reject_requests()
         self.lifecycle.enter(Phase.STOPPING)
         await self._stop_parts(final_answers_at + FINAL_ANSWERS_S - EXIT_S)
         self.lifecycle.enter(Phase.STOPPED)
 
     def _time_until_final_answers_s(self) -> float:
-        """The time (s) from SIGTERM until open requests have to be answered, since SIGKILL follows."""
+        """Return the time (s) from SIGTERM until open requests must be answered, before SIGKILL follows."""
         longest_ns = max(job_class.client_timeout_ns for job_class in self.config.settings.classes)
         return min(longest_ns / 1e9, MAX_CLIENT_TIMEOUT_S) + KILL_DELAY_S - FINAL_ANSWERS_S
 
     async def _wait_for_pending_work(self) -> None:
-        """Wait until no request is open and no attempt or cancellation is under way."""
+        """Wait until no request is open and no attempt or cancellation is pending."""
         while True:
             if not self.coordinator.has_pending_work and not self.workers.busy:
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _wait_for_migration(self) -> None:
-        """Wait until the newer process has all connections, and has handled all messages."""
+        """Wait until the newer process has all connections and has handled all messages."""
         while True:
             if not self.server.connections:
                 break
@@ -186,7 +186,7 @@
         await self.hot_restart.end_migration()
 
     async def _stop_parts(self, deadline: float) -> None:
-        """Stop all parts; deadline: for clients that read slowly, on the loop's clock (s)."""
+        """Stop all components; deadline: for clients that read slowly, on the loop's clock (s)."""
         await self.tasks.stop()
         await self.discovery.stop()
         await self.operators.stop()
