--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -1,4 +1,4 @@
-"""What clients send, on real sockets: malformed input, slow requests, many connections."""
+"""Client input on real sockets: malformed data, slow requests and many connections."""
 
 from __future__ import annotations
 
@@ -10,13 +10,12 @@
 
 from example.toy import read_message, request, write_message
 from tests.site import job, play, site, until
-from weldquay.net import client_server, connection_table, http_channel
-from weldquay.net import dispatcher_process as program
+from weldquay.net import client_server, connection_table, dispatcher_process, http_channel
 from weldquay.net.connection_state import ConnectionState
 
 
 def test_a_client_that_does_not_read_uses_little_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its next requests wait until it has read, and the shutdown does not wait for it."""
+    """Its later requests are not handled until it reads its answers; a shutdown does not wait for it."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -26,14 +25,14 @@
             client.connect(("127.0.0.1", here.program.server.port))
             client.sendall(b"".join(job(f"c{number}") for number in range(300)))
             connection, *_ = await until(lambda: list(here.program.server.connections))
-            size = connection.writer.transport.get_write_buffer_size
-            await until(lambda: size() > 60_000)
+            buffer_size = connection.writer.transport.get_write_buffer_size
+            await until(lambda: buffer_size() > 60_000)
             await asyncio.sleep(0.1)
-            assert size() < 200_000 and len(here.program.coordinator.requests) <= 1
+            assert buffer_size() < 200_000 and len(here.program.coordinator.requests) <= 1
             await here.program.shut_down()
             client.close()
 
-    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
+    monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.1)
     play(scenario())
 
@@ -78,10 +77,12 @@
     ],
     ids=["after a request", "two lengths", "an encoding in HTTP/1.0"],
 )
-def test_malformed_input_is_answered_and_its_rest_is_not_forwarded(data: bytes, statuses: list[str]) -> None:
-    """The connection closes after the answer, also behind a complete request.
+def test_malformed_input_is_answered_and_nothing_after_it_is_forwarded(
+    data: bytes, statuses: list[str]
+) -> None:
+    """The connection closes after the error response, also if a complete request came first.
 
-    A request that is hidden in a body of ambiguous length is not forwarded.
+    A request hidden in a body of ambiguous length (request smuggling) is not forwarded.
     """
 
     async def scenario() -> None:
@@ -101,11 +102,11 @@
 
 
 @pytest.mark.parametrize("is_reused", [False, True])
-@pytest.mark.parametrize("part", PARTIAL_REQUESTS)
+@pytest.mark.parametrize("partial_request", PARTIAL_REQUESTS)
 def test_a_request_that_is_too_slow_is_rejected(
-    part: bytes, is_reused: bool, monkeypatch: pytest.MonkeyPatch
+    partial_request: bytes, is_reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The time counts from the connection's start, or the first byte of a later request."""
+    """The timeout starts with the connection, or with the first byte of a later request."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -114,20 +115,20 @@
                 writer.write(job())
                 assert (await read_message(reader)).body == b"TEXT"
                 await asyncio.sleep(3 * connection_table.REQUEST_TIMEOUT_S)
-            writer.write(part)
-            if is_reused and not part:
+            writer.write(partial_request)
+            if is_reused and not partial_request:
                 writer.write(job("c2"))
                 assert (await read_message(reader)).body == b"TEXT"
             else:
-                assert (await reader.read()).startswith(b"HTTP/1.1 408 " if part else b"")
+                assert (await reader.read()).startswith(b"HTTP/1.1 408 " if partial_request else b"")
             writer.close()
 
     monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.2)
     play(scenario())
 
 
-def test_a_request_that_arrived_while_the_process_stood_still_is_answered() -> None:
-    """Its timeout is handled before its last bytes are read: it was answered with 408."""
+def test_a_request_that_arrived_during_a_stall_is_answered() -> None:
+    """After a stall the timeout is checked before the last bytes are read; this used to cause a 408."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -137,8 +138,8 @@
             connection, *_ = await until(lambda: list(here.program.server.connections))
             await until(lambda: connection.has_received_data)
             client.sendall(data[-1:])
-            late = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
-            here.program.server.table.enforce_timeouts(late)
+            after_timeout = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
+            here.program.server.table.enforce_timeouts(after_timeout)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
             writer.close()
@@ -146,8 +147,8 @@
     play(scenario())
 
 
-def test_a_client_that_sends_without_end_is_rejected_all_the_same() -> None:
-    """Unread bytes at each check of the timeouts postpone the end a few times only."""
+def test_a_client_that_keeps_sending_parts_of_a_request_is_rejected() -> None:
+    """Unread bytes at a check of the timeouts postpone the timeout a limited number of times."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -156,10 +157,10 @@
             client.sendall(data[:20])
             connection, *_ = await until(lambda: list(here.program.server.connections))
             await until(lambda: connection.has_received_data)
-            late = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
+            after_timeout = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
             for position in range(20, 30):
                 client.sendall(data[position : position + 1])
-                here.program.server.table.enforce_timeouts(late)
+                here.program.server.table.enforce_timeouts(after_timeout)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 408
             writer.close()
@@ -168,14 +169,14 @@
 
 
 async def send_megabytes(writer: asyncio.StreamWriter, count: int) -> None:
-    """Send as many megabytes, one after another."""
+    """Send a number of megabytes, waiting for the send buffer after each."""
     for _ in range(count):
         writer.write(bytes(1_000_000))
         await writer.drain()
 
 
 def test_a_large_body_is_rejected_and_not_buffered() -> None:
-    """The client reads the answer and continues to send, until the connection is closed."""
+    """The client reads the answer and keeps sending until the connection is closed."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -190,52 +191,52 @@
 
 
 def test_many_idle_connections_block_neither_requests_nor_callbacks() -> None:
-    """Connections without a complete request are evicted; the one with requests is not."""
+    """Connections without a complete request are evicted; the one that sends requests is not."""
 
     async def scenario() -> None:
         async with site() as here:
             here.program.server.table.max_connections = 10
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            others = []
+            incomplete = []
             for number in range(5):
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
                 for _ in range(20):
-                    others.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
-                    others[-1][1].write(b"GET /_he")
+                    incomplete.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
+                    incomplete[-1][1].write(b"GET /_he")
                 assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
                 assert len(here.program.server.connections) <= 10
             assert here.program.counters.counts["client_connections_evicted_reading"] >= 80
-            for _, other_writer in [*others, (reader, writer)]:
+            for _, other_writer in [*incomplete, (reader, writer)]:
                 other_writer.close()
 
     play(scenario())
 
 
-def test_a_request_that_arrives_in_pieces_is_evicted_after_silent_ones() -> None:
-    """It is the oldest connection, but the others have received nothing for longer."""
+def test_silent_connections_are_evicted_before_one_that_receives_a_request_in_pieces() -> None:
+    """The latter is the oldest, but eviction goes by the last received bytes."""
 
     async def scenario() -> None:
         async with site() as here:
             here.program.server.table.max_connections = 10
             address = ("127.0.0.1", here.program.server.port)
             reader, writer = await asyncio.open_connection(*address)
-            others: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+            silent: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
             counts = here.program.counters.counts
             for piece in (job()[start : start + 20] for start in range(0, len(job()), 20)):
                 writer.write(piece)
-                others.extend([await asyncio.open_connection(*address) for _ in range(5)])
-                await until(lambda: counts["client_connections"] > len(others))
+                silent.extend([await asyncio.open_connection(*address) for _ in range(5)])
+                await until(lambda: counts["client_connections"] > len(silent))
             assert (await read_message(reader)).body == b"TEXT"
             assert counts["client_connections_evicted_reading"] > 10
-            for _, other_writer in [*others, (reader, writer)]:
+            for _, other_writer in [*silent, (reader, writer)]:
                 other_writer.close()
 
     play(scenario())
 
 
 def test_an_idle_connection_with_an_unread_request_is_not_evicted() -> None:
-    """One that has just been aborted has no unread request, and is evicted."""
+    """A connection that has just been aborted counts as having no unread request, and is evicted."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -250,33 +251,33 @@
             assert idle.has_unread_data() and not server.table.evict_one()
             assert (await read_message(reader)).body == b"TEXT"
             idle.abort()
-            await asyncio.sleep(0)  # its socket is closed, its end not yet taken in
+            await asyncio.sleep(0)  # its socket is closed, but connection_lost has not run yet
             assert not idle.has_unread_data() and server.table.evict_one()
             writer.close()
 
     play(scenario())
 
 
-def test_few_connections_are_accepted_in_one_turn_of_the_loop() -> None:
-    """So the limit of connections is enforced before all descriptors are used."""
+def test_few_connections_are_accepted_per_loop_iteration() -> None:
+    """Otherwise descriptors could run out before the connection limit is enforced."""
 
     async def scenario() -> None:
         async with site() as here:
             address = ("127.0.0.1", here.program.server.port)
-            others = [socket.create_connection(address) for _ in range(100)]  # the loop does not run
-            descriptors = len(os.listdir("/proc/self/fd"))
+            socks = [socket.create_connection(address) for _ in range(100)]  # the loop does not run meanwhile
+            descriptors_before = len(os.listdir("/proc/self/fd"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert len(os.listdir("/proc/self/fd")) - descriptors <= 2 * client_server.MAX_ACCEPTS
+            assert len(os.listdir("/proc/self/fd")) - descriptors_before <= 2 * client_server.MAX_ACCEPTS
             await until(lambda: here.program.counters.counts["client_connections"] >= 100)
-            for sock in others:
+            for sock in socks:
                 sock.close()
 
     play(scenario())
 
 
 def test_malformed_input_does_not_affect_another_connection() -> None:
-    """Each input has its status, while another connection is in use."""
+    """Each bad request gets its status while a valid connection continues to work."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -296,7 +297,7 @@
 
 
 def test_requests_above_the_limit_are_rejected_at_once() -> None:
-    """The answer has Retry-After; the open request is not affected."""
+    """The rejection has a Retry-After header; the open request is not affected."""
 
     async def scenario() -> None:
         async with site(caps={"max_open": 1}) as here:
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: no attempt of their request starts afterwards."""
+"""Disconnecting clients: no attempt of their requests starts afterwards."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-AHEAD = [0, 3_000, 20_000, 100_000, 400_000]  # bytes sent behind the call: within and over each bound
+EXTRA_BYTES = [0, 3_000, 20_000, 100_000, 400_000]  # sent after the request; within and above each limit
 
 
-def client(here: Site, call: str, ahead: int = 0) -> socket.socket:
-    """A client with one request, and `ahead` bytes after it."""
+def client(here: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
+    """Connect, send one request followed by extra bytes, and return the client's socket."""
     sock = socket.create_connection(("127.0.0.1", here.program.server.port))
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1024 * 1024)
-    assert sock.send(job(call) + b"x" * ahead) > ahead / 2
+    assert sock.send(job(request_id) + b"x" * extra_bytes) > extra_bytes / 2
     return sock
 
 
-def leave(sock: socket.socket, how: str) -> None:
-    """End a client's connection."""
+def disconnect(sock: socket.socket, how: str) -> None:
+    """Close, reset or half-close a client's connection."""
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     if how == "half":
@@ -37,43 +37,43 @@
         sock.close()
 
 
-async def requests_open(here: Site, count: int) -> None:
-    """Wait until so many requests are open."""
+async def wait_for_open_requests(here: Site, count: int) -> None:
+    """Wait until this number of requests is open."""
     await until(lambda: len(here.program.coordinator.requests) == count)
 
 
-async def clients_disconnected(here: Site, count: int = 1) -> float:
-    """Wait until so many clients are counted as disconnected; return the time that took (s)."""
-    begun = time.monotonic()
+async def wait_for_disconnections(here: Site, count: int = 1) -> float:
+    """Wait until this number of clients is counted as disconnected, and return the elapsed time (s)."""
+    started_at = time.monotonic()
     await until(lambda: here.program.counters.counts["clients_disconnected"] == count)
-    return time.monotonic() - begun
+    return time.monotonic() - started_at
 
 
 async def return_worker_to_service(here: Site) -> None:
-    """Return the worker to service, and serve one request."""
+    """Set the worker to SERVING, and complete one request."""
     await here.discovery.change(here.workers[0], "SERVING")
     assert (await here.post("last")).body == b"TEXT"
 
 
 async def drain_worker(here: Site) -> None:
-    """Drain the only worker, so that requests wait."""
+    """Drain the only worker, so that requests have to wait."""
     await here.discovery.change(here.workers[0], "DRAINING")
     await until(lambda: here.program.discovery.revision == here.discovery.revision)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-@pytest.mark.parametrize("ahead", AHEAD)
-def test_disconnection_while_waiting_for_first_attempt(how: str, ahead: int) -> None:
-    """The disconnection is noticed however much the client has sent after its request."""
+@pytest.mark.parametrize("extra_bytes", EXTRA_BYTES)
+def test_disconnection_while_waiting_for_first_attempt(how: str, extra_bytes: int) -> None:
+    """The disconnection is detected however much data the client has sent after its request."""
 
     async def scenario() -> None:
         async with site() as here:
             await drain_worker(here)
-            sock = client(here, "c1", ahead)
-            await requests_open(here, 1)
-            await asyncio.sleep(0.05)  # what lies ahead is read, as far as it is
-            leave(sock, how)
-            assert await clients_disconnected(here) < 1  # in 0.1 s, unless this machine stalls
+            sock = client(here, "c1", extra_bytes)
+            await wait_for_open_requests(here, 1)
+            await asyncio.sleep(0.05)  # the extra bytes are read, up to the limit
+            disconnect(sock, how)
+            assert await wait_for_disconnections(here) < 1  # takes 0.1 s unless this machine stalls
             assert here.program.server.context.read_ahead_budget.used_bytes == 0
             await return_worker_to_service(here)
             assert here.workers[0].methods() == ["POST"]
@@ -83,17 +83,17 @@
 
 
 def test_burst_of_disconnections() -> None:
-    """All disconnect at one moment, when capacity becomes available."""
+    """All clients disconnect at the moment when capacity becomes available."""
 
     async def scenario() -> None:
         async with site() as here:
             await drain_worker(here)
             socks = [client(here, f"c{number}", 100) for number in range(120)]
-            await requests_open(here, 120)
+            await wait_for_open_requests(here, 120)
             for number, sock in enumerate(socks):
-                leave(sock, "reset" if number % 2 else "close")
+                disconnect(sock, "reset" if number % 2 else "close")
             await here.discovery.change(here.workers[0], "SERVING")
-            await clients_disconnected(here, 120)
+            await wait_for_disconnections(here, 120)
             assert (await here.post("last")).body == b"TEXT"
             assert here.workers[0].methods().count("POST") == 1
 
@@ -110,20 +110,20 @@
             workers, gate = here.program.workers, asyncio.Event()
             connect = workers.connections.connect
 
-            async def slow(worker: WorkerEndpoint) -> WorkerConnection:
+            async def delayed_connect(worker: WorkerEndpoint) -> WorkerConnection:
                 await gate.wait()
                 return await connect(worker)
 
-            workers.connections.connect = slow  # type: ignore[method-assign]
+            workers.connections.connect = delayed_connect  # type: ignore[method-assign]
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job(path=path))
             await until(lambda: here.program.coordinator.attempts)
             sock.close()
-            await clients_disconnected(here)
+            await wait_for_disconnections(here)
             gate.set()
             await until(lambda: not here.program.coordinator.attempts and not workers.attempts.sending)
             assert (await here.post("last")).body == b"TEXT"
-            assert here.workers[0].methods() == ["POST"]  # and no DELETE: nothing was there to give up
+            assert here.workers[0].methods() == ["POST"]  # no DELETE, since no job had been sent
 
     asyncio.run(scenario())
 
@@ -135,18 +135,18 @@
         async with site(caps={"probes": False}) as here:
             worker, gate, posts = here.workers[0], asyncio.Event(), list[Message]()
 
-            async def cut(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def abort(message: Message, writer: asyncio.StreamWriter) -> None:
                 posts.append(message)
                 writer.transport.abort()
 
             answer = worker.answer
 
-            async def delayed(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def delay_delete(message: Message, writer: asyncio.StreamWriter) -> None:
                 if message.method == "DELETE":
                     await gate.wait()
                 await answer(message, writer)
 
-            worker.script, worker.answer = cut, delayed  # type: ignore[method-assign]
+            worker.script, worker.answer = abort, delay_delete  # type: ignore[method-assign]
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job())
             await until(
@@ -156,7 +156,7 @@
                 )
             )
             sock.close()
-            await clients_disconnected(here)
+            await wait_for_disconnections(here)
             gate.set()
             await until(lambda: not here.program.workers.busy and not here.program.workers.attempts.sending)
             assert len(posts) == 1
@@ -165,24 +165,24 @@
 
 
 def test_disconnection_while_connection_migrates() -> None:
-    """The disconnection is noticed although the connection is not read and cannot migrate yet."""
+    """The disconnection is detected although reading is paused and the connection cannot migrate yet."""
 
     async def scenario() -> None:
         async with site() as here:
-            worker, passed = here.workers[0], list[MigratedConnection]()
+            worker, migrated = here.workers[0], list[MigratedConnection]()
 
-            async def silent(_message: Message, _writer: asyncio.StreamWriter) -> None:
+            async def hang(_message: Message, _writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
 
-            worker.script = silent
+            worker.script = hang
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.sendall(job(path="/import"))
             await worker.until("POST")
-            here.program.server.start_migration(passed.append)
+            here.program.server.start_migration(migrated.append)
             await asyncio.sleep(0.05)
             sock.close()
-            await clients_disconnected(here)
-            assert not passed
+            await wait_for_disconnections(here)
+            assert not migrated
 
     asyncio.run(scenario())
 
@@ -193,11 +193,11 @@
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            big = b"y" * 30_000
+            body = b"y" * 30_000
             for number in range(4):
                 writer.write(
                     write_message(
-                        "POST /lookup HTTP/1.1", big, f"X-Correlation-Id: c{number}", "X-Time-Left-Ms: 5000"
+                        "POST /lookup HTTP/1.1", body, f"X-Correlation-Id: c{number}", "X-Time-Left-Ms: 5000"
                     )
                 )
             received = b""
@@ -210,18 +210,18 @@
 
 
 def test_flood_after_request_is_limited_and_request_is_answered() -> None:
-    """All of it is read, none is buffered past the limit, and the connection closes after the response."""
+    """All bytes are read, those beyond the limit are dropped, and the connection closes after the answer."""
 
     async def scenario() -> None:
         async with site() as here:
             worker, may_finish = here.workers[0], asyncio.Event()
 
-            async def later(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def complete_later(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(ACCEPTED)
                 await may_finish.wait()
                 await worker.tell(message.headers["x-correlation-id"], state="done", result="late")
 
-            worker.script = later
+            worker.script = complete_later
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(job())
             await worker.until("POST")
--- a/tests/test_connection_table.py
+++ b/tests/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The table of client connections, without sockets: limits, eviction and timeouts."""
+"""The table of client connections without sockets: limit, eviction and timeouts."""
 
 from __future__ import annotations
 
@@ -31,24 +31,24 @@
         self.timed_out_at: float | None = None
 
     def has_unread_data(self) -> bool:
-        """As the test has set it."""
+        """Return the value set by the test."""
         return self.is_unread
 
     def has_unsent_data(self) -> bool:
-        """As the test has set it."""
+        """Return the value set by the test."""
         return self.is_unsent
 
     def abort(self) -> None:
-        """Record it."""
+        """Record the call."""
         self.is_aborted = True
 
     def on_timeout(self, now: float) -> None:
-        """Record it."""
+        """Record the time of the call."""
         self.timed_out_at = now
 
 
-def table_of(*states: ConnectionState) -> tuple[ConnectionTable[FakeConnection], list[FakeConnection]]:
-    """A table that is full with a connection in each of these states."""
+def full_table(*states: ConnectionState) -> tuple[ConnectionTable[FakeConnection], list[FakeConnection]]:
+    """Return a table at its limit and its connections, one in each of the given states."""
     table: ConnectionTable[FakeConnection] = ConnectionTable(Counters(), len(states))
     connections = [FakeConnection(state) for state in states]
     for connection in connections:
@@ -56,8 +56,8 @@
     return table, connections
 
 
-def test_only_a_lingering_connection_never_changes_its_state() -> None:
-    """Each state can lead to a lingering close, and each but READING, the first, follows from another."""
+def test_lingering_is_the_only_final_state() -> None:
+    """Every other state can change to LINGERING, and every state can be reached from another one."""
     assert set(TRANSITIONS) == set(ConnectionState)
     assert [state for state in ConnectionState if not TRANSITIONS[state]] == [LINGERING]
     assert all(LINGERING in following for state, following in TRANSITIONS.items() if state is not LINGERING)
@@ -65,8 +65,8 @@
 
 
 def test_eviction_follows_its_order_and_counts_each_state() -> None:
-    """LINGERING before READING before IDLE, the oldest first; never one with an open request."""
-    table, (waiting, idle, reading, later, lingering) = table_of(WAITING, IDLE, READING, READING, LINGERING)
+    """LINGERING before READING before IDLE, oldest first; never a connection with an open request."""
+    table, (waiting, idle, reading, later, lingering) = full_table(WAITING, IDLE, READING, READING, LINGERING)
     for expected in (lingering, reading, later, idle):
         assert table.evict_one() and expected.is_aborted and expected not in table.connections
     assert not table.evict_one() and not waiting.is_aborted and list(table.connections) == [waiting]
@@ -78,16 +78,16 @@
 
 
 def test_an_active_connection_is_evicted_after_a_silent_one() -> None:
-    """The order of READING is that of the last received bytes."""
-    table, (first, second) = table_of(READING, READING)
+    """READING connections are evicted by the time of their last received bytes."""
+    table, (first, second) = full_table(READING, READING)
     table.mark_active(first)
     assert table.evict_one() and second.is_aborted and not first.is_aborted
 
 
 @pytest.mark.parametrize("state", [READING, IDLE, LINGERING])
 def test_a_connection_with_unsent_data_is_not_evicted(state: ConnectionState) -> None:
-    """Its answer would be lost."""
-    table, (connection,) = table_of(state)
+    """An eviction would lose its answer."""
+    table, (connection,) = full_table(state)
     connection.is_unsent = True
     assert not table.evict_one() and not connection.is_aborted
 
@@ -96,15 +96,15 @@
 def test_unread_data_prevents_an_eviction_unless_it_is_dropped(
     state: ConnectionState, is_evicted: bool
 ) -> None:
-    """A lingering close drops what arrives."""
-    table, (connection,) = table_of(state)
+    """A LINGERING connection drops the data that it reads."""
+    table, (connection,) = full_table(state)
     connection.is_unread = True
     assert table.evict_one() is connection.is_aborted is is_evicted
 
 
-def test_room_is_made_only_at_the_limit() -> None:
-    """Below it nothing is evicted; a reservation lowers it, to no less than MIN_CONNECTIONS."""
-    table, (connection,) = table_of(IDLE)
+def test_connections_are_evicted_only_at_the_limit() -> None:
+    """Below the limit none is evicted; a reservation lowers the limit, but not below MIN_CONNECTIONS."""
+    table, (connection,) = full_table(IDLE)
     table.max_connections = 2
     assert table.ensure_capacity() and not connection.is_aborted
     table.max_connections = 1
@@ -120,8 +120,8 @@
     ("state", "timeout_s"), [(READING, REQUEST_TIMEOUT_S), (LINGERING, LINGER_TIMEOUT_S)]
 )
 def test_timeouts_apply_while_reading_and_lingering(state: ConnectionState, timeout_s: float) -> None:
-    """Not before the time is over, and never while waiting or idle."""
-    table, (connection, waiting, idle) = table_of(state, WAITING, IDLE)
+    """They do not apply early, and never to WAITING or IDLE connections."""
+    table, (connection, waiting, idle) = full_table(state, WAITING, IDLE)
     table.enforce_timeouts(timeout_s - 0.01)
     assert connection.timed_out_at is None
     table.enforce_timeouts(timeout_s)
