--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients use all descriptors that they may have, while discovery is down; all else still works."""
+"""Idle clients at the connection limit during a discovery outage: everything else still works."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from weldquay.lab.site import reserve
 from weldquay.limits import MIN_SOCKETS
 
-IDLE_CLIENTS = MIN_SOCKETS + 60  # more than there are descriptors
+IDLE_CLIENTS = MIN_SOCKETS + 60  # more than the descriptor limit
 
 
 def limit_descriptors() -> None:
-    """Set the deployment's limit, in the child process."""
+    """Set the descriptor limit of the deployment, in the child process."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (MIN_SOCKETS, MIN_SOCKETS))
 
 
-def test_idle_clients_leave_descriptors_for_all_else(tmp_path: Any) -> None:
-    """For jobs, callbacks, operators' requests and the endpoint list once discovery is back."""
+def test_idle_clients_leave_descriptors_for_other_connections(tmp_path: Any) -> None:
+    """For jobs, callbacks, operators' requests, and the endpoint list once discovery is back."""
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
@@ -63,22 +63,22 @@
         try:
             async with asyncio.timeout(30):
                 await wait_until_serving(process)
-                assert (await request(listen, job("c0"))).body == b"TEXT"  # with the configuration's list
+                assert (await request(listen, job("c0"))).body == b"TEXT"  # by the configuration's list
                 failing.stop()
-                down, _ = reserve(address)
-                host, number = listen.split(":")
+                reserved_socket, _ = reserve(address)
+                host, port = listen.split(":")
                 for _ in range(IDLE_CLIENTS):
-                    idle_clients.append(socket.create_connection((host, int(number))))
+                    idle_clients.append(socket.create_connection((host, int(port))))
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert open_descriptors <= MIN_SOCKETS - 20  # the reserve is free
+                assert open_descriptors <= MIN_SOCKETS - 20  # the reserved descriptors are free
                 assert (await request(listen, job("c1"))).body == b"TEXT"
                 assert (await request(listen, write_message("GET /_health HTTP/1.1"))).status == 200
                 ready = await request(mgmt, write_message("GET /control/ready HTTP/1.1"))
                 assert ready.status in (200, 503)
-                await failing.start_on(down)
-                # Until the endpoint list has the worker as draining.
+                await failing.start_on(reserved_socket)
+                # Repeat until the new endpoint list reports the worker as draining.
                 while (await request(listen, job("late", left_ms=500))).status != 503:
-                    idle_clients.append(socket.create_connection((host, int(number))))
+                    idle_clients.append(socket.create_connection((host, int(port))))
                 assert len(os.listdir(f"/proc/{process.pid}/fd")) <= MIN_SOCKETS - 20
                 process.terminate()
                 assert await process.wait() == 0
