--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -1,4 +1,4 @@
-"""The time of a graceful shutdown: all requests are answered, and the process ends, before SIGKILL."""
+"""The duration of a graceful shutdown: all requests are answered and the process exits before SIGKILL."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from example.toy import Message, read_message
 from tests.site import SilentDiscovery, job, site, until
-from weldquay.net import dispatcher_process as program
+from weldquay.net import dispatcher_process
 from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.lifecycle import Phase
 
@@ -19,14 +19,14 @@
     {"name": name, "aim_ns": 300_000_000, "give_up_ns": 600_000_000, "effect": effect}
     for name, effect in (("lookup", "retryable"), ("import", "fragile"))
 ]
-SIGKILL_AFTER_S = 0.6 + program.KILL_DELAY_S  # after SIGTERM, with these client timeouts
-FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time until all is answered
+SIGKILL_AFTER_S = 0.6 + dispatcher_process.KILL_DELAY_S  # after SIGTERM, with these client timeouts
+FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time from SIGTERM until the final answers
 
 
 @pytest.mark.parametrize("worker_hangs", [False, True])
 @pytest.mark.parametrize("fraction", FRACTIONS)
 def test_a_request_at_any_time_after_sigterm_is_answered(fraction: float, worker_hangs: bool) -> None:
-    """On an existing or a new connection: an answer, or the end of the stream before it was read."""
+    """On an existing or new connection: it is answered, or the stream ends before the request was read."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as here:
@@ -39,13 +39,13 @@
             port = here.program.server.port
             existing = await asyncio.open_connection("127.0.0.1", port)
             started_at = time.monotonic()
-            ending = asyncio.create_task(here.program.shut_down())
-            remaining_s = 0.6 + program.KILL_DELAY_S - program.FINAL_ANSWERS_S
+            shutdown = asyncio.create_task(here.program.shut_down())
+            remaining_s = 0.6 + dispatcher_process.KILL_DELAY_S - dispatcher_process.FINAL_ANSWERS_S
             await asyncio.sleep(fraction * remaining_s)
             clients = [existing]
             try:
                 clients.append(await asyncio.open_connection("127.0.0.1", port))
-            except ConnectionRefusedError:  # the process has ended
+            except ConnectionRefusedError:  # the process has stopped
                 assert here.program.phase is Phase.STOPPED
             for number, (_, writer) in enumerate(clients):
                 writer.write(job(f"c{number}", "/import", left_ms=600))
@@ -56,10 +56,10 @@
                         (200,) if fraction < 0.5 and not worker_hangs else (200, 502, 503)
                     )
                 except (asyncio.IncompleteReadError, ConnectionResetError):
-                    # Closed before the request was read: the client can retry it, as no worker received it.
-                    seen = [message.headers.get("x-correlation-id") for message in here.workers[0].seen]
-                    assert fraction >= 0.5 and f"c{number}" not in seen
-            await ending
+                    # Closed before the request was read: no worker received it, so the client can retry.
+                    received = [message.headers.get("x-correlation-id") for message in here.workers[0].seen]
+                    assert fraction >= 0.5 and f"c{number}" not in received
+            await shutdown
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
             for _, writer in clients:
                 writer.close()
@@ -68,17 +68,17 @@
 
 
 def test_connections_close_early_where_client_timeouts_are_short() -> None:
-    """DRAIN_KEEP_CONNECTIONS_S is longer than the time until SIGKILL."""
+    """DRAIN_KEEP_CONNECTIONS_S would exceed the time until SIGKILL."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            ending = asyncio.create_task(here.program.shut_down())
+            shutdown = asyncio.create_task(here.program.shut_down())
             started_at = time.monotonic()
             assert await reader.read() == b""
             assert 0.4 < time.monotonic() - started_at < SIGKILL_AFTER_S
             writer.close()
-            await ending
+            await shutdown
 
     asyncio.run(scenario())
 
@@ -86,8 +86,8 @@
 def test_a_client_that_reads_nothing_does_not_delay_the_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connection is still open when all else has stopped."""
-    monkeypatch.setattr(program, "LINGER_TIMEOUT_S", 30.0)
+    """Its connection is still open when everything else has stopped."""
+    monkeypatch.setattr(dispatcher_process, "LINGER_TIMEOUT_S", 30.0)
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as here:
@@ -100,15 +100,15 @@
     asyncio.run(scenario())
 
 
-def test_the_time_of_a_shutdown_counts_from_sigterm_also_during_a_start() -> None:
-    """A start that went on for a second after SIGTERM moved the exit past SIGKILL."""
+def test_the_shutdown_time_counts_from_sigterm_also_during_startup() -> None:
+    """A startup that continued for a second after SIGTERM used to delay the exit until after SIGKILL."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as here:
             existing = socket.create_connection(("127.0.0.1", here.program.server.port))
             started_at = time.monotonic()
             here.program.request_shutdown()
-            await asyncio.sleep(1.0)  # the rest of the start
+            await asyncio.sleep(1.0)  # the rest of the startup
             await here.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
             existing.close()
@@ -116,11 +116,11 @@
     asyncio.run(scenario())
 
 
-def test_a_request_that_comes_while_the_parts_are_stopped_is_answered(
+def test_a_request_that_arrives_while_components_stop_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was sent to a worker, and its connection was closed without an answer a second later."""
-    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
+    """It used to be sent to a worker, and its connection was closed without an answer a second later."""
+    monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
 
     async def scenario() -> None:
         async with site() as here:
@@ -129,14 +129,14 @@
             address = "127.0.0.1", here.program.server.port
             stop_discovery = here.program.discovery.stop
 
-            async def send_and_stop() -> None:
+            async def send_request_and_stop() -> None:
                 monkeypatch.undo()
                 client.connect(address)
                 client.sendall(job())
                 await asyncio.sleep(0.1)
                 await stop_discovery()
 
-            monkeypatch.setattr(here.program.discovery, "stop", send_and_stop)
+            monkeypatch.setattr(here.program.discovery, "stop", send_request_and_stop)
             await here.program.shut_down()
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 4096)
@@ -147,7 +147,7 @@
 
 
 def test_a_request_in_the_listen_queue_is_answered_when_the_listener_closes() -> None:
-    """A connection in the queue would be reset with the listener."""
+    """Closing the listener would reset the connections in its queue."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -163,11 +163,11 @@
 
 
 def test_sigterm_ends_the_wait_for_the_endpoint_list() -> None:
-    """The local discovery agent does not answer at the start."""
+    """The local discovery agent does not respond during startup."""
 
     async def scenario() -> None:
-        async with site(discovery_mode="push", discovery=(muted := SilentDiscovery())) as here:
-            assert not muted.lists
+        async with site(discovery_mode="push", discovery=(discovery := SilentDiscovery())) as here:
+            assert not discovery.lists
             here.program.coordinator.dispatcher.lease.expiry_ns = 0
             waiting = asyncio.create_task(here.program.parts.readiness.wait_for_endpoint_list())
             await asyncio.sleep(0)
@@ -191,12 +191,12 @@
         async with site(services=SHORT_TIMEOUTS) as here:
             open_request = asyncio.create_task(here.post(left_ms=600))
             await here.workers[0].until("POST")
-            ending = asyncio.create_task(here.program.shut_down())
+            shutdown = asyncio.create_task(here.program.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
                 await wait_for_phase(here.program, phase)
                 here.program.request_shutdown()
             assert (await open_request).body == b"TEXT"
-            await ending
+            await shutdown
             assert here.program.phase is Phase.STOPPED
 
     asyncio.run(scenario())
@@ -204,28 +204,28 @@
 
 @pytest.mark.parametrize("pending", ["delete", "none"])
 def test_a_worker_that_does_not_answer_does_not_delay_the_exit(pending: str) -> None:
-    """With a DELETE that it does not answer, and without."""
+    """With a pending DELETE that it does not answer, and without."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS, caps={"probes": False}) as here:
-            worker, gone = here.workers[0], asyncio.Event()
+            worker, delete_received = here.workers[0], asyncio.Event()
             answer = worker.answer
 
-            async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def hang_on_delete(message: Message, writer: asyncio.StreamWriter) -> None:
                 if message.method == "DELETE":
-                    gone.set()
+                    delete_received.set()
                     await asyncio.sleep(3600)
                 await answer(message, writer)
 
-            worker.script, worker.answer = worker.accept, hang  # type: ignore[method-assign]
-            call = asyncio.create_task(here.post(left_ms=200))
+            worker.script, worker.answer = worker.accept, hang_on_delete  # type: ignore[method-assign]
+            open_request = asyncio.create_task(here.post(left_ms=200))
             await worker.until("POST")
             if pending == "delete":
-                assert (await call).status == 503
-                await gone.wait()
+                assert (await open_request).status == 503
+                await delete_received.wait()
             started_at = time.monotonic()
             await here.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5
-            await call
+            await open_request
 
     asyncio.run(scenario())
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -15,11 +15,11 @@
 from weldquay.net.client_connection import ClientConnection
 from weldquay.net.connection_state import ConnectionState
 
-LARGE_RESULT = "r" * 60_000  # more than the small buffers of the system below
+LARGE_RESULT = "r" * 60_000  # exceeds the small system buffers set below
 
 
 def connect_with_small_buffer(here: Site) -> socket.socket:
-    """A client with a small receive buffer."""
+    """Connect a client with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(("127.0.0.1", here.program.server.port))
@@ -28,7 +28,7 @@
 
 
 def return_large_results(here: Site) -> None:
-    """The worker returns large results, and the dispatcher has small send buffers."""
+    """Make the worker return large results, and shrink the dispatcher's send buffers."""
     here.workers[0].script = here.workers[0].telling(LARGE_RESULT)
     assert here.program.server.server is not None
     for sock in here.program.server.server.sockets:
@@ -36,14 +36,14 @@
 
 
 async def accepted_connection(here: Site, sock: socket.socket) -> ClientConnection:
-    """The dispatcher's end of a client's connection."""
-    name = sock.getsockname()
+    """Return the dispatcher's end of a client's connection."""
+    client_address = sock.getsockname()
     found: ClientConnection = await until(
         lambda: next(
             (
                 connection
                 for connection in here.program.server.connections
-                if connection.writer.get_extra_info("peername") == name
+                if connection.writer.get_extra_info("peername") == client_address
             ),
             None,
         )
@@ -52,7 +52,7 @@
 
 
 async def idle_client(here: Site) -> tuple[socket.socket, ClientConnection]:
-    """A client whose first request was answered, and the dispatcher's end of its connection."""
+    """Connect a client, complete one request, and return both ends of the idle connection."""
     sock = socket.create_connection(("127.0.0.1", here.program.server.port))
     sock.setblocking(False)
     sock.send(job("c1"))
@@ -63,7 +63,7 @@
 
 
 async def lingering_client(here: Site) -> socket.socket:
-    """A client with a small receive buffer and a large answer, after which the close lingers."""
+    """Return a client with a small receive buffer whose connection lingers with a large unsent answer."""
     return_large_results(here)
     sock = connect_with_small_buffer(here)
     connection = await accepted_connection(here, sock)
@@ -74,7 +74,7 @@
 
 
 async def read_to_end(sock: socket.socket, pause_s: float = 0.0) -> bytes:
-    """All bytes until the end of the connection, read in small parts; a reset is an error."""
+    """Read in small pieces until the end of the stream; a reset raises an error."""
     received = b""
     loop = asyncio.get_running_loop()
     while data := await loop.sock_recv(sock, 2048):
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("following", [b"x", b"POST /lookup HTTP/1.1\r\n", b"y" * 50_000])
 def test_bytes_after_the_last_request_do_not_reset_its_answer(following: bytes) -> None:
-    """They arrive while the answer is not yet sent completely."""
+    """They arrive while part of the answer is still unsent."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -103,7 +103,7 @@
 def test_a_client_that_reads_slowly_receives_its_complete_answer(
     is_half_closed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Beyond the timeout of a lingering close, as long as it reads; also where it has shut its own half."""
+    """As long as it reads, also after LINGER_TIMEOUT_S, and also if it has shut down its write half."""
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -117,9 +117,9 @@
                 await until(lambda: connection.state is ConnectionState.IDLE)
                 sock.shutdown(socket.SHUT_WR)
             await until(lambda: connection.is_lingering)
-            begun = time.monotonic()
+            started_at = time.monotonic()
             received = await read_to_end(sock, 0.03)
-            assert received.count(b"r") >= len(LARGE_RESULT) and time.monotonic() - begun > 0.4
+            assert received.count(b"r") >= len(LARGE_RESULT) and time.monotonic() - started_at > 0.4
             sock.close()
 
     asyncio.run(scenario())
@@ -139,14 +139,14 @@
 
 
 def test_a_request_after_the_shutdown_is_not_forwarded() -> None:
-    """The client reads the end of the stream, not a reset, and can retry elsewhere."""
+    """The client gets an end of stream, not a reset, and can retry at another dispatcher."""
 
     async def scenario() -> None:
         async with site() as here:
             sock, _ = await idle_client(here)
             here.program.server.begin_closing()
             sock.send(job("c2"))
-            sock.send(job("c3"))  # on a reset connection this would fail
+            sock.send(job("c3"))  # would fail on a reset connection
             assert await read_to_end(sock) == b""
             assert not here.program.coordinator.requests and here.workers[0].methods() == ["POST"]
             sock.close()
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("where", ["system", "reader"])
 def test_a_request_before_the_shutdown_is_answered(where: str) -> None:
-    """It is in the system's buffer, or in the reader's."""
+    """It is unread in the system's buffer or in the reader's."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -192,13 +192,12 @@
 def test_the_last_answer_arrives_whatever_follows_the_request(
     data: bytes, status: bytes, following: int
 ) -> None:
-    """What the client sends is read to its end, so that no reset destroys the answer."""
+    """The rest of the client's data is read until it ends, so that no reset destroys the answer."""
 
     async def scenario() -> None:
         async with site() as here:
-            await until(
-                lambda: here.program.coordinator.is_endpoint_list_confirmed
-            )  # until then /_health answers 503
+            # Until then /_health answers 503.
+            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(data)
             if following:
@@ -214,7 +213,7 @@
 
 
 def test_a_connection_with_an_unread_request_is_not_timed_out() -> None:
-    """Its timeout is over when its first bytes have just arrived."""
+    """Its timeout expires when its first bytes have just arrived."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -231,7 +230,7 @@
 
 
 def test_no_connection_with_unread_or_unsent_data_is_evicted() -> None:
-    """Neither one with an unread request nor one with an unsent answer."""
+    """Neither a connection with an unread request nor one with an unsent answer."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -247,9 +246,8 @@
             here.program.server.context.is_closing = True
             closing.close_gracefully()
             assert closing.is_lingering and closing.has_unsent_data()
-            await until(
-                lambda: len(here.program.server.connections) == 2
-            )  # the worker's connections have closed
+            # Until the worker's connections have closed.
+            await until(lambda: len(here.program.server.connections) == 2)
             new_client.send(job("c2"))
             assert not here.program.server.table.evict_one()
             assert (await read_to_end(slow_client)).count(b"r") >= len(LARGE_RESULT)
