--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -1,4 +1,4 @@
-"""Responses and callbacks that break off, never end or arrive twice: one outcome, and no unsafe retry."""
+"""Truncated, endless and repeated responses and callbacks: each has one outcome, and no unsafe retry."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 OVERLOADED = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
 
-async def cut_head(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Send half of the 202's head, then close."""
+async def truncated_head(_message: Message, writer: asyncio.StreamWriter) -> None:
+    """Send half of the head of a 202, then close."""
     writer.write(ACCEPTED[:15])
     await writer.drain()
     writer.close()
 
 
-async def cut_body(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Send less of the body than the head announces, then close."""
+async def truncated_body(_message: Message, writer: asyncio.StreamWriter) -> None:
+    """Send a body shorter than its Content-Length, then close."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
     writer.close()
 
 
 async def reset_body(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Send less of the body than the head announces, then reset."""
+    """Send a body shorter than its Content-Length, then reset."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\nabc")
     await writer.drain()
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -39,66 +39,66 @@
 
 
 async def garbage(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Send bytes that are no HTTP."""
+    """Send bytes that are not HTTP."""
     writer.write(b"\x16\x03\x01 nothing of the kind\r\n\r\n")
 
 
 async def endless(_message: Message, writer: asyncio.StreamWriter) -> None:
-    """Send a chunked response without an end."""
+    """Send a chunked response that never ends."""
     writer.write(b"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n")
     while not writer.is_closing():
         writer.write(b"1\r\nx\r\n")
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize("script", [cut_head, cut_body, reset_body, garbage, endless])
+@pytest.mark.parametrize("script", [truncated_head, truncated_body, reset_body, garbage, endless])
 @pytest.mark.parametrize(("path", "posts", "status"), [("/lookup", 2, 200), ("/import", 1, 502)])
 def test_incomplete_202_has_one_outcome(
     script: Script, path: str, posts: int, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The job may have run: an idempotent one is retried after the DELETE, another one fails."""
+    """The job may have run: an idempotent request is retried after the DELETE, any other fails."""
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with site() as here:
             worker = here.workers[0]
 
-            async def once(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def run_script_once(message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 await script(message, writer)
 
-            worker.script = once
+            worker.script = run_script_once
             assert (await here.post(path=path, left_ms=1500)).status == status
             await until(lambda: not here.program.coordinator.attempts and not here.program.workers.busy)
             assert worker.methods().count("POST") == posts and "DELETE" in worker.methods()
-            if posts == 2:  # never two at once
+            if posts == 2:  # the two jobs do not overlap
                 assert worker.methods() == ["POST", "DELETE", "POST"]
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_second_response_does_not_count_for_next_request(late: bool) -> None:
-    """A 503 after the 202 on one connection does not count for the next job on that connection."""
+@pytest.mark.parametrize("is_late", [False, True])
+def test_second_response_does_not_count_for_next_request(is_late: bool) -> None:
+    """A 503 that follows the 202 on a connection is not taken as the response to the next job on it."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}) as here:
             worker = here.workers[0]
 
-            async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def respond_twice(message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
-                call = message.headers["x-correlation-id"]
-                writer.write(ACCEPTED + (b"" if late else OVERLOADED))
-                if late:
+                request_id = message.headers["x-correlation-id"]
+                writer.write(ACCEPTED + (b"" if is_late else OVERLOADED))
+                if is_late:
                     await until(
                         lambda: any(
                             worker.idle_connections for worker in here.program.workers.workers.values()
                         )
                     )
                     writer.write(OVERLOADED)
-                await worker.tell(call, state="done", result="one")
+                await worker.tell(request_id, state="done", result="one")
 
-            worker.script = twice
+            worker.script = respond_twice
             assert (await here.post("c1")).body == b"one"
             assert (await here.post("c2")).body == b"TEXT"
             counts = here.program.counters.counts
@@ -108,10 +108,10 @@
     asyncio.run(scenario())
 
 
-def completion_callback(call: str, worker: Scripted, result: str) -> bytes:
-    """The bytes of a callback."""
-    told = json.dumps({"id": call, "from": worker.name, "state": "done", "result": result}).encode()
-    return write_message("POST /callback HTTP/1.1", told)
+def completion_callback(request_id: str, worker: Scripted, result: str) -> bytes:
+    """Return the bytes of a callback that completes a job."""
+    body = json.dumps({"id": request_id, "from": worker.name, "state": "done", "result": result}).encode()
+    return write_message("POST /callback HTTP/1.1", body)
 
 
 async def connect(here: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -120,7 +120,7 @@
 
 
 async def accepted_request(here: Site) -> asyncio.Task[Message]:
-    """The task of a request whose job the worker has accepted, without any callback yet."""
+    """Post a request, wait until the worker has accepted its job, and return the pending task."""
     here.workers[0].script = here.workers[0].accept
     answer = asyncio.create_task(here.post())
     await here.workers[0].until("POST")
@@ -129,19 +129,19 @@
 
 @pytest.mark.parametrize("size", [1, 20, 100])
 def test_callback_in_pieces_counts_once_complete(size: int) -> None:
-    """It may arrive in pieces of any size; an incomplete one has no effect, and its retry has."""
+    """It may arrive in pieces of any size; an incomplete callback has no effect, but its retry does."""
 
     async def scenario() -> None:
         async with site() as here:
             answer = await accepted_request(here)
             data = completion_callback("c1", here.workers[0], "whole")
-            _, torn = await connect(here)
-            torn.write(data[:-3])
-            await torn.drain()
-            torn.close()
+            _, incomplete = await connect(here)
+            incomplete.write(data[:-3])
+            await incomplete.drain()
+            incomplete.close()
             reader, writer = await connect(here)
-            for at in range(0, len(data), size):
-                writer.write(data[at : at + size])
+            for position in range(0, len(data), size):
+                writer.write(data[position : position + size])
                 await writer.drain()
             assert (await reader.read(12)).startswith(b"HTTP/1.1 204")
             assert (await answer).body == b"whole"
@@ -152,7 +152,7 @@
 
 
 def test_callback_across_shutdown_is_handled_completely() -> None:
-    """Its second half arrives after the shutdown began: it is handled, and its connection closes."""
+    """Its second half arrives after the start of the shutdown; it is handled, then its connection closes."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("path", ["/lookup", "/import"])
 def test_response_reset_by_client_causes_no_retry(path: str) -> None:
-    """The request has its result, so the job is not retried."""
+    """The request already has its result, so the job is not retried."""
 
     async def scenario() -> None:
         async with site() as here:
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -1,4 +1,4 @@
-"""Counters with one name for each member of a set: every member has its name."""
+"""Counter names by outcome, answer, failure or reason: every member has one, and the names are fixed."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 def test_outcomes() -> None:
-    """Each outcome of an attempt and of a health check."""
+    """Each outcome of an attempt or a health check has a counter."""
     assert set(ATTEMPT_COUNTERS) == set(PROBE_COUNTERS) == set(api.Outcome)
-    assert sorted(ATTEMPT_COUNTERS.values()) == sorted(f"attempts_{each}" for each in OUTCOMES)
-    assert sorted(PROBE_COUNTERS.values()) == sorted(f"probes_{each}" for each in OUTCOMES)
+    assert sorted(ATTEMPT_COUNTERS.values()) == sorted(f"attempts_{outcome}" for outcome in OUTCOMES)
+    assert sorted(PROBE_COUNTERS.values()) == sorted(f"probes_{outcome}" for outcome in OUTCOMES)
     assert (ATTEMPT_COUNTERS[api.Outcome.OK], PROBE_COUNTERS[api.Outcome.OK]) == ("attempts_ok", "probes_ok")
 
 
 def test_answers_and_lists() -> None:
-    """Each answer to a client, and each kind of endpoint list update."""
+    """Each answer to a client and each kind of endpoint list update has a counter."""
     assert set(ANSWER_COUNTERS) == set(get_args(Answer))
     assert sorted(ANSWER_COUNTERS.values()) == ["requests_completed", "requests_failed", "requests_rejected"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
@@ -57,7 +57,7 @@
 
 
 def test_failures_of_discovery() -> None:
-    """Each kind of failure of a poll or a watch."""
+    """Each kind of failure of a poll or a watch has a counter."""
     assert set(DISCOVERY_FAILURE_COUNTERS) == set(api.DiscoveryFailure)
     assert sorted(DISCOVERY_FAILURE_COUNTERS.values()) == [
         "discovery_connect_timeouts",
@@ -71,26 +71,26 @@
 
 
 def test_reservations() -> None:
-    """Each reason that a reservation ends for."""
+    """Each reason for the end of a reservation has a counter."""
     reasons = {reason.value for reason in ReservationEndReason}
     assert len(reasons) == 12 and reasons == set(RESERVATION_COUNTERS)
-    renamed = {
+    external_names = {
         "slipped": "delayed",
         "outbid": "preempted",
         "worker_out": "worker_unavailable",
         "job_over": "request_ended",
     }
     for reason, counter in RESERVATION_COUNTERS.items():
-        assert counter == f"reservations_{renamed.get(reason, reason)}"
+        assert counter == f"reservations_{external_names.get(reason, reason)}"
 
 
 def test_evictions_and_operators() -> None:
-    """Connections with a call are never evicted; the other states have a counter."""
+    """Each state in which a connection can be evicted, and each operation of operators, has a counter."""
     assert set(EVICTION_COUNTERS) == set(ConnectionState) - {ConnectionState.WAITING}
     assert sorted(EVICTION_COUNTERS.values()) == [
         "client_connections_evicted_idle",
         "client_connections_evicted_lingering",
         "client_connections_evicted_reading",
     ]
-    verbs = ["in-service", "offline", "online", "out-of-service", "ready"]
-    assert sorted(OPERATION_COUNTERS.values()) == [f"operators_{verb}" for verb in verbs]
+    operations = ["in-service", "offline", "online", "out-of-service", "ready"]
+    assert sorted(OPERATION_COUNTERS.values()) == [f"operators_{operation}" for operation in operations]
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -14,17 +14,17 @@
 
 from example.toy import Discovery, Message, Server, read_message, request, write_message
 from tests.site import document, job, play, site, until
-from weldquay.net import dispatcher_process as program
+from weldquay.net import dispatcher_process
 from weldquay.net.lifecycle import Phase
 
 
 async def wait_for_connection(server: Server) -> None:
-    """Wait until a client has connected."""
+    """Wait until a client is connected."""
     await until(lambda: server.writers)
 
 
 def test_a_shutdown_serves_new_requests_until_it_closes_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The health check fails at once, answers close their connections, and callbacks are handled."""
+    """Health checks fail at once, answers close their connections, and callbacks are still handled."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -33,31 +33,31 @@
             open_request = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
             assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
-            ending = asyncio.create_task(here.program.shut_down())
+            shutdown = asyncio.create_task(here.program.shut_down())
             await asyncio.sleep(0)
             health = await request(here.address, write_message("GET /_health HTTP/1.1"))
             assert health.start.split()[1] == "503"
-            late = asyncio.create_task(here.post("c2"))
+            late_request = asyncio.create_task(here.post("c2"))
             await worker.until("POST", "POST")
             await until(lambda: here.program.phase is Phase.CLOSING)
-            for call in ("c1", "c2"):
-                await worker.tell(call, state="done", result=call)
-            for call, answer in (("c1", await open_request), ("c2", await late)):
-                assert (answer.body.decode(), answer.headers["connection"]) == (call, "close")
-            await ending
+            for request_id in ("c1", "c2"):
+                await worker.tell(request_id, state="done", result=request_id)
+            for request_id, answer in (("c1", await open_request), ("c2", await late_request)):
+                assert (answer.body.decode(), answer.headers["connection"]) == (request_id, "close")
+            await shutdown
             assert here.program.phase is Phase.STOPPED
 
-    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
+    monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     play(scenario())
 
 
 def test_a_shutdown_keeps_client_connections_for_a_while() -> None:
-    """Its clients may have no other dispatcher while another one restarts as well."""
+    """Another dispatcher may be restarting too, leaving the clients no other one to use."""
 
     async def scenario() -> None:
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            ending = asyncio.create_task(here.program.shut_down())
+            shutdown = asyncio.create_task(here.program.shut_down())
             await until(lambda: here.program.phase is Phase.DRAINING)
             for number in range(2):
                 writer.write(job(f"c{number}"))
@@ -65,7 +65,7 @@
                 assert (answer.body, answer.headers.get("connection")) == (b"TEXT", None)
             assert await reader.read() == b"" and here.program.phase is not Phase.DRAINING
             writer.close()
-            await ending
+            await shutdown
 
     play(scenario())
 
@@ -74,7 +74,7 @@
 def test_the_end_of_a_shutdown_answers_the_open_requests(
     path: str, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Before SIGKILL; the attempt is cancelled at its worker."""
+    """They are answered before SIGKILL, and the attempt is cancelled at its worker."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -85,51 +85,55 @@
             assert (await open_request).start.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
-    monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
-    monkeypatch.setattr(program, "MAX_CLIENT_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
+    monkeypatch.setattr(dispatcher_process, "MAX_CLIENT_TIMEOUT_S", 0.0)
     play(scenario())
 
 
 @pytest.mark.parametrize("is_draining", [False, True])
-def test_a_reload_moves_the_discovery_watch_and_keeps_open_requests(
+def test_a_reload_changes_the_discovery_address_and_keeps_open_requests(
     tmp_path: Any, monkeypatch: pytest.MonkeyPatch, is_draining: bool
 ) -> None:
-    """While serving or draining, more than once, also while a new address does not answer."""
+    """While serving or draining; repeatedly, also while the new address does not respond."""
 
-    class Hanging(Server):
+    class UnresponsiveServer(Server):
         async def answer(self, _message: Message, _writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(3600)
 
     async def scenario() -> None:
-        hanging = Hanging()
-        newer = Discovery()
+        unresponsive = UnresponsiveServer()
+        new_discovery = Discovery()
         async with site(workers=2) as here:
             for worker in here.workers:
                 worker.script = worker.accept
-                newer.add(worker)
-            newer.revision = 7
+                new_discovery.add(worker)
+            new_discovery.revision = 7
             open_request = asyncio.create_task(here.post())
-            busy = await until(lambda: next((worker for worker in here.workers if worker.methods()), None))
-            ending = asyncio.create_task(here.program.shut_down()) if is_draining else None
-            for server in (hanging, newer):
+            busy_worker = await until(
+                lambda: next((worker for worker in here.workers if worker.methods()), None)
+            )
+            shutdown = asyncio.create_task(here.program.shut_down()) if is_draining else None
+            for server in (unresponsive, new_discovery):
                 await server.start()
                 path.write_text(json.dumps({**document(), "listen": "h:1", "discovery": server.address}))
                 here.program.reloader.requested.set()
                 await wait_for_connection(server)
             await until(lambda: here.program.discovery.revision == 7)
-            await newer.change(next(worker for worker in here.workers if worker is not busy), "DRAINING")
+            await new_discovery.change(
+                next(worker for worker in here.workers if worker is not busy_worker), "DRAINING"
+            )
             await until(lambda: here.program.discovery.revision == 8)
             assert here.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
-            await busy.tell("c1", state="done", result="kept")
+            await busy_worker.tell("c1", state="done", result="kept")
             assert (await open_request).body == b"kept"
-            if ending is not None:
-                await ending
-        hanging.stop()
-        newer.stop()
+            if shutdown is not None:
+                await shutdown
+        unresponsive.stop()
+        new_discovery.stop()
 
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
-    monkeypatch.setenv("GW_DISCOVERY", "127.0.0.1:1")  # a reload does not use the variable of the start
+    monkeypatch.setenv("GW_DISCOVERY", "127.0.0.1:1")  # a reload ignores this variable
     play(scenario())
 
 
@@ -159,10 +163,10 @@
             here.program.reloader.requested.set()
             await until(lambda: here.program.counters.counts["reloads"])
             assert (await here.post("c9", "/import")).start.split()[1] == "404"
-            for (call, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
+            for (request_id, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
                 worker = next(worker for worker in here.workers if worker.name == attempt.worker_id)
                 worker.script = None
-                await worker.tell(call, state="lost")
+                await worker.tell(request_id, state="lost")
             assert [(await answer).start.split()[1] for answer in answers] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
                 for worker in here.workers:
@@ -174,10 +178,10 @@
     play(scenario())
 
 
-def test_signals_of_a_system_process(tmp_path: Any) -> None:
+def test_signals_of_a_child_process(tmp_path: Any) -> None:
     """SIGUSR1 logs the counters, and SIGTERM ends the process with status 0.
 
-    SIGHUP does not end it, neither with a bad file, which one line reports, nor during the shutdown.
+    SIGHUP never ends it: neither with an invalid file, which is logged in one line, nor during the shutdown.
     """
 
     async def scenario() -> None:
@@ -206,13 +210,13 @@
                 assert line
             assert b"stays as it is" in line and b"is serving" in await process.stderr.readline()
             process.send_signal(signal.SIGTERM)
-            last_lines = b""
+            shutdown_log = b""
             while line := await process.stderr.readline():
-                last_lines += line
+                shutdown_log += line
                 if b"draining" in line or b"closing" in line or b"sto" in line or b"counters" in line:
                     with suppress(ProcessLookupError):
-                        # `send_signal` would collect the exit status before asyncio.
+                        # `send_signal` could reap the process before asyncio does.
                         os.kill(process.pid, signal.SIGHUP)
-            assert b"counters {" in last_lines and await process.wait() == 0
+            assert b"counters {" in shutdown_log and await process.wait() == 0
 
     play(scenario())
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -1,4 +1,4 @@
-"""Draining workers and late retries: the rules hold at an attempt's first byte, not only at its decision."""
+"""Draining workers and late retries: the rules are checked when an attempt is sent, not only when decided."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 
 class DelayedDelete:
-    """A worker's script: reset the first attempt, and respond to no DELETE until the gate is open."""
+    """A worker's script: reset the first attempt, and delay responses to DELETE until the gate is set."""
 
     def __init__(self, worker: Any) -> None:
         self.gate, self.posts, self.deletes, self.answer = asyncio.Event(), 0, 0, worker.answer
-        self.call: asyncio.Task[Message]
-        worker.answer = self.take
+        self.request: asyncio.Task[Message]
+        worker.answer = self.handle
 
-    async def take(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Count the message, then reset, delay or handle it."""
+    async def handle(self, message: Message, writer: asyncio.StreamWriter) -> None:
+        """Count the message, then reset the connection, delay the response or pass the message on."""
         if message.method == "POST":
             self.posts += 1
             if self.posts == 1:
@@ -47,41 +47,43 @@
         await self.answer(message, writer)
 
 
-async def retry_waits_for_delete(here: Any) -> DelayedDelete:
-    """Run a request until its retry waits for the DELETE of its first attempt."""
+async def start_retry_that_waits_for_delete(here: Any) -> DelayedDelete:
+    """Start a request, and wait until its retry waits for the DELETE of its first attempt."""
     script = DelayedDelete(here.workers[0])
-    script.call = asyncio.create_task(here.post(left_ms=3000))
-    calls = here.program.coordinator.requests.by_number
-    await until(lambda: script.deletes and any(call.attempts_started == 2 for call in calls.values()))
+    script.request = asyncio.create_task(here.post(left_ms=3000))
+    requests = here.program.coordinator.requests.by_number
+    await until(
+        lambda: script.deletes and any(request.attempts_started == 2 for request in requests.values())
+    )
     return script
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
 def test_retry_waiting_for_delete_is_not_sent_to_worker_that_departs(phase: str) -> None:
-    """The worker's change of state arrives while the retry waits for the DELETE."""
+    """The worker's new state arrives while the retry waits for the DELETE."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}) as here:
-            script = await retry_waits_for_delete(here)
+            script = await start_retry_that_waits_for_delete(here)
             await here.discovery.change(here.workers[0], phase)
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
             script.gate.set()
-            assert (await script.call).status == 503
+            assert (await script.request).status == 503
             assert script.posts == 1
 
     asyncio.run(scenario())
 
 
 def test_retry_waiting_for_delete_is_not_sent_after_its_window() -> None:
-    """The worker deduplicates for 0.4 s; the DELETE takes longer."""
+    """The worker deduplicates requests for 0.4 s, but the DELETE takes longer."""
 
     async def scenario() -> None:
         async with site(caps={"probes": False}, services=KEYED, family_info={"class_stretch": [2.0]}) as here:
-            script = await retry_waits_for_delete(here)
-            begun = time.monotonic()
-            await until(lambda: time.monotonic() - begun > 0.5)
+            script = await start_retry_that_waits_for_delete(here)
+            started_at = time.monotonic()
+            await until(lambda: time.monotonic() - started_at > 0.5)
             script.gate.set()
-            assert (await script.call).status == 502
+            assert (await script.request).status == 502
             assert script.posts == 1
 
     asyncio.run(scenario())
@@ -90,49 +92,49 @@
 OnDelete = Callable[[Scripted, asyncio.StreamWriter], Awaitable[bool]]
 
 
-def cut_first_attempt(here: Site, on_delete: OnDelete) -> list[Scripted]:
-    """Reset the first POST, have the retry go to another worker, and return the receivers of POSTs.
+def reset_first_attempt(here: Site, on_delete: OnDelete) -> list[Scripted]:
+    """Reset the first POST, direct the retry to another worker, and return the list of POST receivers.
 
-    on_delete: handles a DELETE; True if the worker is to respond to it.
+    on_delete: handles a DELETE, and returns whether the worker responds to it.
     """
     posts = list[Scripted]()
 
-    def play(worker: Scripted) -> None:
+    def intercept(worker: Scripted) -> None:
         answer = worker.answer
 
-        async def take(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def handle(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.method == "POST":
                 posts.append(worker)
                 if len(posts) == 1:
-                    here.program.coordinator.ban(worker.name, True)  # so the repeat goes elsewhere
+                    here.program.coordinator.ban(worker.name, True)  # so that the retry goes elsewhere
                     writer.transport.abort()
                     return
             if message.method != "DELETE" or await on_delete(worker, writer):
                 await answer(message, writer)
 
-        worker.answer = take  # type: ignore[method-assign]
+        worker.answer = handle  # type: ignore[method-assign]
 
     for worker in here.workers:
-        play(worker)
+        intercept(worker)
     return posts
 
 
 @pytest.mark.parametrize("may_hedge", [False, True])
 def test_retry_at_another_worker_waits_for_delete_without_hedging(may_hedge: bool) -> None:
-    """The first worker's 202 was lost in a reset: its job runs until the DELETE arrives."""
+    """A reset may have discarded the first worker's 202, so its job may run until the DELETE arrives."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as here:
             gate = asyncio.Event()
 
-            async def wait(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
+            async def wait_for_gate(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
                 return await gate.wait()
 
-            posts = cut_first_attempt(here, wait)
-            call = asyncio.create_task(here.post())
+            posts = reset_first_attempt(here, wait_for_gate)
+            response_task = asyncio.create_task(here.post())
             await until(
                 lambda: (
-                    call.done()
+                    response_task.done()
                     or any(
                         request.attempts_started == 2
                         for request in here.program.coordinator.requests.by_number.values()
@@ -140,18 +142,18 @@
                 )
             )
             if may_hedge:
-                assert (await call).body == b"TEXT"  # at once, with the DELETE still on its way
+                assert (await response_task).body == b"TEXT"  # at once, while the DELETE is pending
             else:
                 await asyncio.sleep(0.2)
                 assert len(posts) == 1
             gate.set()
-            assert (await call).body == b"TEXT" and len(posts) == 2
+            assert (await response_task).body == b"TEXT" and len(posts) == 2
 
     asyncio.run(scenario())
 
 
 def test_retry_without_capacity_in_its_window_is_not_sent_later() -> None:
-    """A keyed retry that waited for capacity past its deduplication window fails."""
+    """A keyed retry fails if it waits for capacity until after its deduplication window."""
     job_settings = job_class(
         idempotency=api.Idempotency.IDEMPOTENT_BY_KEY,
         idempotency_window_ns=SECOND,
@@ -159,7 +161,7 @@
     )
     drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    for worker in drive.worker_ids:  # no room anywhere by the time that the attempt is lost
+    for worker in drive.worker_ids:  # no worker has capacity when the attempt is reset
         drive.step(api.WorkerBanChanged(worker))
     assert not sends(drive.end(first, api.Outcome.RESET))
     actions = drive.run(2 * SECOND)
@@ -168,26 +170,26 @@
 
 
 def test_retry_has_latest_send_time() -> None:
-    """Its limit is nine tenths of the window from the first possible execution; a first attempt has none."""
+    """It is nine tenths of the window after the first possible execution; a first attempt has no limit."""
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
     drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    sent_ns = drive.now
+    first_sent_ns = drive.now
     (retry,) = sends(
         drive.step(api.AttemptEnded(1, 0, first.worker, api.Outcome.RESET, MS, False), after=300 * MS)
     )
-    assert first.send_before_ns == 0 and retry.send_before_ns == sent_ns + 900 * MS
+    assert first.send_before_ns == 0 and retry.send_before_ns == first_sent_ns + 900 * MS
 
 
 @pytest.mark.parametrize("refuses", [False, True])
 def test_retry_waits_until_delete_succeeds(refuses: bool) -> None:
-    """While DELETEs fail there is no retry, until one succeeds or the worker refuses connections."""
+    """There is no retry until a DELETE succeeds or the worker refuses connections."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as here:
             deletes = list[Scripted]()
 
-            async def lose(worker: Scripted, writer: asyncio.StreamWriter) -> bool:
+            async def fail_first_deletes(worker: Scripted, writer: asyncio.StreamWriter) -> bool:
                 deletes.append(worker)
                 if len(deletes) > 3:
                     return True
@@ -196,11 +198,11 @@
                     worker.stop()
                 return False
 
-            posts = cut_first_attempt(here, lose)
-            call = asyncio.create_task(here.post())
+            posts = reset_first_attempt(here, fail_first_deletes)
+            response_task = asyncio.create_task(here.post())
             await until(lambda: len(deletes) == 3)
-            assert len(posts) == 1 and not call.done()
-            assert (await call).body == b"TEXT" and len(posts) == 2
+            assert len(posts) == 1 and not response_task.done()
+            assert (await response_task).body == b"TEXT" and len(posts) == 2
             assert len(deletes) == (3 if refuses else 4)
 
     asyncio.run(scenario())
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -1,4 +1,4 @@
-"""Two configuration documents in one process: nothing of the first is applied after the second."""
+"""Two configuration documents in one process: no value of the first remains after the second."""
 
 from __future__ import annotations
 
@@ -40,22 +40,22 @@
 }
 
 
-def write_document(path: Path, settings: dict[str, Any], **more: Any) -> Path:
-    """Write a document to a file."""
-    contents = document(**settings) | more
+def write_document(path: Path, settings: dict[str, Any], **other_keys: Any) -> Path:
+    """Write a document to a file, and return its path."""
+    contents = document(**settings) | other_keys
     contents["settings"]["family_info"].pop("class_stretch")
     path.write_text(json.dumps(contents))
     return path
 
 
 def test_document_is_read_independently_of_earlier_ones(tmp_path: Path) -> None:
-    """No default, cache or number of an earlier document remains."""
-    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
-    alone = load({"GW_CONFIG": str(two)})
+    """No default, cached value or class number of an earlier document remains."""
+    first, second = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
+    expected = load({"GW_CONFIG": str(second)})
     for _ in range(2):
-        load({"GW_CONFIG": str(one)})
-        assert load({"GW_CONFIG": str(two)}) == alone
-    assert [rules.idempotency for rules in alone.settings.classes] == [
+        load({"GW_CONFIG": str(first)})
+        assert load({"GW_CONFIG": str(second)}) == expected
+    assert [job_class.idempotency for job_class in expected.settings.classes] == [
         Idempotency.IDEMPOTENT_BY_KEY,
         Idempotency.NON_IDEMPOTENT,
         Idempotency.IDEMPOTENT,
@@ -63,16 +63,20 @@
 
 
 def test_reload_applies_only_the_new_settings(tmp_path: Path) -> None:
-    """Classes are matched by name: one that stays has its new settings, one that went is not offered."""
-    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
-    running = load({"GW_CONFIG": str(one)})
-    moved, others = reload({"GW_CONFIG": str(two)}, running)
-    fresh = load({"GW_CONFIG": str(two)})
-    by_name = dict(zip(moved.class_names, moved.settings.classes, strict=True))
-    for name, rules in zip(fresh.class_names, fresh.settings.classes, strict=True):
-        assert by_name[name] == rules and rules.is_offered
-    assert moved.offered == {"import", "scan", "print"} and not by_name["lookup"].is_offered and not others
-    assert moved.max_open == 7
+    """Classes are matched by name: a remaining one has its new settings, a removed one is not offered."""
+    first, second = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
+    running = load({"GW_CONFIG": str(first)})
+    reloaded, needs_restart = reload({"GW_CONFIG": str(second)}, running)
+    loaded = load({"GW_CONFIG": str(second)})
+    by_name = dict(zip(reloaded.class_names, reloaded.settings.classes, strict=True))
+    for name, job_class in zip(loaded.class_names, loaded.settings.classes, strict=True):
+        assert by_name[name] == job_class and job_class.is_offered
+    assert (
+        reloaded.offered == {"import", "scan", "print"}
+        and not by_name["lookup"].is_offered
+        and not needs_restart
+    )
+    assert reloaded.max_open == 7
     for key in (
         "dispatcher_count",
         "dispatcher_index",
@@ -82,32 +86,37 @@
         "initial_capacity_fraction",
         "max_retry_after_ns",
     ):
-        assert getattr(moved.settings, key) == getattr(fresh.settings, key)
+        assert getattr(reloaded.settings, key) == getattr(loaded.settings, key)
 
 
 def test_estimates_of_a_removed_class_are_not_used(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its running time is not in the mean, and the old number of dispatchers is not used."""
+    """The mean runtime excludes it, and the old number of dispatchers is not used."""
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
 
     async def scenario() -> None:
         async with site(**FIRST) as here:
-            program, policy = here.program, here.program.coordinator.dispatcher
-            assert policy.parts.runtimes.mean_runtime_ns() > 400e9
-            told = {**program.config.document, "settings": document(**SECOND)["settings"]}
-            path.write_text(json.dumps(told))
-            program.reloader.requested.set()
-            await until(lambda: program.counters.counts["reloads"])
-            await until(lambda: policy.settings.dispatcher_count == 20)
-            offered = [
+            process, dispatcher = here.program, here.program.coordinator.dispatcher
+            assert dispatcher.parts.runtimes.mean_runtime_ns() > 400e9
+            changed = {**process.config.document, "settings": document(**SECOND)["settings"]}
+            path.write_text(json.dumps(changed))
+            process.reloader.requested.set()
+            await until(lambda: process.counters.counts["reloads"])
+            await until(lambda: dispatcher.settings.dispatcher_count == 20)
+            offered_means_ns = [
                 mean_ns
-                for mean_ns, rules in zip(policy.parts.runtimes.mean_ns, policy.settings.classes, strict=True)
-                if rules.is_offered
+                for mean_ns, job_class in zip(
+                    dispatcher.parts.runtimes.mean_ns, dispatcher.settings.classes, strict=True
+                )
+                if job_class.is_offered
             ]
-            assert len(offered) == 3 and policy.parts.runtimes.mean_runtime_ns() == sum(offered) / 3
-            parts = policy.parts
+            assert (
+                len(offered_means_ns) == 3
+                and dispatcher.parts.runtimes.mean_runtime_ns() == sum(offered_means_ns) / 3
+            )
+            parts = dispatcher.parts
             assert parts.backoff.dispatcher_count == 20 and parts.slow_start.policy.overload_multiple == 4.5
-            assert program.discovery.config is program.config
+            assert process.discovery.config is process.config
             assert (await here.post("c1", "/lookup")).status == 404
             assert (await here.post("c2", "/print")).body == b"TEXT"
 
@@ -115,11 +124,11 @@
 
 
 def test_class_that_keeps_its_name_keeps_its_number(tmp_path: Path) -> None:
-    """A class that comes back has its old number, so its estimates are its own."""
-    one, two = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
-    running = read({}, json.loads(one.read_text()))
-    moved, _ = reload({"GW_CONFIG": str(two)}, running)
-    back, _ = reload({"GW_CONFIG": str(one)}, moved)
-    assert back.class_names[:2] == running.class_names
-    assert back.settings.classes[:2] == running.settings.classes
-    assert back.offered == running.offered
+    """A class that is removed and added again gets its old number, and with it its own estimates."""
+    first, second = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
+    running = read({}, json.loads(first.read_text()))
+    reloaded, _ = reload({"GW_CONFIG": str(second)}, running)
+    restored, _ = reload({"GW_CONFIG": str(first)}, reloaded)
+    assert restored.class_names[:2] == running.class_names
+    assert restored.settings.classes[:2] == running.settings.classes
+    assert restored.offered == running.offered
