--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -17,7 +17,7 @@
 
 from example.toy import Discovery
 from weldquay import interface as api
-from weldquay.net.config import read
+from weldquay.net.config import config_from_document
 from weldquay.policy.dispatcher import Dispatcher
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
@@ -90,7 +90,7 @@
 
 def step_ms(dispatchers: int, count: int, lines: int) -> float:
     """Return the milliseconds of the step that applies changes of all workers, in so many updates."""
-    settings = read({}, json.loads(CONFIG.read_text())).settings
+    settings = config_from_document({}, json.loads(CONFIG.read_text())).settings
     decisions = Dispatcher(
         replace(settings, dispatcher_count=dispatchers, dispatcher_index=dispatchers - 1), 1
     )
--- a/tests/site.py
+++ b/tests/site.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from example.toy import Discovery, Message, Server, Worker, request, write_message
-from weldquay.net.config import read
+from weldquay.net.config import config_from_document
 from weldquay.net.dispatcher_process import DispatcherProcess
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
@@ -164,7 +164,7 @@
         await worker.start()
         listing.add(worker)
     told["known"] = listing.told()
-    program = DispatcherProcess(read({}, told))
+    program = DispatcherProcess(config_from_document({}, told))
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
     await program.start()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -16,7 +16,7 @@
 from tests.site import CONFIG, site
 from weldquay.errors import OperatorError
 from weldquay.net.config import ConfigError, ConfigUnreadable, ConfigUnset, ReloadRefused, load, reload
-from weldquay.net.config import read as config_of
+from weldquay.net.config import config_from_document as config_of
 
 ROOT = Path(weldquay.__file__).parent
 # Roots of errors that are handled inside the program and are never shown to operators.
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -12,7 +12,7 @@
 from tests.newer_process import newer_process
 from tests.site import document, site, until
 from weldquay.net import dispatcher_process as program
-from weldquay.net.config import read
+from weldquay.net.config import config_from_document
 from weldquay.net.dispatcher_process import DispatcherProcess
 from weldquay.net.lifecycle import Phase
 
@@ -30,7 +30,7 @@
 async def enter_phase(phase: str, stack: AsyncExitStack) -> DispatcherProcess:
     """A process in that phase."""
     if phase == "starting":
-        return DispatcherProcess(read({}, document()))
+        return DispatcherProcess(config_from_document({}, document()))
     here = await stack.enter_async_context(site())
     if phase == "out of service":
         here.program.service.take_out_of_service()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -27,7 +27,7 @@
 from weldquay.lab.http import Pool, write_line
 from weldquay.lab.servers import CALLBACK_RETRY_S, MAX_CALLBACK_ATTEMPTS
 from weldquay.net import connection_pool, readiness
-from weldquay.net.config import read
+from weldquay.net.config import config_from_document
 from weldquay.net.lifecycle import Phase
 from weldquay.net.streams import connect
 from weldquay.policy.worker_table import MAX_DEPARTED
@@ -226,10 +226,10 @@
 
 def test_each_of_410_dispatchers_has_a_subset() -> None:
     """The settings accept the index, and each of 1,400 workers is in at least three subsets."""
-    config = read({}, document(group_size=410, me=409))
+    config = config_from_document({}, document(group_size=410, me=409))
     assert (config.settings.dispatcher_count, config.settings.dispatcher_index) == (410, 409)
     with pytest.raises(ValueError, match="setting me is not among the 410 dispatchers"):
-        read({}, document(group_size=410, me=410))
+        config_from_document({}, document(group_size=410, me=410))
     start_ids = [zlib.crc32(b"%d" % number) for number in range(1400)]
     sharers = Counter(position for index in range(410) for position in subset(start_ids, index, 410))
     assert len(sharers) == 1400 and min(sharers.values()) >= 3
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -11,7 +11,7 @@
 
 from tests.site import document, site, until
 from weldquay.interface import Idempotency
-from weldquay.net.config import load, read, reload
+from weldquay.net.config import config_from_document, load, reload
 
 FIRST: dict[str, Any] = {
     "services": [
@@ -126,7 +126,7 @@
 def test_class_that_keeps_its_name_keeps_its_number(tmp_path: Path) -> None:
     """A class that is removed and added again gets its old number, and with it its own estimates."""
     first, second = write_document(tmp_path / "a", FIRST), write_document(tmp_path / "b", SECOND)
-    running = read({}, json.loads(first.read_text()))
+    running = config_from_document({}, json.loads(first.read_text()))
     reloaded, _ = reload({"GW_CONFIG": str(second)}, running)
     restored, _ = reload({"GW_CONFIG": str(first)}, reloaded)
     assert restored.class_names[:2] == running.class_names
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -17,7 +17,7 @@
 from weldquay import cli
 from weldquay.config import catalogue, checking, writer
 from weldquay.interface import Idempotency
-from weldquay.net.config import read
+from weldquay.net.config import config_from_document
 
 SITE = catalogue.load("sapporo-tm")
 KNOWN = [kind.name for kind in SITE.kinds]
@@ -44,7 +44,7 @@
     made = writer.compose(writer.describe(told))
     text = writer.text(made)
     assert [each for each in checking.check(text.encode()) if each.error] == []
-    config = read({}, json.loads(text))
+    config = config_from_document({}, json.loads(text))
     for kind, rules in zip(told["kinds"], config.settings.classes, strict=True):
         assert rules.idempotency is (
             Idempotency.IDEMPOTENT if kind["repeat_harmless"] else Idempotency.NON_IDEMPOTENT
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -93,10 +93,10 @@
 
 def reload_error(before: dict[str, Any], path: Path) -> str:
     """Return why a running dispatcher would reject the newer file on a reload; empty where it would not."""
-    from weldquay.net.config import ConfigError, read, reload
+    from weldquay.net.config import ConfigError, config_from_document, reload
 
     try:
-        reload({"GW_CONFIG": str(path)}, read({}, before))
+        reload({"GW_CONFIG": str(path)}, config_from_document({}, before))
     except ConfigError as error:
         return error.advice()
     except ValueError as error:
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -140,7 +140,7 @@
         reservations_path = environ.get("GW_ROOM")
         if reservations_path:
             document["room"] = _read_reservations_file(reservations_path)
-        config = read(environ, document)
+        config = config_from_document(environ, document)
         site = environ.get("GW_CATALOGUE")
         if site:
             _check_site(document, site)
@@ -181,7 +181,7 @@
 def load_saved(environ: Mapping[str, str], document: object) -> Config | None:
     """Return the configuration of a document saved by an older process, or None if it is invalid."""
     try:
-        return read(environ, document) if isinstance(document, dict) else None
+        return config_from_document(environ, document) if isinstance(document, dict) else None
     except (ValueError, MessageError):
         return None
 
@@ -262,7 +262,7 @@
     )
 
 
-def read(environ: Mapping[str, str], document: dict[str, Any]) -> Config:
+def config_from_document(environ: Mapping[str, str], document: dict[str, Any]) -> Config:
     """Return the configuration of a document; environment variables have precedence.
 
     Raises ValueError or MessageError if a value is missing or malformed.
