--- a/weldquay/net/connection_table.py
+++ b/weldquay/net/connection_table.py
@@ -24,7 +24,7 @@
     """The part of a client connection that the table needs."""
 
     state: ConnectionState
-    state_entered_at: float  # on the monotonic clock (s)
+    state_entered_at: float  # monotonic clock (s); progress of a lingering close resets it
 
     def has_unread_data(self) -> bool:
         """Return whether bytes or the end of the stream have arrived and are unread."""
--- a/weldquay/net/counters.py
+++ b/weldquay/net/counters.py
@@ -23,7 +23,7 @@
         if value > self.peaks.get(name, 0.0):
             self.peaks[name] = value
 
-    def line(self) -> str:
+    def as_json(self) -> str:
         """Return all counters and peaks as one line of JSON, sorted by name; peaks have 3 decimals."""
         peaks = {name: round(value, 3) for name, value in self.peaks.items()}
         return ujson.dumps(dict(sorted({**self.counts, **peaks}.items())))
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -108,7 +108,7 @@
 
     def print_counters(self) -> None:
         """Log the counters."""
-        log.info("counters %s", self.counters.line())
+        log.info("counters %s", self.counters.as_json())
 
     async def start(self) -> None:
         """Open the listeners, take over from an older process if there is one, and start serving.
