--- a/weldquay/candidates/__init__.py
+++ b/weldquay/candidates/__init__.py
@@ -1,7 +1,9 @@
-"""Candidate workers for a request, kept in groups so that a decision costs as much as there are groups.
+"""Candidate workers for a request.
 
-`CandidateIndex` returns the workers that may run a job.  It is updated by events, and by a calendar of the
-moments at which time alone changes a worker's group.  `QueueOrder` orders the queued requests.
+`CandidateIndex` returns the workers that may run a job.  It keeps them in groups of equal workers, so that
+the cost of a decision depends on the number of groups instead of the number of workers.  Events update the
+index, and a calendar queue holds the times at which a worker's group may change without an event.
+`QueueOrder` orders the queued requests.
 
 The package does no I/O, reads no clock and draws no random numbers.
 """
--- a/weldquay/candidates/availability.py
+++ b/weldquay/candidates/availability.py
@@ -1,4 +1,4 @@
-"""Estimate a worker's timetable from the state that its dispatcher keeps."""
+"""Estimate a worker's timetable from the state that the dispatcher keeps of it."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 
 
 def worker_timetable(
-    worker: Worker, tables: CandidateInputs, expected_run_ns: Callable[[Job, Worker], float]
+    worker: Worker, inputs: CandidateInputs, expected_run_ns: Callable[[Job, Worker], float]
 ) -> Timetable:
     """Return the expected use of the worker's slots and memory over time.
 
-    expected_run_ns: of a job at a worker.  Where workers do not report the start of an attempt, it is taken
-    to start when it is sent.
+    If workers do not report the start of an attempt, the attempt counts as started when it was sent.
+
+    Args:
+        worker: the worker.
+        inputs: the state that the index reads.
+        expected_run_ns: returns the expected running time of a job at a worker, in nanoseconds.
     """
-    slots = round(worker.estimated_slots if worker.estimated_slots >= 0.5 else tables.mean_slots)
-    runtimes = tables.runtimes
+    slots = round(worker.estimated_slots if worker.estimated_slots >= 0.5 else inputs.mean_slots)
+    runtimes = inputs.runtimes
     mean_run_ns = runtimes.relative_runtime(worker.entry.kind) * runtimes.mean_runtime_ns()
-    reports_start = tables.settings.reports_start
+    reports_start = inputs.settings.reports_start
     own_attempts = []
     for attempt in worker.in_flight.values():
         started_ns = attempt.started_ns or (0 if reports_start else attempt.sent_ns)
-        age_ns = tables.now_ns - started_ns if started_ns else -1
+        age_ns = inputs.now_ns - started_ns if started_ns else -1
         request = attempt.job.request
         run_ns = expected_run_ns(attempt.job, worker)
         own_attempts.append(OwnAttempt(run_ns, age_ns, request.slots, request.memory))
--- a/weldquay/candidates/group_key.py
+++ b/weldquay/candidates/group_key.py
@@ -1,4 +1,7 @@
-"""The key of a worker's group: all that a decision reads of the worker."""
+"""The key of a worker's group.
+
+A key holds everything that a decision reads of a worker, so workers with equal keys are interchangeable.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +13,26 @@
 from weldquay.candidates.runtime_bounds import RuntimeLowerBounds
 from weldquay.state.records import LOAD_REPORT_MAX_AGE_NS, Worker
 
-MAX_DISTINCT_MEMORY = 16  # units of free memory, from which on workers are not distinguished
+MAX_DISTINCT_FREE_MEMORY = 16  # units; workers with this much free memory or more have equal keys
 UNKNOWN_SLOTS = -1
-ROUNDING_NS = 2  # subtracted from a computed moment, so that it does not come late
+ROUNDING_MARGIN_NS = 2  # a computed time is brought forward by this, so that rounding does not make it late
 
 
 class WorkerGroupKey(NamedTuple):
-    """What the members of a group have in common.
-
-    is_reported: there is a recent load report; load: by that report, 0.0 without one; slots: UNKNOWN_SLOTS
-    where no report has ever come; own_slots: used by own attempts, 0.0 with a report; memory: whole units of
-    free memory, None where unknown.  is_fresh, in_subset: False where health checks return no load report.
+    """The properties that the members of a group share.
+
+    Attributes:
+        is_reported: there is a recent load report.
+        is_fresh: the report is recent enough to be used without a health check; always False if health checks
+            return no load report.
+        in_subset: the worker belongs to the preferred subset; always False if health checks return no load
+            report.
+        kind: the machine kind.
+        zone: the zone.
+        load: load in slots by the report; 0.0 without one.
+        slots: estimated capacity; `UNKNOWN_SLOTS` before the first report.
+        own_slots: slots used by this dispatcher's attempts; 0.0 with a report.
+        memory: free memory in whole units; None if unknown.
     """
 
     is_reported: bool
@@ -34,38 +46,45 @@
     memory: int | None
 
 
-class GroupKeys:
-    """Compute the key of a worker's group, and how long it is valid."""
+class GroupKeyBuilder:
+    """Computes the key of a worker's group and the time until which it is valid."""
 
     def __init__(
         self,
-        tables: CandidateInputs,
+        inputs: CandidateInputs,
         limits: CandidateLimits,
         load: Callable[[Worker], float],
         slowness: Callable[[Worker], float],
     ) -> None:
-        """load, slowness: of a worker as of now, by the decision module."""
-        self.tables = tables
+        """Compute keys from the given state.
+
+        Args:
+            inputs: the state that the index reads.
+            limits: limits of the decision module.
+            load: returns the current load of a worker, in slots.
+            slowness: returns the current slowness of a worker, a logarithm.
+        """
+        self.inputs = inputs
         self.limits = limits
         self.load = load
         self.slowness = slowness
-        self.max_slowness_ratio = math.exp(limits.slow)
-        self.bounds = RuntimeLowerBounds(tables.runtimes)
+        self.max_slowness_ratio = math.exp(limits.slow_log_ratio)
+        self.bounds = RuntimeLowerBounds(inputs.runtimes)
 
-    def key(self, worker: Worker, is_warming: bool, in_subset: bool) -> tuple[WorkerGroupKey | None, float]:
-        """Return the key of a healthy worker, and until when it is valid if no event comes.
+    def build(self, worker: Worker, is_warming: bool, in_subset: bool) -> tuple[WorkerGroupKey | None, float]:
+        """Return the key of a healthy worker, and the time until which it is valid without an event.
 
-        The key is None where the worker is individual.
+        The key is None if the worker belongs to no group.
         """
-        tables = self.tables
-        now_ns = tables.now_ns
-        number = worker.entry.worker
-        is_reported = number in tables.recently_reported
+        inputs = self.inputs
+        now_ns = inputs.now_ns
+        worker_id = worker.entry.worker
+        is_reported = worker_id in inputs.recently_reported
         if (
             is_warming
-            or worker.failure_score > self.limits.doubt
-            or number in tables.reinstated
-            or number in tables.scheduler.by_worker
+            or worker.failure_score > self.limits.max_failure_score
+            or worker_id in inputs.reinstated
+            or worker_id in inputs.scheduler.by_worker
             or (worker.estimated_slots < 0.5 and (is_reported or worker.estimated_slots > 0))
         ):
             return None, math.inf
@@ -87,11 +106,11 @@
     def _reported_key(
         self, worker: Worker, in_subset: bool, valid_until_ns: float
     ) -> tuple[WorkerGroupKey, float]:
-        """Return the key of a worker with a recent load report; it changes once the report is not fresh."""
-        settings = self.tables.settings
+        """Return the key of a worker with a recent load report, valid at most until the report is stale."""
+        settings = self.inputs.settings
         probes_report = settings.may_probe and settings.reports_in_probes
-        stale_ns = worker.reported_ns + self.limits.fresh_ns + 1
-        is_fresh = probes_report and self.tables.now_ns < stale_ns
+        stale_ns = worker.reported_ns + self.limits.fresh_max_age_ns + 1
+        is_fresh = probes_report and self.inputs.now_ns < stale_ns
         if is_fresh:
             valid_until_ns = min(valid_until_ns, stale_ns)
         key = WorkerGroupKey(
@@ -108,18 +127,20 @@
         return key, valid_until_ns
 
     def _not_slow_until_ns(self, worker: Worker) -> float:
-        """Return until when the worker is not slow and no attempt there is late to start; 0: it is slow."""
+        """Return when the worker may become slow, or an attempt there counts as queued; 0: it is slow now."""
         limits = self.limits
-        if worker.slowness[0] >= limits.slow and self.slowness(worker) >= limits.slow:
+        if worker.slowness[0] >= limits.slow_log_ratio and self.slowness(worker) >= limits.slow_log_ratio:
             return 0
         until_ns = math.inf
         for attempt in worker.in_flight.values():
             if attempt.started_ns:
-                slow_after_ns = self.max_slowness_ratio * (self.bounds.min_run_ns(attempt) + limits.cover_ns)
-                due_ns = attempt.started_ns + slow_after_ns - limits.cover_ns - ROUNDING_NS
+                slow_after_ns = self.max_slowness_ratio * (
+                    self.bounds.min_run_ns(attempt) + limits.runtime_tolerance_ns
+                )
+                due_ns = attempt.started_ns + slow_after_ns - limits.runtime_tolerance_ns - ROUNDING_MARGIN_NS
                 until_ns = min(until_ns, due_ns)
-            elif self.tables.settings.reports_start:
-                until_ns = min(until_ns, attempt.sent_ns + limits.start_ns + 1)
+            elif self.inputs.settings.reports_start:
+                until_ns = min(until_ns, attempt.sent_ns + limits.queued_after_ns + 1)
         return until_ns
 
 
@@ -139,7 +160,7 @@
 
 
 def _free_memory(worker: Worker) -> int | None:
-    """Return whole units of free memory, None where unknown."""
+    """Return the free memory in whole units, capped; None if unknown."""
     if worker.free_memory is None:
         return None
-    return min(MAX_DISTINCT_MEMORY, math.floor(worker.free_memory - worker.unreported_memory))
+    return min(MAX_DISTINCT_FREE_MEMORY, math.floor(worker.free_memory - worker.unreported_memory))
--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -1,4 +1,4 @@
-"""Find the candidate workers for a request among the groups of workers."""
+"""Find the candidate workers for a request."""
 
 from __future__ import annotations
 
@@ -13,34 +13,48 @@
 from weldquay.reservations.timetable import Timetable
 from weldquay.state.records import Job, Worker, WorkerGroup
 
-MAX_CANDIDATE_LOAD = 0.5  # with the job's slots; loads are in slots, negative while slots are free
+MAX_CANDIDATE_LOAD = 0.5  # slots, including the job's; a load is negative while slots are free
 
 
 class CandidateIndex:
-    """The candidates for requests.
-
-    `begin_step` has to be called before the decisions of a step.  `changed` holds the workers to be
-    regrouped, `warming` those that are warming up, both by worker number.
+    """Finds candidate workers. `begin_step` has to be called before the decisions of a step.
+
+    Attributes:
+        inputs: the state that the index reads.
+        limits: limits of the decision module.
+        groups: the workers by group.
+        slow: workers that are excluded in this step.
+        usable_count: healthy workers with a recent load report that are not slow.
+        changed: numbers of the workers to be regrouped.
+        warming: workers that are warming up, by number.
     """
 
     def __init__(
         self,
-        tables: CandidateInputs,
+        inputs: CandidateInputs,
         limits: CandidateLimits,
         load: Callable[[Worker], float],
         slowness: Callable[[Worker], float],
         expected_run_ns: Callable[[Job, Worker], float],
     ) -> None:
-        """load, slowness: of a worker as of now; expected_run_ns: of a job at a worker."""
-        self.tables = tables
+        """Start without workers.
+
+        Args:
+            inputs: the state that the index reads.
+            limits: limits of the decision module.
+            load: returns the current load of a worker, in slots.
+            slowness: returns the current slowness of a worker, a logarithm.
+            expected_run_ns: returns the expected running time of a job at a worker, in nanoseconds.
+        """
+        self.inputs = inputs
         self.limits = limits
         self.load = load
         self.slowness = slowness
         self.expected_run_ns = expected_run_ns
-        self.groups = groups = WorkerGroups(tables, limits, load, slowness)
-        self.slow: set[Worker] = set()  # not candidates in this step
-        self.usable_count = 0  # healthy workers with a recent report that are not slow
-        # Bound directly: events and decisions use these often.
+        self.groups = groups = WorkerGroups(inputs, limits, load, slowness)
+        self.slow: set[Worker] = set()
+        self.usable_count = 0
+        # Aliases on a hot path: events and decisions use these often.
         self.changed = groups.changed
         self.warming = groups.warming
         self.mark_changed = groups.mark_changed
@@ -49,12 +63,12 @@
         self.warming_workers = groups.warming_workers
 
     def begin_step(self) -> None:
-        """Regroup changed workers and find the slow ones, which are excluded unless most workers are slow."""
+        """Regroup changed workers, and exclude the slow ones unless more than half of all are slow."""
         groups = self.groups
         groups.sync()
         groups.min_reported_load = -math.inf
         reported = self._individual_reported()
-        max_slowness = self.limits.slow
+        max_slowness = self.limits.slow_log_ratio
         self.slow = {
             worker
             for worker in reported
@@ -72,21 +86,21 @@
         groups.not_slow = (
             [worker for worker in reported if worker not in self.slow] if self.slow else reported
         )
-        if len(self.tables.queued) > 1:  # the minimum pays off from the second request on
+        if len(self.inputs.queued) > 1:  # computing the minimum pays off from the second request on
             loads = [key.load for key in groups.by_key if key.is_reported]
             loads += [self.load(worker) for worker in reported]
             groups.min_reported_load = min(loads, default=math.inf)
 
     def _is_healthy(self, worker: Worker) -> bool:
-        """Return True where an individual worker is healthy; in a large fleet all individual ones are."""
+        """Return True if an individual worker is healthy; in a large fleet all individual workers are."""
         groups = self.groups
-        return not groups.is_small_fleet or groups.healthy_from_ns(worker) <= self.tables.now_ns
+        return not groups.is_small_fleet or groups.healthy_from_ns(worker) <= self.inputs.now_ns
 
     def _individual_reported(self) -> list[Worker]:
         """Return the healthy individual workers with a recent report."""
-        recent = self.tables.recently_reported
+        recent = self.inputs.recently_reported
         groups = self.groups
-        reported = [worker for number, worker in groups.individual.items() if number in recent]
+        reported = [worker for worker_id, worker in groups.individual.items() if worker_id in recent]
         if not groups.is_small_fleet:
             return reported
         return [worker for worker in reported if worker.free_slots is not None and self._is_healthy(worker)]
@@ -99,7 +113,7 @@
         return groups.not_slow
 
     def all_healthy_reported(self) -> list[Worker]:
-        """Return the healthy workers with a recent report that are not slow, in the order of the reports."""
+        """Return the healthy, not slow workers with a recent report, in the order of the reports."""
         grouped = [
             worker for key, group in self.groups.by_key.items() if key.is_reported for worker in group.members
         ]
@@ -107,30 +121,30 @@
 
     def timetable(self, worker: Worker) -> Timetable:
         """Return the expected use of the worker's slots and memory over time."""
-        return worker_timetable(worker, self.tables, self.expected_run_ns)
+        return worker_timetable(worker, self.inputs, self.expected_run_ns)
 
     def utilization(self, workers: list[Worker]) -> float:
-        """Return the fraction of the workers' slots that is in use."""
+        """Return the fraction of the workers' slots that are in use."""
         free = sum(max(0.0, -self.load(worker)) for worker in workers)
         return 1 - free / max(1.0, free, sum(worker.estimated_slots for worker in workers))
 
     def probed_workers(self) -> list[Worker]:
         """Return the workers with a health check in flight.
 
-        These are the ones with a recent report; where there are none, the listed ones.
+        Only workers with a recent report are returned, or listed workers if there are none of those.
         """
-        recent = self.tables.recently_reported
+        recent = self.inputs.recently_reported
         groups = self.groups
         if groups.is_small_fleet:
             return [worker for worker in recent.values() if worker.probe_pending] or [
                 worker for worker in groups.ready if worker.probe_pending
             ]
-        return [worker for number, worker in groups.probing.items() if number in recent] or [
+        return [worker for worker_id, worker in groups.probing.items() if worker_id in recent] or [
             worker for worker in groups.probing.values() if worker.list_position >= 0
         ]
 
     def eligible(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[Worker]:
-        """Return all listed workers that may run the job, in list order, whatever their load and health."""
+        """Return all listed workers that may run the job, in list order, regardless of load and health."""
         ready = self.groups.ready
         if _is_bound_to_cell(job):
             return [worker for worker in ready if is_eligible(worker)]
@@ -146,9 +160,11 @@
         ]
 
     def reported_candidates(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[CandidateGroup]:
-        """Return the workers with a recent report that have room for the job and may run it.
+        """Return the workers with a recent report and free capacity that may run the job.
 
-        is_eligible: whether the job may run at a worker, apart from load and memory.
+        Args:
+            job: the job.
+            is_eligible: returns whether a worker may run the job, regardless of load and memory.
         """
         self.groups.sync()
         slots = job.request.slots
@@ -156,18 +172,18 @@
             return []
         candidates = self._grouped_candidates(job, is_eligible)
         memory = job.request.memory
-        now_ns = self.tables.now_ns
+        now_ns = self.inputs.now_ns
         for worker in self._not_slow():
             load = self.load(worker)
             if load + slots > MAX_CANDIDATE_LOAD or not is_eligible(worker) or not has_memory(worker, memory):
                 continue
-            is_fresh = now_ns - worker.reported_ns <= self.limits.fresh_ns
+            is_fresh = now_ns - worker.reported_ns <= self.limits.fresh_max_age_ns
             in_subset = worker in self.groups.subset
             candidates.append(CandidateGroup([worker], load, True, is_fresh, in_subset, True))
         return candidates
 
     def _grouped_candidates(self, job: Job, is_eligible: Callable[[Worker], bool]) -> list[CandidateGroup]:
-        """Return the groups with a recent report that have room for the job and may run it."""
+        """Return the groups with a recent report and free capacity that may run the job."""
         is_bound_to_cell = job.possibly_executed is not None and _is_bound_to_cell(job)
         slots = job.request.slots
         memory = job.request.memory
@@ -177,11 +193,11 @@
             if not key.is_reported or key.load + slots > MAX_CANDIDATE_LOAD:
                 continue
             members = group.members
-            if is_bound_to_cell:  # members of a group may be of different cells
+            if is_bound_to_cell:  # members of a group may be in different cells
                 members = [worker for worker in members if is_eligible(worker)]
             elif not _is_group_eligible(results, group, is_eligible):
                 continue
-            if key.memory is not None and memory > key.memory:  # the key has whole units only
+            if key.memory is not None and memory > key.memory:  # the key is rounded down to whole units
                 members = [worker for worker in members if has_memory(worker, memory)]
             if members:
                 candidates.append(CandidateGroup(members, key.load, True, key.is_fresh, key.in_subset))
@@ -199,10 +215,10 @@
                 continue
             if _is_group_eligible(results, group, is_eligible):
                 candidates.append(CandidateGroup(group.members, load, False))
-        now_ns = self.tables.now_ns
-        recent = self.tables.recently_reported
-        for number, worker in self.groups.individual.items():
-            if number in recent or not self._is_healthy(worker):
+        now_ns = self.inputs.now_ns
+        recent = self.inputs.recently_reported
+        for worker_id, worker in self.groups.individual.items():
+            if worker_id in recent or not self._is_healthy(worker):
                 continue
             if worker.probe_pending and now_ns < worker.next_probe_ns:
                 continue
@@ -212,7 +228,7 @@
 
 
 def _is_bound_to_cell(job: Job) -> bool:
-    """Return True where the job may have run, and may be repeated only in the cell of that attempt."""
+    """Return True if the job may have been executed and may be repeated only in the cell of that attempt."""
     return (
         job.possibly_executed is not None
         and job.class_settings.deduplication_scope is DeduplicationScope.CELL
@@ -222,7 +238,10 @@
 def _is_group_eligible(
     results: dict[tuple[int, int], bool], group: WorkerGroup, is_eligible: Callable[[Worker], bool]
 ) -> bool:
-    """Return whether the job may run in a group; results: by kind and zone, which alone decide it."""
+    """Return whether the members of a group may run the job.
+
+    Eligibility depends only on machine kind and zone, so `results` caches it by both.
+    """
     kind_and_zone = group.key.kind, group.key.zone
     if (result := results.get(kind_and_zone)) is None:
         result = results[kind_and_zone] = is_eligible(group.members[0])
--- a/weldquay/candidates/inputs.py
+++ b/weldquay/candidates/inputs.py
@@ -1,4 +1,4 @@
-"""What the index of candidates reads of the decisions, and their limits for it."""
+"""The state and the limits that the candidate index reads from the decision module."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class CandidateInputs:
-    """What the index reads of the decisions.
+    """The state that the candidate index reads from the decision module.
 
-    The decisions renew `now_ns`, `settings`, `ready_workers`, `subset` and `mean_slots` before each
-    `CandidateIndex.begin_step`. The other fields are the decisions' own containers.
+    The decision module updates `now_ns`, `settings`, `ready_workers`, `subset` and `mean_slots` before each
+    call of `CandidateIndex.begin_step`. The other fields are containers that it shares with the index.
 
     Attributes:
         settings: the settings in force.
-        queued: requests that wait for a worker, by request id.
-        workers: the workers by number.
-        reinstated: numbers of workers whose ban was lifted and that have got no request since.
-        recently_reported: workers whose load report counts, oldest report first.
+        queued: requests without a worker, by request id.
+        workers: all known workers, by number.
+        reinstated: numbers of the workers whose ban was lifted and that have not been sent a request since.
+        recently_reported: workers with a valid load report, by number, oldest report first.
         scheduler: the reservations.
         runtimes: learned running times.
         mean_slots: mean capacity of a worker, in slots.
         now_ns: time of the step, in nanoseconds.
-        ready_workers: workers that may be used, in the order of the list; a new list at each change.
-        subset: those of them that this dispatcher prefers.
+        ready_workers: usable workers in the order of the endpoint list; a new list object at each change.
+        subset: the ready workers that this dispatcher prefers.
     """
 
     settings: Settings
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateLimits:
-    """Limits of the decisions that the index applies.
+    """Limits of the decision module that the candidate index applies.
 
     Attributes:
-        fresh_ns: maximum age of a fresh load report.
-        start_ns: an attempt that has not started this long after it was sent waits in a queue.
-        cover_ns: added on both sides where running times are compared.
-        slow: logarithm of how many times slower than its kind a worker is left out.
-        doubt: failure score above which a worker gets only requests that may run twice.
+        fresh_max_age_ns: maximum age of a load report that is used without a health check.
+        queued_after_ns: an attempt without a reported start counts as queued this long after it was sent.
+        runtime_tolerance_ns: added to both running times when they are compared.
+        slow_log_ratio: logarithm of the running time relative to the kind's, from which a worker is slow.
+        max_failure_score: above it a worker is sent only requests that may be executed twice.
     """
 
-    fresh_ns: int
-    start_ns: int
-    cover_ns: int
-    slow: float
-    doubt: float
+    fresh_max_age_ns: int
+    queued_after_ns: int
+    runtime_tolerance_ns: int
+    slow_log_ratio: float
+    max_failure_score: float
--- a/weldquay/candidates/queue_order.py
+++ b/weldquay/candidates/queue_order.py
@@ -1,4 +1,4 @@
-"""The order of queued requests. A computed priority is kept for as long as it holds."""
+"""The order of the queued requests, with priorities cached until they become invalid."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 
 
 class QueueContext(Protocol):
-    """What the order reads of a step: its time and the dispatcher's end, both in ns, and the settings."""
+    """The state of a step that the order depends on.
+
+    Attributes:
+        now_ns: time of the step, in nanoseconds.
+        shutdown_ns: when the dispatcher shuts down, in nanoseconds.
+        settings: the settings in force.
+    """
 
     now_ns: int
     shutdown_ns: float
@@ -22,7 +28,7 @@
 
 
 class QueueOrder:
-    """Sorts the queue by priority."""
+    """Sorts the queued requests by priority."""
 
     def __init__(
         self,
@@ -31,15 +37,15 @@
         queued: dict[int, Job],
         priority: Callable[[Job], float],
     ) -> None:
-        """Sort `queued`, in which requests stand in the order in which they were queued.
+        """Order the given queue.
 
         Args:
             context: the step.
-            runtimes: its version shows that learned running times have changed.
-            queued: the queue, by request id.
+            runtimes: learned running times; a new version invalidates priorities that depend on them.
+            queued: the queued requests by request id, in the order in which they were queued.
             priority: returns the priority of a request, and sets its `latest_start_ns` and
-                `priority_valid_until_ns`. It depends on the settings, on the dispatcher's end and, for a
-                request without a hint, on learned running times.
+                `priority_valid_until_ns`. It depends on the settings, on the time of the shutdown and, for a
+                request without a runtime hint, on learned running times.
         """
         self.context = context
         self.runtimes = runtimes
@@ -49,7 +55,7 @@
         self.shutdown_ns = context.shutdown_ns
 
     def ranked(self) -> list[Job]:
-        """Return the queue, highest priority first; of equals the one that was queued first."""
+        """Return the queued requests by descending priority; ties keep the order of the queue."""
         context = self.context
         now_ns, version, jobs = context.now_ns, self.runtimes.version, list(self.queued.values())
         if context.settings is not self.settings or context.shutdown_ns != self.shutdown_ns:
--- a/weldquay/candidates/runtime_bounds.py
+++ b/weldquay/candidates/runtime_bounds.py
@@ -1,25 +1,35 @@
-"""Lower bounds of estimated running times, so that moments computed from them are not too late."""
+"""Lower bounds of estimated running times.
+
+Rechecks are scheduled by these bounds so that they are never late.  They have to be rescheduled only when an
+estimate falls below its bound, instead of at each new sample.
+"""
 
 from __future__ import annotations
 
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.state.records import Attempt
 
-BOUND_FRACTION = 0.9  # of an estimate at the moment its bound is set
-MAX_ESTIMATE_RATIO = 1.3  # of an estimate and its bound, above which the bound is raised
+BOUND_FRACTION = 0.9  # a bound is set to this fraction of the estimate
+MAX_ESTIMATE_RATIO = 1.3  # of an estimate to its bound; above it the bound is raised
 
 
 class RuntimeLowerBounds:
-    """Lower bounds of the mean running time of each class and of the relative running time of each kind."""
+    """Lower bounds of the mean running time by class, and of the relative running time by machine kind.
+
+    Attributes:
+        runtimes: the estimates.
+        mean_ns: bound of the mean running time by class, in nanoseconds.
+        relative_runtimes: bound of the relative running time by machine kind.
+    """
 
     def __init__(self, runtimes: RuntimeEstimator) -> None:
-        """runtimes: the estimates; its `updated` is cleared by `update`."""
+        """Start without bounds; `update` clears `runtimes.updated`."""
         self.runtimes = runtimes
         self.mean_ns: dict[int, float] = {}
         self.relative_runtimes: dict[int, float] = {}
 
     def update(self) -> bool:
-        """Apply the estimates that have changed; return True where one has fallen below its bound."""
+        """Process the changed estimates; return True if one has fallen below its bound."""
         has_fallen = False
         for job_class, kind in self.runtimes.updated:
             has_fallen |= _update_bound(self.mean_ns, job_class, self.runtimes.mean_ns[job_class])
@@ -41,7 +51,7 @@
 
 
 def _update_bound(bounds: dict[int, float], key: int, estimate: float) -> bool:
-    """Update the bound of one estimate; return True where the estimate was below it."""
+    """Update the bound of one estimate; return True if the estimate was below it."""
     bound = bounds.get(key)
     if bound is None or estimate < bound or estimate > MAX_ESTIMATE_RATIO * bound:
         bounds[key] = BOUND_FRACTION * estimate
