--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,8 @@
-"""The index of candidates finds the same workers as a scan of all, and draws have the same distribution."""
+"""Tests of the candidate index.
+
+The index finds the same workers as a scan of all workers, and draws over groups have the same distribution as
+draws over single workers.
+"""
 
 from __future__ import annotations
 
@@ -31,16 +35,16 @@
 @settings(derandomize=True)
 @given(GROUPS, st.floats(2, 400))
 def test_water_fill_over_groups_equals_water_fill_over_members(
-    groups: list[tuple[int, float, int]], m: float
+    groups: list[tuple[int, float, int]], arrivals: float
 ) -> None:
-    """Theorem 4 over groups gives each member the share that it has without groups."""
+    """Theorem 4, applied to groups, gives each member the same share as without groups."""
     loads = [float(load) for load, _, _ in groups]
     rates = [rate for _, rate, _ in groups]
     counts = [count for _, _, count in groups]
-    grouped = water_fill(loads, m, rates, counts)
+    grouped = water_fill(loads, arrivals, rates, counts)
     plain = water_fill(
         [load for load, _, count in groups for _ in range(count)],
-        m,
+        arrivals,
         [rate for _, rate, count in groups for _ in range(count)],
     )
     member_shares = [share for share, count in zip(grouped, counts, strict=True) for _ in range(count)]
@@ -49,7 +53,10 @@
 
 
 def usable_workers(dispatcher: Dispatcher) -> list[Worker]:
-    """Scan all workers: healthy, with a recent report, and not slow unless most are."""
+    """Return, by a scan of all workers, those that are healthy and have a recent report.
+
+    Slow workers are excluded unless most workers are slow.
+    """
     reported = [
         worker
         for worker in dispatcher.table.recently_reported.values()
@@ -65,8 +72,8 @@
     return not_slow if 2 * len(not_slow) >= len(reported) else reported
 
 
-def check(dispatcher: Dispatcher, number: int) -> None:
-    """Compare what the index returns for a request with a scan of all workers."""
+def check_index(dispatcher: Dispatcher, number: int) -> None:
+    """Compare the results of the index for a request, which varies by number, with scans of all workers."""
     now_ns = dispatcher.context.now_ns
     request = api.RequestReceived(0, number % 3, 5_000_000_000, float(1 + number % 2), float(number % 5))
     job_class = dispatcher.settings.classes[number % 3]
@@ -78,7 +85,7 @@
 
 
 def check_reported(dispatcher: Dispatcher, job: Job) -> None:
-    """The workers with a recent report, and those of them that may run the job."""
+    """Check the workers with a recent report, and those of them that may run the job."""
     index = dispatcher.parts.index
     settings = dispatcher.settings
     workers = usable_workers(dispatcher)
@@ -105,7 +112,7 @@
 
 
 def check_unreported(dispatcher: Dispatcher, job: Job) -> None:
-    """The workers without a recent report that may run the job."""
+    """Check the workers without a recent report that may run the job."""
     unreported = {
         worker.entry.worker
         for worker in dispatcher.ready_workers
@@ -122,7 +129,7 @@
 
 
 def check_warming_and_probed(dispatcher: Dispatcher) -> None:
-    """The workers that are warming up, and those with a health check in flight."""
+    """Check the workers that are warming up, and those with a health check in flight."""
     index = dispatcher.parts.index
     warming = [
         worker
@@ -139,12 +146,16 @@
     ("workers", "dispatchers", "probes"), [(30, 1, False), (30, 1, True), (40, 12, True), (120, 60, True)]
 )
 def test_the_index_finds_the_same_workers_as_a_scan(workers: int, dispatchers: int, probes: bool) -> None:
-    """In calm, without room, with late reports, a lost zone, warming workers, changed lists, queued jobs."""
+    """After each step of every phase of `benchmarks.script`.
+
+    The phases have normal load, full workers, a lost zone, late load reports, workers that are warming up,
+    changes of the endpoint list, a worker that leaves and returns repeatedly, and queued requests.
+    """
     script = Script(workers, dispatchers, probes, seed=5, held=10)
 
     def checked_step(dispatcher: Dispatcher, now_ns: int, events: list[api.Event]) -> list[api.Action]:
         actions = dispatcher.step(now_ns, events)
-        check(dispatcher, script.steps)
+        check_index(dispatcher, script.steps)
         return actions
 
     script.around = checked_step
@@ -154,7 +165,7 @@
 
 
 def test_draws_over_groups_are_distributed_like_draws_over_members(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Chi-squared test of 20,000 draws among 90 workers against the shares without groups."""
+    """A chi-squared test compares 20,000 draws among 90 workers with the shares without groups."""
     script = Script(90, 1, False, seed=3)
     dispatcher = script.dispatcher
     dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
@@ -183,19 +194,25 @@
 
 
 def test_state_of_departed_workers_is_discarded() -> None:
-    """After a hundred lists of 40 new workers each, with unanswered health checks, one list remains."""
+    """Guards against unbounded growth when the endpoint list changes often.
+
+    Of a hundred lists with 40 new workers each, only the state of the last one remains, although some health
+    checks are never answered.
+    """
     script = Script(40, 1, True, seed=2)
     dispatcher = script.dispatcher
     index = dispatcher.parts.index
     groups = index.groups
-    for day in range(1, 101):
-        entries = tuple(api.WorkerEntry(1000 * day + n, api.WorkerState.READY, start_id=n) for n in range(40))
+    for update in range(1, 101):
+        entries = tuple(
+            api.WorkerEntry(1000 * update + n, api.WorkerState.READY, start_id=n) for n in range(40)
+        )
         script.now += 20_000_000_000
         dispatcher.step(
             script.now, [api.EndpointListUpdate(api.EndpointListKind.FULL, entries), *script.call()]
         )
-        for entry in entries[day % 4 :]:
-            report = api.LoadReport(float(day % 3), 8.0, 1.0)
+        for entry in entries[update % 4 :]:
+            report = api.LoadReport(float(update % 3), 8.0, 1.0)
             dispatcher.step(script.now, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)])
         dispatcher.step(script.now, script.call())
         index.begin_step()
@@ -208,8 +225,8 @@
     assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
 
 
-def test_the_calendar_keeps_the_earliest_moment_of_a_worker() -> None:
-    """A later moment is not noted while an earlier one is ahead; an earlier one replaces a later one."""
+def test_the_calendar_keeps_the_earliest_recheck_of_a_worker() -> None:
+    """A later recheck is not added to a pending earlier one; an earlier one replaces a later one."""
     worker = Worker(api.WorkerEntry(3, api.WorkerState.READY))
     calendar = RecheckCalendar()
     calendar.schedule(worker, 0, math.inf)
@@ -223,7 +240,7 @@
 
 
 def test_lower_bounds_report_estimates_that_fall_below_them() -> None:
-    """A bound is 0.9 of the estimate at first; an estimate above that is no fall, one below it is."""
+    """A bound is first set to 0.9 of the estimate; only an estimate below the bound is reported."""
     runtimes = RuntimeEstimator([1_000_000_000])
     bounds = RuntimeLowerBounds(runtimes)
     job_class = Script(1, 1, False, seed=1).dispatcher.settings.classes[0]
