--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -26,7 +26,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from weldquay.fleet.hashing import mix
+from weldquay.fleet.hashing import mix64
 from weldquay.fleet.subset import MIN_DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE, subset
 
 FLEETS = (
@@ -52,14 +52,14 @@
 
 def rendezvous(workers: Sequence[int], dispatcher: int, dispatchers: int) -> list[int]:
     """Return the workers whose hash with the dispatcher is highest."""
-    salt, size = mix(dispatcher + 1), size_of(len(workers), dispatchers)
-    return sorted(range(len(workers)), key=lambda offset: mix(workers[offset] ^ salt))[:size]
+    salt, size = mix64(dispatcher + 1), size_of(len(workers), dispatchers)
+    return sorted(range(len(workers)), key=lambda offset: mix64(workers[offset] ^ salt))[:size]
 
 
 def rings(workers: Sequence[int], dispatcher: int, dispatchers: int) -> list[int]:
     """Return those that follow the dispatcher's position on a ring of workers in the order of their hash."""
     count, size = len(workers), size_of(len(workers), dispatchers)
-    order = sorted(range(count), key=lambda offset: mix(workers[offset]))
+    order = sorted(range(count), key=lambda offset: mix64(workers[offset]))
     begin = dispatcher * count // dispatchers
     return [order[(begin + step) % count] for step in range(size)]
 
@@ -67,7 +67,7 @@
 def hashed_rings(workers: Sequence[int], dispatcher: int, dispatchers: int) -> list[int]:
     """Return those that follow a fixed angle; a new worker changes only the subsets that contain it."""
     count, size = len(workers), size_of(len(workers), dispatchers)
-    hashes = [mix(worker) for worker in workers]
+    hashes = [mix64(worker) for worker in workers]
     order = sorted(range(count), key=hashes.__getitem__)
     angle = dispatcher * 2**64 // dispatchers
     begin = next((place for place, offset in enumerate(order) if hashes[offset] >= angle), 0)
@@ -81,7 +81,7 @@
         return list(range(count))
     groups = 2 ** int(math.log2(count // size))
     number, place = divmod(dispatcher, groups)
-    hashes = [mix(worker ^ (number + 1) * 0xD1B54A32D192ED03) for worker in workers]
+    hashes = [mix64(worker ^ (number + 1) * 0xD1B54A32D192ED03) for worker in workers]
     order = sorted(range(count), key=hashes.__getitem__)
     begin = place * 2**64 // groups
     end = (place + 1) * 2**64 // groups
--- a/weldquay/fleet/hashing.py
+++ b/weldquay/fleet/hashing.py
@@ -5,7 +5,7 @@
 MASK = 2**64 - 1
 
 
-def mix(value: int) -> int:
+def mix64(value: int) -> int:
     """Return a 64-bit hash of a number (the finalizer of SplitMix64, Steele et al. 2014)."""
     value &= MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
--- a/weldquay/fleet/slow_start.py
+++ b/weldquay/fleet/slow_start.py
@@ -22,7 +22,7 @@
 from functools import lru_cache
 from itertools import islice
 
-from weldquay.fleet.hashing import MASK, mix
+from weldquay.fleet.hashing import MASK, mix64
 
 SLICES_PER_WINDOW = 2
 MIN_SHARE_JOBS = 0.9  # jobs of mean work, from which on an equal part of the budget is useful
@@ -136,7 +136,9 @@
     send_slots = slice_budget_ns / slot_ns
     overcommit = _overcommit(worker, slot_ns, send_slots)
     # A fraction of a slot is a whole one with that probability, the same throughout the slice.
-    fraction_hash = mix(mix(start_id ^ _FRACTION_SALT) ^ mix(slice_number << 32 | worker.dispatcher_index))
+    fraction_hash = mix64(
+        mix64(start_id ^ _FRACTION_SALT) ^ mix64(slice_number << 32 | worker.dispatcher_index)
+    )
     limit = math.ceil(send_slots * MAX_OVERCOMMIT)
     position = rank(start_id, slice_number, worker.dispatcher_index, worker.dispatcher_count, limit)
     has_slot = position + fraction_hash / (MASK + 1) < send_slots * overcommit
@@ -162,7 +164,7 @@
 
     limit: ranks from it on are returned as it, which needs fewer hashes.
     """
-    salt = mix(start_id * 0x9E3779B97F4A7C15 + slice_number)
-    own = (mix(salt ^ dispatcher_index), dispatcher_index)
-    ahead = (other for other in range(dispatcher_count) if (mix(salt ^ other), other) < own)
+    salt = mix64(start_id * 0x9E3779B97F4A7C15 + slice_number)
+    own = (mix64(salt ^ dispatcher_index), dispatcher_index)
+    ahead = (other for other in range(dispatcher_count) if (mix64(salt ^ other), other) < own)
     return sum(1 for _ in islice(ahead, limit))
--- a/weldquay/fleet/subset.py
+++ b/weldquay/fleet/subset.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from functools import lru_cache
 
-from weldquay.fleet.hashing import mix
+from weldquay.fleet.hashing import mix64
 
 MIN_SUBSET_SIZE = 5  # workers: enough that a dispatcher finds one with room
 MIN_DISPATCHERS_PER_WORKER = 3
@@ -21,7 +21,7 @@
 
 @lru_cache(maxsize=16384)  # computed for each worker at each change of the list
 def _hash_in_round(worker: int, round_number: int) -> int:
-    return mix(worker ^ (round_number + 1) * _ROUND_SALT)
+    return mix64(worker ^ (round_number + 1) * _ROUND_SALT)
 
 
 def subset(workers: Sequence[int], dispatcher_index: int, dispatcher_count: int) -> list[int]:
