--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -220,4 +220,4 @@
         for worker in drive.worker_ids:
             drive.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     assert drive.dispatcher.workers[1].slowness[0] == 0.0
-    assert drive.dispatcher.parts.runtimes.service[0][1] == 18  # the three warm ones, six times
+    assert drive.dispatcher.parts.runtimes.service_time_logs[0][1] == 18  # the three warm ones, six times
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -27,7 +27,7 @@
         self.gaps_ns = 0.0
         self.renewals = 0.0
 
-    def learn(self, gap_ns: int, is_new: bool) -> None:
+    def record_report(self, gap_ns: int, is_new: bool) -> None:
         """Learn from a report that came `gap_ns` after the worker's last one, with new figures or the same.
 
         Gaps longer than the interval are ignored.
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -30,7 +30,7 @@
         self.mean_ns: list[float] = []
         self.mean_logs: list[float | None] = []
         self.slowness: dict[int, tuple[float, int]] = {}
-        self.service: dict[int, tuple[float, int]] = {}
+        self.service_time_logs: dict[int, tuple[float, int]] = {}
         self.offered: list[bool] = []
         self.version = 0
         self.updated: set[tuple[int, int]] = set()
@@ -75,9 +75,9 @@
             slowness: its slowness so far, a logarithm, which weighs as much as the report.
         """
         value = math.log(max(1.0, service_ms))
-        mean, samples = self.service.get(kind, (value, 0))
+        mean, samples = self.service_time_logs.get(kind, (value, 0))
         rate = max(LEARNING_RATE, 1 / (samples + 1))
-        self.service[kind] = (mean + (value - mean) * rate, samples + 1)
+        self.service_time_logs[kind] = (mean + (value - mean) * rate, samples + 1)
         return (slowness + value - mean) / 2 if samples >= KIND_PRIOR_SAMPLES else slowness
 
     def mean_runtime_ns(self) -> float:
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -47,7 +47,7 @@
         now_ns = self.context.now_ns
         gap_ns, is_new = now_ns - worker.reported_ns, report != worker.report
         if worker.report is not None:
-            self.interval.learn(gap_ns, is_new)
+            self.interval.record_report(gap_ns, is_new)
         worker.reported_ns = now_ns
         if is_new:
             self._apply_new(worker, report, gap_ns)
