--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -350,7 +350,7 @@
     path = tmp_path / "room.json"
     path.write_bytes(text)
     with pytest.raises(reservation_settings.ReservationSettingsError) as caught:
-        reservation_settings.read(path)
+        reservation_settings.read_settings(path)
     assert message in str(caught.value) and "\n" not in str(caught.value) and str(path) in str(caught.value)
 
 
@@ -358,14 +358,14 @@
     """It does not exist, or is a directory."""
     for path in (tmp_path / "absent", tmp_path):
         with pytest.raises(reservation_settings.ReservationSettingsError, match="cannot be read"):
-            reservation_settings.read(path)
+            reservation_settings.read_settings(path)
 
 
 def test_the_deployed_file_has_every_key_with_its_default() -> None:
     """Operators find all keys in it."""
     path = Path(__file__).parents[1] / "deploy" / "room.json"
-    assert reservation_settings.read(path) == reservation_settings.ReservationSettings()
-    assert set(json.loads(path.read_text())) == set(reservation_settings.KEYS.values())
+    assert reservation_settings.read_settings(path) == reservation_settings.ReservationSettings()
+    assert set(json.loads(path.read_text())) == set(reservation_settings.EXTERNAL_KEYS.values())
 
 
 def test_the_external_keys_are_mapped_explicitly() -> None:
@@ -382,8 +382,10 @@
         "most_hint_error",
         "most_waiting",
     ]
-    assert list(reservation_settings.KEYS.values()) == keys
-    assert list(reservation_settings.KEYS) == list(reservation_settings.ReservationSettings.__struct_fields__)
+    assert list(reservation_settings.EXTERNAL_KEYS.values()) == keys
+    assert list(reservation_settings.EXTERNAL_KEYS) == list(
+        reservation_settings.ReservationSettings.__struct_fields__
+    )
     values = [False, 3, 0.25, 7, 1.5, 2.5, 0.5, 3.5, 0.75, 5.5]
-    read = reservation_settings.check(dict(zip(keys, values, strict=True)), "room")
-    assert [getattr(read, field) for field in reservation_settings.KEYS] == values
+    read = reservation_settings.parse_settings(dict(zip(keys, values, strict=True)), "room")
+    assert [getattr(read, field) for field in reservation_settings.EXTERNAL_KEYS] == values
--- a/weldquay/adapter.py
+++ b/weldquay/adapter.py
@@ -127,7 +127,7 @@
             # Imported only if used: its library takes memory.
             from weldquay.reservations import settings as reservation_settings
 
-            reservations = reservation_settings.read(Path(path))
+            reservations = reservation_settings.read_settings(Path(path))
         serve(sys.stdin.buffer, sys.stdout.buffer, reservations)
     except (wire.WireError, ValueError) as error:
         print(f"weldquay: {error}", file=sys.stderr)
--- a/weldquay/lab/reservation_experiment.py
+++ b/weldquay/lab/reservation_experiment.py
@@ -103,7 +103,7 @@
 
 
 def _run_virtual(plan: Plan) -> RunResult:
-    reservations = reservation_settings.read(Path(plan.settings_path)) if plan.arm == "on" else None
+    reservations = reservation_settings.read_settings(Path(plan.settings_path)) if plan.arm == "on" else None
     documents = [
         loads.settings(plan.dispatchers, dispatcher_index=index) for index in range(plan.dispatchers)
     ]
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -165,7 +165,7 @@
     # Imported only if used: its library takes memory.
     from weldquay.reservations import settings as reservation_settings
 
-    return reservation_settings.read_file(Path(path))
+    return reservation_settings.read_document(Path(path))
 
 
 def _reservations(document: dict[str, Any]) -> ReservationSettings | None:
@@ -175,7 +175,7 @@
         return None
     from weldquay.reservations import settings as reservation_settings
 
-    return reservation_settings.check(settings, "room")
+    return reservation_settings.parse_settings(settings, "room")
 
 
 def load_saved(environ: Mapping[str, str], document: object) -> Config | None:
--- a/weldquay/reservations/settings.py
+++ b/weldquay/reservations/settings.py
@@ -21,7 +21,7 @@
 
 
 # The external key of each field.
-KEYS = {
+EXTERNAL_KEYS = {
     "is_enabled": "on",
     "min_slots": "least_slots",
     "max_reserved_fraction": "most_held",
@@ -35,7 +35,9 @@
 }
 
 
-class ReservationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=KEYS):
+class ReservationSettings(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=EXTERNAL_KEYS
+):
     """When capacity is reserved, and how much.  Each key is optional.
 
     min_slots: of a job that capacity is reserved for; max_reserved_fraction: of the usable workers;
@@ -67,16 +69,16 @@
     ] = 4.0
 
 
-def read(path: Path) -> ReservationSettings:
+def read_settings(path: Path) -> ReservationSettings:
     """Return the settings of a file.
 
     Raises:
         ReservationSettingsError: the file cannot be read, or its content is invalid.
     """
-    return check(read_file(path), str(path))
+    return parse_settings(read_document(path), str(path))
 
 
-def read_file(path: Path) -> dict[str, Any]:
+def read_document(path: Path) -> dict[str, Any]:
     """Return the validated content of a file, by external keys.
 
     Raises:
@@ -93,11 +95,11 @@
         document: dict[str, Any] = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ReservationSettingsError(f"{path}: not valid JSON: {error}") from None
-    check(document, str(path))  # also that it is a JSON object
+    parse_settings(document, str(path))  # also that it is a JSON object
     return document
 
 
-def check(document: object, name: str) -> ReservationSettings:
+def parse_settings(document: object, name: str) -> ReservationSettings:
     """Return the settings of a decoded JSON object; name: stands first in the error's message.
 
     Raises:
