--- a/weldquay/estimators/__init__.py
+++ b/weldquay/estimators/__init__.py
@@ -1,1 +1,4 @@
-"""Estimators of the site's behaviour, from what a dispatcher observes. No I/O, no clock, no randomness."""
+"""Estimators of workers and networks, learned from what a dispatcher observes.
+
+The package does no I/O, reads no clock and draws no random numbers.
+"""
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -1,39 +1,43 @@
-"""How often workers refresh their load reports."""
+"""Learn how often workers refresh their load reports."""
 
 from __future__ import annotations
 
 INITIAL_INTERVAL_NS = 1_000_000_000
 MIN_INTERVAL_NS = 300_000_000
 MAX_INTERVAL_NS = 2_000_000_000
-PRIOR_WEIGHT = 4.0  # new reports that the initial interval counts for
-RETENTION = 0.99  # weight that earlier reports keep at each further one
+PRIOR_WEIGHT = 4.0  # the initial interval counts as this many new reports
+DECAY_FACTOR = 0.99  # of the weight of earlier reports, at each further one
 
 
 class ReportIntervalEstimator:
-    """Learns the interval from the fraction of reports that are new when they follow another one soon.
+    """Learns the refresh interval from the fraction of reports that contain new figures.
 
-    A report that follows the last one of the same worker after a gap within the interval is new with
-    probability gap/interval. So the interval is the sum of the gaps over the number of new reports. A
-    dispatcher that sees a worker rarely has few such gaps, hence the prior.
+    Of two successive reports of a worker with a gap no longer than the interval, the second one is new with
+    probability gap/interval. So the interval is estimated as the sum of these gaps over the number of new
+    reports. A dispatcher that rarely gets reports of a worker has few short gaps, so a prior is added.
 
     Attributes:
-        ns: the interval, in nanoseconds.
-        gaps_ns: weighted sum of the gaps, in nanoseconds.
-        renewals: weighted number of new reports.
+        ns: the estimated interval, in nanoseconds.
+        gap_sum_ns: weighted sum of the gaps, in nanoseconds.
+        new_report_count: weighted number of new reports.
     """
 
     def __init__(self) -> None:
         self.ns = float(INITIAL_INTERVAL_NS)
-        self.gaps_ns = 0.0
-        self.renewals = 0.0
+        self.gap_sum_ns = 0.0
+        self.new_report_count = 0.0
 
     def record_report(self, gap_ns: int, is_new: bool) -> None:
-        """Learn from a report that came `gap_ns` after the worker's last one, with new figures or the same.
+        """Learn from a load report.
 
-        Gaps longer than the interval are ignored.
+        Args:
+            gap_ns: time since the worker's previous report; ignored if longer than the interval.
+            is_new: the figures differ from those of the previous report.
         """
         if gap_ns <= self.ns:
-            self.gaps_ns = RETENTION * self.gaps_ns + gap_ns
-            self.renewals = RETENTION * self.renewals + is_new
-            interval_ns = (self.gaps_ns + PRIOR_WEIGHT * INITIAL_INTERVAL_NS) / (self.renewals + PRIOR_WEIGHT)
+            self.gap_sum_ns = DECAY_FACTOR * self.gap_sum_ns + gap_ns
+            self.new_report_count = DECAY_FACTOR * self.new_report_count + is_new
+            interval_ns = (self.gap_sum_ns + PRIOR_WEIGHT * INITIAL_INTERVAL_NS) / (
+                self.new_report_count + PRIOR_WEIGHT
+            )
             self.ns = min(max(interval_ns, MIN_INTERVAL_NS), MAX_INTERVAL_NS)
