--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -16,7 +16,7 @@
 from tests.helpers import MS, SECOND
 from weldquay import interface as api
 from weldquay.estimators.runtime import RuntimeEstimator
-from weldquay.fleet.slow_start import SlowStartPolicy, WarmingWorker, rank, remaining_budget_ns
+from weldquay.fleet.slow_start import SlowStartPolicy, WarmingWorker, remaining_budget_ns, rendezvous_rank
 from weldquay.lab import load as loads
 from weldquay.lab import model
 from weldquay.lab.virtual_time import Fault, Scenario, Simulation
@@ -277,7 +277,7 @@
                 age_ns,
                 dispatcher,
                 1 + int(draw.lognormvariate(-0.4, 0.9) * mean_s * SECOND),
-                known_ns=max(0, processes.began_ns[dispatcher]),
+                recorded_since_ns=max(0, processes.began_ns[dispatcher]),
                 mean_work_ns=mean_s * SECOND,
                 expected_requests=rate * weights[dispatcher] / sum(weights),
             )
@@ -308,7 +308,7 @@
     mean_ns = 50 * MS
     fleet = Fleet(dispatcher_count, [7], capacity=64.0)
     for dispatcher in range(dispatcher_count):
-        for known_ns, begin_ns in ((0, SECOND), (1200 * MS, 1300 * MS)):
+        for recorded_since_ns, begin_ns in ((0, SECOND), (1200 * MS, 1300 * MS)):
             fleet.own.clear()
             for age_ns in range(begin_ns, begin_ns + 600):
                 fleet.try_send(
@@ -316,7 +316,7 @@
                     age_ns,
                     dispatcher,
                     mean_ns,
-                    known_ns=known_ns,
+                    recorded_since_ns=recorded_since_ns,
                     mean_work_ns=float(mean_ns),
                     expected_requests=MANY,
                 )
@@ -381,9 +381,9 @@
 
 def test_a_process_does_not_use_a_send_slot_of_the_slice_it_started_in() -> None:
     """An earlier process of the dispatcher may have used the slot."""
-    holder = next(dispatcher for dispatcher in range(40) if rank(7, 3, dispatcher, 40) == 0)
-    for known_ns, may_send in ((3200 * MS, False), (3000 * MS, True)):
-        warming = WarmingWorker(7, 3500 * MS, CAPACITY, holder, 40, known_ns, mean_work_ns=MEAN_NS)
+    holder = next(dispatcher for dispatcher in range(40) if rendezvous_rank(7, 3, dispatcher, 40) == 0)
+    for recorded_since_ns, may_send in ((3200 * MS, False), (3000 * MS, True)):
+        warming = WarmingWorker(7, 3500 * MS, CAPACITY, holder, 40, recorded_since_ns, mean_work_ns=MEAN_NS)
         assert (remaining_budget_ns(POLICY, warming, deque()) > 0) is may_send
 
 
@@ -432,7 +432,9 @@
     """Over many slices each dispatcher is first about as often."""
     first_counts = [0] * dispatcher_count
     for slice_number in range(64 * 20):
-        ranks = [rank(9, slice_number, index, dispatcher_count) for index in range(dispatcher_count)]
+        ranks = [
+            rendezvous_rank(9, slice_number, index, dispatcher_count) for index in range(dispatcher_count)
+        ]
         assert sorted(ranks) == list(range(dispatcher_count))
         first_counts[ranks.index(0)] += 1
         if slice_number == 20 and dispatcher_count == 64:
