--- a/weldquay/reservations/__init__.py
+++ b/weldquay/reservations/__init__.py
@@ -1,7 +1,7 @@
 """Reservations of worker capacity for jobs that need several slots, by EASY backfill (Lifka 1995).
 
-`BackfillScheduler` reserves a worker for a large job and decides which other jobs may run there first.
-`Timetable` estimates when a worker has free slots and memory.  `settings` reads the operators' file.
+`BackfillScheduler` reserves workers for large jobs and decides which other jobs may run there before them.
+`Timetable` estimates when a worker has free slots and memory.  `settings` reads the operators' settings file.
 
-The package does no I/O beyond that file, reads no clock and draws no random numbers.
+Apart from reading that file, the package does no I/O.  It reads no clock and draws no random numbers.
 """
--- a/weldquay/reservations/placement.py
+++ b/weldquay/reservations/placement.py
@@ -1,4 +1,4 @@
-"""Judge where and when a request for capacity can be placed, and whether a reservation pays."""
+"""Rules for placements: whether, where and when a reservation for a request is worthwhile."""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 from weldquay.reservations.records import CapacityRequest, Reservation, ReservationEndReason, WorkerOffer
 from weldquay.reservations.timetable import ExpectedStart
 
-START_TOLERANCE_NS = 5_000_000  # a job that is expected to start within this time is sent at once
-PREEMPTION_RATIO = 1.5  # of priority weights, from which a request takes over another's reservation
-SCARCITY_EXPONENT = 4  # other work misses a slot in proportion to the utilization to this power
+START_TOLERANCE_NS = 5_000_000  # a job whose expected start is within this time is sent now
+PREEMPTION_RATIO = 1.5  # of priority weights, at which a request takes over the reservation of another
+SCARCITY_EXPONENT = 4  # other work is short of a slot in proportion to the utilization to this power
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """An offer with the expected start of the job there, and its expected end in ns from now."""
+    """A worker with the expected start and end of the job there.
+
+    Attributes:
+        offer: the worker.
+        start: the expected start.
+        end_ns: the expected end, in nanoseconds from now.
+    """
 
     offer: WorkerOffer
     start: ExpectedStart
@@ -31,9 +37,14 @@
     worker_count: int,
     queued_count: int,
 ) -> ReservationEndReason | None:
-    """Return why nothing may be reserved for the request at present, None where it may be.
-
-    hint_error: mean deviation of the logarithm of hints; queued_count: requests without a worker.
+    """Return why nothing may be reserved for the request now; None if a reservation is allowed.
+
+    Args:
+        settings: the settings of reservations.
+        request: the request.
+        hint_error: mean absolute deviation of the logarithm of actual over hinted running times.
+        worker_count: number of usable workers.
+        queued_count: number of requests without a worker.
     """
     if not request.has_hint:
         return ReservationEndReason.NO_HINT
@@ -45,7 +56,7 @@
 
 
 def may_take_over(request: CapacityRequest, reservation: Reservation) -> bool:
-    """Return True where the reservation is the request's own or that of a request of far lower priority."""
+    """Return True if the reservation is the request's own, or that of a request of much lower priority."""
     return (
         reservation.request == request.request
         or request.priority_weight >= PREEMPTION_RATIO * reservation.priority_weight
@@ -59,11 +70,17 @@
     utilization: float,
     mean_slot_value: float,
 ) -> bool:
-    """Return True where the job is worth more than what the slots would run otherwise.
+    """Return True if the value of the job exceeds the opportunity cost of the slots.
+
+    Slots that are idle until the start cost in proportion to the utilization. Slots that the job itself uses
+    have a significant cost only if nearly all slots are in use.
 
-    utilization: fraction of the fleet's slots in use; mean_slot_value: mean priority weight of sent jobs.
-    Slots that stay idle until the start cost in proportion to the utilization.  Slots that the job itself
-    uses cost only where nearly all slots are in use.
+    Args:
+        settings: the settings of reservations.
+        request: the request.
+        start: the expected start of the job.
+        utilization: fraction of the fleet's slots in use.
+        mean_slot_value: mean priority weight of sent jobs, per nanosecond of a slot.
     """
     slot_ns = request.slots * request.run_ns
     lost_slot_ns = utilization * start.idle_slot_ns + utilization**SCARCITY_EXPONENT * slot_ns
@@ -71,23 +88,26 @@
 
 
 def joins_queue(settings: ReservationSettings, placement: Placement, traffic_fraction: float) -> bool:
-    """Return True where the start is near enough for the job to join the worker's queue.
+    """Return True if the expected start is near enough for the job to join the worker's queue.
 
-    traffic_fraction: of the workers' traffic, this dispatcher's own.
+    Args:
+        settings: the settings of reservations.
+        placement: the worker and the expected start.
+        traffic_fraction: fraction of the workers' traffic that comes from this dispatcher.
     """
     start = placement.start
-    # Without idle slots before the start nobody can delay it, so that the choice can stay open.
+    # If no slots are idle before the start, other jobs cannot delay it, so the decision can wait.
     lead = settings.queue_fraction * (1 - traffic_fraction) if start.idle_slot_ns > 0 else 0.0
     return start.wait_ns <= START_TOLERANCE_NS + lead * placement.offer.run_ns
 
 
 def max_reservations(settings: ReservationSettings, worker_count: int) -> float:
-    """Return how many reservations may exist at once, one at least."""
+    """Return the maximum number of concurrent reservations, which is at least one."""
     return min(settings.max_reservations, max(1.0, settings.max_reserved_fraction * worker_count))
 
 
 def create_reservation(now_ns: int, request: CapacityRequest, placement: Placement) -> Reservation:
-    """Return a new reservation by a placement."""
+    """Return a new reservation for a placement."""
     start_ns = now_ns + placement.start.wait_ns
     return Reservation(
         request=request.request,
--- a/weldquay/reservations/records.py
+++ b/weldquay/reservations/records.py
@@ -1,4 +1,4 @@
-"""Requests for capacity, offers of workers, reservations and how they end."""
+"""Records of capacity requests, offered workers, reservations and their results."""
 
 from __future__ import annotations
 
@@ -10,28 +10,34 @@
 
 
 class ReservationEndReason(Enum):
-    """Why a reservation ended."""
+    """Why a reservation ended. The values appear in logs and counters."""
 
-    PLACED = "placed"  # sent to a worker that had room
+    PLACED = "placed"  # sent to a worker with free capacity
     QUEUED = "queued"  # sent to the reserved worker's queue
-    TOO_LATE = "too_late"  # no worker can end the job in time any more
-    DELAYED = "slipped"  # the expected start has moved by more than the settings allow
-    MOVED = "moved"  # another worker ends the job much sooner
+    TOO_LATE = "too_late"  # no worker can complete the job in time any more
+    DELAYED = "slipped"  # the expected start was delayed by more than the settings allow
+    MOVED = "moved"  # another worker is expected to complete the job much earlier
     PREEMPTED = "outbid"  # taken over by a request of higher priority
-    WORKER_UNAVAILABLE = "worker_out"
+    WORKER_UNAVAILABLE = "worker_out"  # the worker is not usable any more
     NO_HINT = "no_hint"  # the request has no runtime hint
-    INACCURATE_HINTS = "bad_hints"
+    INACCURATE_HINTS = "bad_hints"  # the mean error of runtime hints is too large
     OVERLOAD = "overload"  # too many requests are queued
-    REQUEST_ENDED = "job_over"
-    RECONFIGURED = "reload"
+    REQUEST_ENDED = "job_over"  # the request was answered or cancelled
+    RECONFIGURED = "reload"  # other settings apply
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityRequest:
     """A queued request that needs several slots.
 
-    run_ns: expected running time on a machine of mean speed; max_end_ns: time from now by which the job has
-    to end; priority_weight: for each nanosecond of a slot.
+    Attributes:
+        request: the request id.
+        slots: slots that the job needs.
+        memory: units of memory that the job needs.
+        run_ns: expected running time on a machine of mean speed, in nanoseconds.
+        max_end_ns: deadline of the job, in nanoseconds from now.
+        priority_weight: value of the job per nanosecond of a slot.
+        has_hint: the client sent a runtime hint.
     """
 
     request: int
@@ -45,9 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """The load of the workers that may be used.
+    """The load of the usable workers.
 
-    utilization: fraction of their slots in use; queued_count: requests without a worker.
+    Attributes:
+        worker_count: number of usable workers.
+        utilization: fraction of their slots in use.
+        queued_count: number of requests without a worker.
     """
 
     worker_count: int
@@ -57,7 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackfillJob:
-    """A job that may run beside a reservation; run_ns: expected running time at the worker."""
+    """A job that is a candidate for backfilling a reserved worker.
+
+    Attributes:
+        request: the request id.
+        slots: slots that the job needs.
+        memory: units of memory that the job needs.
+        run_ns: expected running time at the worker, in nanoseconds.
+    """
 
     request: int
     slots: float
@@ -67,7 +83,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerOffer:
-    """A worker that may run the job, with the job's expected running time there."""
+    """A worker that may run the job.
+
+    Attributes:
+        worker: the worker's number.
+        run_ns: expected running time of the job at the worker, in nanoseconds.
+        timetable: computes the worker's timetable.
+    """
 
     worker: int
     run_ns: float
@@ -76,7 +98,22 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """Capacity of a worker that is reserved for a request; all times but run_ns are moments."""
+    """Capacity of a worker that is reserved for a request.
+
+    All times except `run_ns` are points in time on the clock of the caller, in nanoseconds.
+
+    Attributes:
+        request: the request id.
+        worker: the worker's number.
+        slots: reserved slots.
+        memory: reserved units of memory.
+        priority_weight: priority weight of the request.
+        created_ns: when the reservation was created.
+        start_ns: currently expected start of the job.
+        first_start_ns: expected start when the reservation was created.
+        expires_ns: deadline of the job when the reservation was created.
+        run_ns: expected running time of the job at the worker, in nanoseconds.
+    """
 
     request: int
     worker: int
@@ -84,13 +121,13 @@
     memory: float
     priority_weight: float
     created_ns: int
-    start_ns: float  # as expected now
-    first_start_ns: float  # as expected at creation
+    start_ns: float
+    first_start_ns: float
     expires_ns: float
     run_ns: float
 
     def result(self, now_ns: int, reason: ReservationEndReason) -> ReservationResult:
-        """Return how the reservation ended that ends now."""
+        """Return the result of the reservation, which ends now."""
         return ReservationResult(
             request=self.request,
             worker=self.worker,
@@ -104,8 +141,13 @@
 class ReservationResult:
     """How a reservation ended.
 
-    reason: value of a ReservationEndReason; reserved_ns: its duration; delay_ns: from the start that was
-    expected at first to the end of the reservation, negative where it ended before.
+    Attributes:
+        request: the request id.
+        worker: the worker's number.
+        reason: value of a `ReservationEndReason`.
+        reserved_ns: duration of the reservation, in nanoseconds.
+        delay_ns: time from the first expected start of the job to the end of the reservation, in nanoseconds;
+            negative if the reservation ended earlier.
     """
 
     request: int
--- a/weldquay/reservations/scheduler.py
+++ b/weldquay/reservations/scheduler.py
@@ -1,14 +1,15 @@
-"""Reserve workers for jobs that need several slots, and admit other jobs beside them.
+"""Reserve workers for jobs that need several slots, and backfill them with other jobs.
 
 This is EASY backfill (Lifka 1995) for workers that are shared with dispatchers that do not communicate.  A
-reservation keeps only this dispatcher's jobs away, and admits those that do not delay the reserved start.
-Jobs of other dispatchers are kept away by the worker's own queue: shortly before the expected start the job
-is sent, and is then the first in that queue.  A dispatcher without peers does not send early.
+reservation blocks only this dispatcher's jobs, except for those that do not delay the reserved start.  Jobs
+of other dispatchers are blocked by the worker's own queue: shortly before the expected start, the job is sent
+and is then first in that queue.  A dispatcher without peers does not send early.
 
-A request has at most one reservation, and so has a worker.  A reservation that is taken over by a request of
-higher priority is not returned, so that requests cannot wait for each other in a cycle.
+A request has at most one reservation, and a worker is reserved for at most one request.  A reservation that
+was taken over by a request of higher priority is not returned, so that requests cannot wait for each other in
+a cycle.
 
-All `now_ns` parameters are moments of the caller's clock.
+All `now_ns` parameters are points in time on the clock of the caller, in nanoseconds.
 """
 
 from __future__ import annotations
@@ -50,12 +51,25 @@
 ]
 
 MOVE_RATIO = 0.7  # of expected ends, below which a reservation moves to another worker
-SAMPLE_WEIGHT = 0.05  # of a new sample in exponential means, for a send: for each second of slot time
-MAX_SEND_WEIGHT = 0.2
+SAMPLE_WEIGHT = 0.05  # of a new sample in an exponential mean; of a send, per second of slot time
+MAX_SEND_WEIGHT = 0.2  # of one send
 
 
 class BackfillScheduler:
-    """The reservations of one dispatcher."""
+    """The reservations of one dispatcher.
+
+    Attributes:
+        settings: when capacity is reserved; None: never.
+        traffic_fraction: fraction of the workers' traffic that counts as this dispatcher's.
+        by_request: the reservations by request id.
+        by_worker: the same by worker number.
+        results: reservations that have ended since the last `take_results`.
+        changed_workers: workers that were reserved or released; `weldquay/candidates` clears it.
+        counts: number of decisions by kind.
+        mean_slot_value: mean priority weight of sent jobs, per nanosecond of a slot.
+        hint_bias: mean logarithm of actual over hinted running times.
+        hint_error: mean absolute deviation of that logarithm.
+    """
 
     def __init__(
         self,
@@ -65,18 +79,21 @@
     ) -> None:
         """Start without reservations.
 
-        settings: None where nothing is reserved; serves_in_order: workers serve queues in order of arrival.
+        Args:
+            settings: when capacity is reserved; None: never.
+            dispatcher_count: number of dispatchers that share the workers.
+            serves_in_order: workers serve their queues in order of arrival.
         """
         self.settings = settings
         self.traffic_fraction = _traffic_fraction(dispatcher_count, serves_in_order)
         self.by_request: dict[int, Reservation] = {}
         self.by_worker: dict[int, Reservation] = {}
         self.results: list[ReservationResult] = []
-        self.changed_workers: set[int] = set()  # reserved or released; cleared by weldquay/candidates
+        self.changed_workers: set[int] = set()
         self.counts: Counter[str] = Counter()
-        self.mean_slot_value = 0.0  # mean priority weight of sent jobs, for each ns of a slot
-        self.hint_bias = 0.0  # mean logarithm of actual over hinted running times
-        self.hint_error = 0.0  # mean absolute deviation of that logarithm
+        self.mean_slot_value = 0.0
+        self.hint_bias = 0.0
+        self.hint_error = 0.0
 
     def reconfigure(
         self,
@@ -85,24 +102,33 @@
         dispatcher_count: int,
         serves_in_order: bool = True,
     ) -> None:
-        """Apply other settings and end all reservations."""
+        """Apply new settings, which ends all reservations."""
         for reservation in list(self.by_request.values()):
             self._end(now_ns, reservation, ReservationEndReason.RECONFIGURED)
         self.settings = settings
         self.traffic_fraction = _traffic_fraction(dispatcher_count, serves_in_order)
 
     def handles(self, slots: float) -> bool:
-        """Return True where capacity is reserved for jobs of this many slots."""
+        """Return True if capacity is reserved for jobs with this many slots."""
         settings = self.settings
         return settings is not None and settings.is_enabled and slots >= settings.min_slots
 
     def record_send(self, priority_weight: float, slot_ns: float) -> None:
-        """Update the mean value of a slot with a job that was sent; slot_ns: slots times running time."""
+        """Update the mean value of a slot with a job that was sent.
+
+        Args:
+            priority_weight: value of the job per nanosecond of a slot.
+            slot_ns: its slots times its expected running time, in nanoseconds.
+        """
         weight = min(MAX_SEND_WEIGHT, SAMPLE_WEIGHT * slot_ns / 1e9) if self.mean_slot_value else 1.0
         self.mean_slot_value += weight * (priority_weight - self.mean_slot_value)
 
     def record_runtime(self, error: float) -> None:
-        """Update the accuracy of hints; error: logarithm of a job's actual running time over its hint."""
+        """Update the bias and the accuracy of runtime hints.
+
+        Args:
+            error: logarithm of a job's actual over its hinted running time.
+        """
         self.hint_error += SAMPLE_WEIGHT * (abs(error - self.hint_bias) - self.hint_error)
         self.hint_bias += SAMPLE_WEIGHT * (error - self.hint_bias)
 
@@ -113,9 +139,10 @@
         offers: Iterable[WorkerOffer],
         load: FleetLoad,
     ) -> int | None:
-        """Reserve a worker for a request that found none with room, or update its reservation.
+        """Reserve a worker for a request that no worker has free capacity for, or update its reservation.
 
-        Returns the worker whose queue the job joins now, None where it waits.
+        Returns:
+            The worker whose queue the job joins now; None if the job waits.
         """
         settings = self.settings
         if settings is None:
@@ -139,7 +166,7 @@
         placement: Placement,
         worker_count: int,
     ) -> int | None:
-        """Create, update or end the reservation; return the worker whose queue the job joins now."""
+        """Create, update or end the reservation; return the worker whose queue the job joins now, if any."""
         reservation = self.by_request.get(request.request)
         if reservation is not None and reservation.worker != placement.offer.worker:
             self._end(now_ns, reservation, ReservationEndReason.MOVED)
@@ -169,7 +196,7 @@
         offers: Iterable[WorkerOffer],
         utilization: float,
     ) -> Placement | None:
-        """Return the placement with the earliest end; the reserved one unless another is much better."""
+        """Return the placement with the earliest end, or the reserved one unless that is much later."""
         reservation = self.by_request.get(request.request)
         best: Placement | None = None
         current: Placement | None = None
@@ -194,6 +221,7 @@
         return best
 
     def _reserve(self, now_ns: int, request: CapacityRequest, placement: Placement) -> None:
+        """Create a reservation, which takes over an existing one of the worker."""
         worker = placement.offer.worker
         self._end(now_ns, self.by_worker.get(worker), ReservationEndReason.PREEMPTED)
         reservation = create_reservation(now_ns, request, placement)
@@ -209,7 +237,7 @@
         worker: int,
         timetable: Callable[[], Timetable],
     ) -> bool:
-        """Return True where a job at the worker does not delay the start of another request's reservation."""
+        """Return True if the job does not delay the reserved start of another request at the worker."""
         reservation = self.by_worker.get(worker)
         if reservation is None or reservation.request == job.request:
             return True
@@ -221,7 +249,7 @@
         return after.wait_ns <= max(before.wait_ns, reservation.start_ns - now_ns)
 
     def expire(self, now_ns: int, is_usable: Callable[[int], bool]) -> None:
-        """End the reservations that have expired, and those of workers that are not usable any more."""
+        """End the reservations that have expired or whose worker is not usable any more."""
         for reservation in list(self.by_request.values()):
             if not is_usable(reservation.worker):
                 self._end(now_ns, reservation, ReservationEndReason.WORKER_UNAVAILABLE)
@@ -229,17 +257,18 @@
                 self._end(now_ns, reservation, ReservationEndReason.TOO_LATE)
 
     def cancel(self, now_ns: int, request: int, reason: str) -> None:
-        """End the reservation of a request, if there is one; reason: value of a ReservationEndReason."""
+        """End the reservation of a request, if there is one; `reason` is a `ReservationEndReason` value."""
         if (reservation := self.by_request.get(request)) is not None:
             self._end(now_ns, reservation, ReservationEndReason(reason))
 
     def take_results(self) -> list[ReservationResult]:
-        """Return the reservations that have ended since the last call."""
+        """Return the results of the reservations that have ended since the last call."""
         results = self.results
         self.results = []
         return results
 
     def _end(self, now_ns: int, reservation: Reservation | None, reason: ReservationEndReason) -> None:
+        """End a reservation, if there is one, and record its result."""
         if reservation is None:
             return
         del self.by_request[reservation.request]
@@ -250,9 +279,9 @@
 
 
 def _traffic_fraction(dispatcher_count: int, serves_in_order: bool) -> float:
-    """Return the fraction of the workers' traffic that reservations are to regard as this dispatcher's own.
+    """Return the fraction of the workers' traffic that counts as this dispatcher's.
 
-    A queue that is not served in order keeps no slots free, so that joining it early is of no use: then the
-    fraction is that of a dispatcher without peers.
+    Without in-order service, a job that joins a worker's queue early holds no slots, so joining early is
+    useless. The fraction is then that of a dispatcher without peers, which never joins early.
     """
     return 1.0 / max(1, dispatcher_count) if serves_in_order else 1.0
--- a/weldquay/reservations/timetable.py
+++ b/weldquay/reservations/timetable.py
@@ -1,11 +1,11 @@
 """Estimate when a worker will have free slots and memory.
 
-A dispatcher has an expected running time for each of its own attempts, and the worker's load report, which is
-late and does not name the dispatchers whose jobs use the slots.  Jobs of other dispatchers are modelled as
-jobs of one slot with exponentially distributed running times: of n such jobs with a given mean, the i-th is
-expected to end after mean * (1/n + 1/(n-1) + ...), i terms.
+A dispatcher knows the expected running time of each of its own attempts, and the worker's load report.  The
+report is delayed and does not tell which dispatchers' jobs use the slots.  Jobs of other dispatchers are
+modelled as jobs of one slot with exponentially distributed running times: of n such jobs with a given mean,
+the i-th is expected to end after mean * (1/n + 1/(n-1) + ...), i terms.
 
-All times are nanoseconds from now.
+All times are in nanoseconds from now.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from dataclasses import dataclass
 
 NEVER = math.inf
-OVERDUE_FRACTION = 0.5  # an overdue job is expected to run on for this fraction of its age
-MIN_REMAINING_FRACTION = 0.05  # of the expected running time: lower bound of what remains of a job
-ROUNDING_TOLERANCE = 1e-6  # slots or units of memory lost in floating-point sums
+OVERDUE_FRACTION = 0.5  # expected remaining time of an overdue job, as a fraction of its age
+MIN_REMAINING_FRACTION = 0.05  # minimum remaining time, as a fraction of the expected running time
+ROUNDING_TOLERANCE = 1e-6  # slots or units of memory; allows for rounding errors in sums
 
 
 @dataclass(frozen=True, slots=True)
 class RunningJob:
-    """A job that runs at the worker, with its expected remaining time."""
+    """A job that is running at the worker, with its expected remaining time."""
 
     remaining_ns: float
     slots: float
@@ -41,9 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnAttempt:
-    """An attempt of this dispatcher: its expected running time at the worker, and its age.
+    """An attempt of this dispatcher at the worker.
 
-    age_ns is negative where the attempt has not started.
+    Attributes:
+        run_ns: expected running time at the worker.
+        age_ns: time since the start; negative if the attempt has not started.
+        slots: slots that the job needs.
+        memory: units of memory that the job needs.
     """
 
     run_ns: float
@@ -56,8 +60,9 @@
 class ExpectedStart:
     """The expected start of a job.
 
-    wait_ns: time until the start, NEVER where the worker is too small; idle_slot_ns: slots times the time for
-    which they are idle until then.
+    Attributes:
+        wait_ns: time until the start; `NEVER` if the worker is too small.
+        idle_slot_ns: idle slots, integrated over the time until the start.
     """
 
     wait_ns: float
@@ -65,7 +70,7 @@
 
 
 class Timetable:
-    """Slots and memory of one worker from now on; its queue is served in order of arrival."""
+    """The expected use of one worker's slots and memory; its queue is served in order of arrival."""
 
     def __init__(
         self,
@@ -74,7 +79,14 @@
         running: Sequence[RunningJob],
         queued: Sequence[QueuedJob] = (),
     ) -> None:
-        """slots, memory: the worker's total capacity."""
+        """Describe a worker.
+
+        Args:
+            slots: total slots.
+            memory: total units of memory.
+            running: the running jobs.
+            queued: the queued jobs, in order of arrival.
+        """
         self.slots = slots
         self.memory = memory
         self.running = running
@@ -83,7 +95,7 @@
     def earliest_start(
         self, slots: float, memory: float = 0.0, extra: Sequence[QueuedJob] = ()
     ) -> ExpectedStart:
-        """Return when a job would start that joins the queue behind all others and behind `extra`."""
+        """Return the expected start of a job that joins the end of the queue, after the jobs in `extra`."""
         if slots > self.slots + ROUNDING_TOLERANCE or memory > self.memory + ROUNDING_TOLERANCE:
             return ExpectedStart(NEVER, 0.0)
         free_slots = self.slots - sum(job.slots for job in self.running)
@@ -124,9 +136,14 @@
 ) -> Timetable:
     """Estimate a worker's timetable from its load report and this dispatcher's attempts.
 
-    used_slots, used_memory: needs of all its jobs, queued ones included, by the last load report and what was
-    sent since; mean_run_ns: mean running time at this worker.  What the own attempts do not need is
-    attributed to other dispatchers.
+    Usage that is not due to own attempts is attributed to other dispatchers.
+
+    Args:
+        slots: capacity of the worker, in slots and also in units of memory.
+        own_attempts: the attempts of this dispatcher.
+        used_slots: slots that running and queued jobs need, by the last load report and later sends.
+        used_memory: units of memory that these jobs need.
+        mean_run_ns: mean running time at this worker.
     """
     running = [
         RunningJob(remaining_ns(attempt.run_ns, attempt.age_ns), attempt.slots, attempt.memory)
@@ -148,16 +165,20 @@
 
 
 def remaining_ns(run_ns: float, age_ns: float) -> float:
-    """Return the expected remaining time of a job of this age.
+    """Return the expected remaining time of a job.
+
+    For an overdue job, which has run for longer than expected, the remaining time grows with its age.
 
-    run_ns: its expected running time.  Once the job has run for longer, what remains grows with its age.
+    Args:
+        run_ns: the expected running time.
+        age_ns: time since the start.
     """
     overdue_ns = OVERDUE_FRACTION * age_ns if age_ns > run_ns else 0.0
     return max(run_ns - age_ns, overdue_ns, MIN_REMAINING_FRACTION * run_ns)
 
 
 def _other_dispatchers_jobs(count: int, mean_run_ns: float, memory: float) -> list[RunningJob]:
-    """Return the expected jobs of other dispatchers, of one slot each; memory: of each."""
+    """Return the modelled running jobs of other dispatchers, each with one slot and this much memory."""
     jobs = list[RunningJob]()
     end_ns = 0.0
     for still_running in range(count, 0, -1):
