--- a/weldquay/reservations/settings.py
+++ b/weldquay/reservations/settings.py
@@ -1,4 +1,4 @@
-"""Settings of reservations, read from the operators' JSON file and validated as a whole."""
+"""Settings of reservations, read from the operators' JSON file and validated."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class ReservationSettingsError(OperatorError, ValueError):
-    """The file cannot be used; the message is one line with the key, its value and the valid range."""
+    """The settings cannot be read or are invalid; the message is one line with key, value and valid range."""
 
     error_code = "figures-error"
-    remedy = "correct the key that is named; docs/room.md lists all of them with their bounds"
+    remedy = "correct the named key; docs/room.md lists all keys with their bounds"
 
 
-# The external key of each field.
+# The key of each field in the file.
 EXTERNAL_KEYS = {
     "is_enabled": "on",
     "min_slots": "least_slots",
@@ -40,32 +40,39 @@
 ):
     """When capacity is reserved, and how much.  Each key is optional.
 
-    min_slots: of a job that capacity is reserved for; max_reserved_fraction: of the usable workers;
-    max_reservations: at once; hint_margin: factor on the running times of backfilled jobs; max_delay: of the
-    expected start, in running times of the job; queue_fraction: of the job's running time, how long before
-    its start it joins the worker's queue; value_margin: required ratio of the job's value to the cost;
-    max_hint_error: natural logarithm, mean; max_queued_per_worker: requests without a worker.
+    Attributes:
+        is_enabled: capacity is reserved at all.
+        min_slots: minimum slots of a job that capacity is reserved for.
+        max_reserved_fraction: maximum fraction of the usable workers that are reserved.
+        max_reservations: maximum number of concurrent reservations.
+        hint_margin: safety factor on the running times of backfilled jobs.
+        max_delay: maximum delay of the expected start, as a multiple of the job's running time.
+        queue_fraction: maximum time before its start at which a job joins the worker's queue, as a multiple
+            of its running time.
+        value_margin: minimum ratio of the job's value to the cost of the reservation.
+        max_hint_error: maximum mean error of runtime hints, in natural logarithms.
+        max_queued_per_worker: maximum number of requests without a worker, per usable worker.
     """
 
     is_enabled: Annotated[bool, Meta(description="true or false")] = True
     min_slots: Annotated[float, Meta(ge=2, le=1024, description="a number of slots from 2 to 1024")] = 2.0
     max_reserved_fraction: Annotated[
-        float, Meta(gt=0, le=0.5, description="a part of the workers above 0, at most 0.5")
+        float, Meta(gt=0, le=0.5, description="a fraction of the workers above 0, at most 0.5")
     ] = 0.34
     max_reservations: Annotated[int, Meta(ge=1, le=256, description="a whole number from 1 to 256")] = 16
     hint_margin: Annotated[float, Meta(ge=1, le=10, description="a factor from 1 to 10")] = 1.25
     max_delay: Annotated[
-        float, Meta(gt=0, le=10, description="a part of the job's running time above 0, at most 10")
+        float, Meta(gt=0, le=10, description="a multiple of the job's running time above 0, at most 10")
     ] = 3.0
     queue_fraction: Annotated[
-        float, Meta(ge=0, le=10, description="a part of the job's running time from 0 to 10")
+        float, Meta(ge=0, le=10, description="a multiple of the job's running time from 0 to 10")
     ] = 1.0
     value_margin: Annotated[float, Meta(ge=0, le=100, description="a factor from 0 to 100")] = 2.0
     max_hint_error: Annotated[
         float, Meta(ge=0.1, le=5, description="a mean error in natural logarithms from 0.1 to 5")
     ] = 1.0
     max_queued_per_worker: Annotated[
-        float, Meta(gt=0, le=1000, description="jobs in hand without room for each worker, above 0")
+        float, Meta(gt=0, le=1000, description="a number of queued requests per worker above 0, at most 1000")
     ] = 4.0
 
 
@@ -79,7 +86,7 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """Return the validated content of a file, by external keys.
+    """Return the validated content of a file, by the keys of the file.
 
     Raises:
         ReservationSettingsError: the file cannot be read, or its content is invalid.
@@ -90,27 +97,31 @@
     except OSError as error:
         raise ReservationSettingsError(f"{path}: cannot be read: {error.strerror}") from None
     if len(data) > MAX_FILE_BYTES:
-        raise ReservationSettingsError(f"{path}: larger than {MAX_FILE_BYTES} bytes; it has but a few keys")
+        raise ReservationSettingsError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         document: dict[str, Any] = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ReservationSettingsError(f"{path}: not valid JSON: {error}") from None
-    parse_settings(document, str(path))  # also that it is a JSON object
+    parse_settings(document, str(path))  # raises unless it is a valid JSON object
     return document
 
 
 def parse_settings(document: object, name: str) -> ReservationSettings:
-    """Return the settings of a decoded JSON object; name: stands first in the error's message.
+    """Return the settings of a decoded JSON object.
+
+    Args:
+        document: the object.
+        name: source of the object, the first part of an error message.
 
     Raises:
         ReservationSettingsError: a key is unknown, or its value is of the wrong type or out of range.
     """
     if not isinstance(document, dict):
-        raise ReservationSettingsError(f"{name}: holds no JSON object")
+        raise ReservationSettingsError(f"{name}: not a JSON object")
     types = {field.encode_name: field.type for field in msgspec.structs.fields(ReservationSettings)}
     for key, value in document.items():
         if key not in types:
-            raise ReservationSettingsError(f"{name}: {key} is no key; there are {', '.join(types)}")
+            raise ReservationSettingsError(f"{name}: unknown key {key}; the keys are {', '.join(types)}")
         try:
             msgspec.convert(value, types[key])
         except msgspec.ValidationError:
