--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,7 @@
-"""Slow start: the work that all dispatchers together send stays within the budget, and uses much of it."""
+"""Tests of slow start over many dispatchers.
+
+The work that all dispatchers together send to a warming worker stays within its budget and uses much of it.
+"""
 
 from __future__ import annotations
 
@@ -27,47 +30,55 @@
 )
 CAPACITY = 4.0
 MEAN_NS = 500 * MS
-MANY = 1e6  # requests in a slice: more than there are send slots, so that none is overcommitted
+MANY_REQUESTS = 1e6  # expected requests in a slice: more than send slots, so that no slot is overcommitted
 
 
 Job = tuple[int, int, int]  # (age of the worker in ns, dispatcher, work in ns)
-Sent = list[tuple[int, int]]  # (age of the worker in ns, work in ns)
+SentWork = list[tuple[int, int]]  # (age of the worker in ns, work in ns)
 
 
 @dataclass
 class Fleet:
-    """What each dispatcher has sent to each warming worker, and all that each worker got."""
+    """The work that dispatchers have sent to warming workers.
+
+    Attributes:
+        dispatcher_count: number of dispatchers.
+        start_ids: identifies the start of each worker.
+        capacity: capacity of each warm worker, in nanoseconds of work per nanosecond.
+        own_sends: by dispatcher and worker, (age of the worker, work in ns) of each send.
+        worker_sends: by worker, the sends of all dispatchers.
+    """
 
     dispatcher_count: int
     start_ids: list[int]
     capacity: float = CAPACITY
-    own: dict[tuple[int, int], deque[tuple[int, float]]] = field(default_factory=dict)
-    sent: list[Sent] = field(init=False)
+    own_sends: dict[tuple[int, int], deque[tuple[int, float]]] = field(default_factory=dict)
+    worker_sends: list[SentWork] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Start with nothing sent."""
-        self.sent = [[] for _ in self.start_ids]
+        """Start without sends."""
+        self.worker_sends = [[] for _ in self.start_ids]
 
     def try_send(self, worker: int, age_ns: int, dispatcher: int, work_ns: int, **changes: Any) -> bool:
-        """Send a job where the dispatcher's remaining budget at the worker allows."""
-        own = self.own.setdefault((dispatcher, worker), deque())
+        """Send a job if the dispatcher's remaining budget allows it; return whether it was sent."""
+        own_sends = self.own_sends.setdefault((dispatcher, worker), deque())
         start_id = self.start_ids[worker]
         warming = WarmingWorker(start_id, age_ns, self.capacity, dispatcher, self.dispatcher_count, **changes)
-        if remaining_budget_ns(POLICY, warming, own) < work_ns:
+        if remaining_budget_ns(POLICY, warming, own_sends) < work_ns:
             return False
-        own.append((age_ns, float(work_ns)))
-        self.sent[worker].append((age_ns, work_ns))
+        own_sends.append((age_ns, float(work_ns)))
+        self.worker_sends[worker].append((age_ns, work_ns))
         return True
 
 
-def play(
+def send_jobs(
     dispatcher_count: int,
     jobs: list[Job],
     known_from_ns: list[int],
     start_id: int = 7,
-    expected_requests: float = MANY,
-) -> Sent:
-    """Return what is sent to one worker; known_from_ns: age at which each dispatcher learns of it."""
+    expected_requests: float = MANY_REQUESTS,
+) -> SentWork:
+    """Return the sends to one worker; known_from_ns: its age when each dispatcher learns of it."""
     fleet = Fleet(dispatcher_count, [start_id])
     for age_ns, dispatcher, work_ns in sorted(jobs):
         if age_ns >= known_from_ns[dispatcher]:
@@ -79,11 +90,11 @@
                 mean_work_ns=MEAN_NS,
                 expected_requests=expected_requests,
             )
-    return fleet.sent[0]
+    return fleet.worker_sends[0]
 
 
-def max_window_load(sent: Sent, capacity: float = CAPACITY, mean_ns: float = MEAN_NS) -> float:
-    """Return the work of the fullest window as a fraction of the overload threshold."""
+def max_window_load(sent: SentWork, capacity: float = CAPACITY, mean_ns: float = MEAN_NS) -> float:
+    """Return the maximum work of a window as a fraction of the overload threshold."""
     return max(
         (
             sum(work_ns for age_ns, work_ns in sent if begin_ns <= age_ns < begin_ns + POLICY.window_ns)
@@ -95,7 +106,7 @@
 
 
 def mean_capacity(capacity: float = CAPACITY) -> float:
-    """Return the mean capacity of a worker while it warms up, in ns of work a ns."""
+    """Return the mean capacity of a worker while it warms up, in nanoseconds of work per nanosecond."""
     return sum(POLICY.capacity_fraction(age_s * SECOND) for age_s in range(9)) / 9 * capacity
 
 
@@ -104,38 +115,40 @@
 def test_the_budget_is_kept_in_every_window_without_overcommitment(
     dispatcher_count: int, seed: int, skew: float, mean_s: float
 ) -> None:
-    """With uneven traffic, dispatchers that learn of the worker late, and far more jobs than may be sent."""
-    draw = random.Random(seed)
-    weights = [draw.random() ** skew + 1e-6 for _ in range(dispatcher_count)]
+    """Traffic is uneven, some dispatchers learn of the worker late, and many jobs exceed the budget."""
+    rng = random.Random(seed)
+    weights = [rng.random() ** skew + 1e-6 for _ in range(dispatcher_count)]
     jobs = [
         (
-            draw.randrange(POLICY.slow_start_ns),
-            draw.choices(range(dispatcher_count), weights)[0],
-            1 + int(draw.expovariate(1 / (mean_s * SECOND))),
+            rng.randrange(POLICY.slow_start_ns),
+            rng.choices(range(dispatcher_count), weights)[0],
+            1 + int(rng.expovariate(1 / (mean_s * SECOND))),
         )
         for _ in range(400)
     ]
-    known_from_ns = [draw.randrange(3 * SECOND) for _ in weights]
-    assert max_window_load(play(dispatcher_count, jobs, known_from_ns, seed)) < 1
+    known_from_ns = [rng.randrange(3 * SECOND) for _ in weights]
+    assert max_window_load(send_jobs(dispatcher_count, jobs, known_from_ns, seed)) < 1
 
 
-def skewed_traffic(
+def run_skewed_traffic(
     seed: int, worker_count: int, requests_per_s: float, skew: float
 ) -> tuple[list[float], float]:
-    """200 dispatchers with uneven traffic send to warming workers wherever they have a send slot.
+    """Let 200 dispatchers with uneven traffic send to warming workers wherever they have a send slot.
+
+    Nothing else limits the dispatchers, as load reports would.
 
-    Returns the load of each worker's fullest window, and the mean work that each got in ns a ns.  Nothing
-    else limits the dispatchers, as load reports would.
+    Returns:
+        The maximum window load of each worker, and the mean work per worker in nanoseconds per nanosecond.
     """
-    draw = random.Random(seed)
-    weights = [draw.lognormvariate(0, skew) for _ in range(200)]
-    fleet = Fleet(200, [draw.randrange(2**32) for _ in range(worker_count)])
+    rng = random.Random(seed)
+    weights = [rng.lognormvariate(0, skew) for _ in range(200)]
+    fleet = Fleet(200, [rng.randrange(2**32) for _ in range(worker_count)])
     request_count = int(requests_per_s * 8.9)
-    for age_ns in sorted(draw.randrange(POLICY.slow_start_ns) for _ in range(request_count)):
-        dispatcher = draw.choices(range(200), weights)[0]
-        work_ns = int(draw.lognormvariate(-0.8, 1.27) * SECOND)  # mean 1 s, standard deviation 2 s
+    for age_ns in sorted(rng.randrange(POLICY.slow_start_ns) for _ in range(request_count)):
+        dispatcher = rng.choices(range(200), weights)[0]
+        work_ns = int(rng.lognormvariate(-0.8, 1.27) * SECOND)  # mean 1 s, standard deviation 2 s
         expected = requests_per_s * weights[dispatcher] / sum(weights)
-        for worker in draw.sample(range(worker_count), worker_count):
+        for worker in rng.sample(range(worker_count), worker_count):
             if fleet.try_send(
                 worker,
                 age_ns,
@@ -146,9 +159,9 @@
                 warming_count=worker_count,
             ):
                 break
-    total_ns = sum(work_ns for sent in fleet.sent for _, work_ns in sent)
-    loads = [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.sent]
-    return loads, total_ns / worker_count / POLICY.slow_start_ns
+    total_ns = sum(work_ns for sent in fleet.worker_sends for _, work_ns in sent)
+    window_loads = [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.worker_sends]
+    return window_loads, total_ns / worker_count / POLICY.slow_start_ns
 
 
 @pytest.mark.parametrize(
@@ -157,19 +170,19 @@
 def test_overcommitted_send_slots_overload_no_worker(
     worker_count: int, requests_per_s: float, seeds: int
 ) -> None:
-    """With more requests than the workers can take, windows stay a quarter below the threshold."""
+    """With more requests than the workers can execute, windows stay a quarter below the threshold."""
     max_load = 0.0
     used = 0.0
     for seed in range(seeds):
-        loads, work = skewed_traffic(seed, worker_count, requests_per_s, 1.0)
-        max_load = max(max_load, *loads)
+        window_loads, work = run_skewed_traffic(seed, worker_count, requests_per_s, 1.0)
+        max_load = max(max_load, *window_loads)
         used += work / seeds
     assert max_load < 0.75
     assert used > 0.5 * mean_capacity() / 2
 
 
 class Burst(NamedTuple):
-    """Requests a second of a fleet, before and after a jump, and its workers."""
+    """A jump of the request rate of a fleet, in requests per second, and the fleet's workers."""
 
     warming_count: int
     usable_count: int
@@ -177,29 +190,29 @@
     rate_after: float
 
 
-def play_burst(seed: int, dispatcher_count: int, burst: Burst) -> list[float]:
-    """Return the load of each usable worker's fullest window where the requests a second jump at 3 s.
+def run_burst(seed: int, dispatcher_count: int, burst: Burst) -> list[float]:
+    """Return the maximum window load of each usable worker if the request rate jumps at 3 s.
 
-    A dispatcher's estimate of its rate lags by 5 s, requests wait up to 2 s, and more workers are warming up
-    than are usable.
+    A dispatcher's estimate of its rate decays with a time constant of 5 s, requests wait up to 2 s, and more
+    workers are warming up than are usable.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     jump_ns = 3 * SECOND
-    fleet = Fleet(dispatcher_count, [draw.randrange(2**32) for _ in range(burst.usable_count)])
+    fleet = Fleet(dispatcher_count, [rng.randrange(2**32) for _ in range(burst.usable_count)])
     rate = [burst.rate_before / dispatcher_count] * dispatcher_count
     updated_ns = [0] * dispatcher_count
-    queued: list[Sent] = [[] for _ in range(dispatcher_count)]
-    arrivals = [draw.randrange(jump_ns) for _ in range(int(burst.rate_before * 3))]
+    queued: list[SentWork] = [[] for _ in range(dispatcher_count)]
+    arrivals = [rng.randrange(jump_ns) for _ in range(int(burst.rate_before * 3))]
     after_count = int(burst.rate_after * (POLICY.slow_start_ns - jump_ns) / SECOND)
-    arrivals += [draw.randrange(jump_ns, POLICY.slow_start_ns) for _ in range(after_count)]
+    arrivals += [rng.randrange(jump_ns, POLICY.slow_start_ns) for _ in range(after_count)]
     for age_ns in sorted(arrivals):
-        dispatcher = draw.randrange(dispatcher_count)
+        dispatcher = rng.randrange(dispatcher_count)
         waiting = [request for request in queued[dispatcher] if age_ns - request[0] < 2 * SECOND]
-        waiting.append((age_ns, int(draw.lognormvariate(-0.8, 1.27) * SECOND)))
+        waiting.append((age_ns, int(rng.lognormvariate(-0.8, 1.27) * SECOND)))
         rate[dispatcher] *= math.exp((updated_ns[dispatcher] - age_ns) / (5 * SECOND))
         updated_ns[dispatcher] = age_ns
         for request in list(waiting):
-            for worker in draw.sample(range(burst.usable_count), burst.usable_count):
+            for worker in rng.sample(range(burst.usable_count), burst.usable_count):
                 if fleet.try_send(
                     worker,
                     age_ns,
@@ -213,78 +226,94 @@
                     waiting.remove(request)
                     break
         queued[dispatcher] = waiting
-    return [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.sent]
+    return [max_window_load(sent, mean_ns=float(SECOND)) for sent in fleet.worker_sends]
 
 
 @pytest.mark.parametrize("dispatcher_count", [20, 200, 410])
 @pytest.mark.parametrize("burst", [Burst(1, 1, 0, 400), Burst(60, 3, 200, 400)])
 def test_a_burst_overloads_no_warming_worker(dispatcher_count: int, burst: Burst) -> None:
-    """Requests come to all dispatchers before their rates show it, and few of the workers are usable."""
-    loads = [load for seed in range(2) for load in play_burst(seed, dispatcher_count, burst)]
-    assert 0.1 < max(loads) < 1
+    """The rate estimates of the dispatchers lag behind a burst, and few of the warming workers are usable."""
+    window_loads = [load for seed in range(2) for load in run_burst(seed, dispatcher_count, burst)]
+    assert 0.1 < max(window_loads) < 1
 
 
 @dataclass
 class Processes:
-    """The processes of a fleet's dispatchers: some join late, some are replaced while the worker warms up."""
+    """Dispatcher processes, of which some join late or are replaced while the worker warms up.
 
-    draw: random.Random
-    began_ns: list[int]
-    ends_ns: list[int]
+    Attributes:
+        rng: the random generator.
+        start_ns: age of the worker at the start of each process; -1: older than the worker, or has the record
+            of an older process.
+        end_ns: age of the worker at which each process ends.
+    """
+
+    rng: random.Random
+    start_ns: list[int]
+    end_ns: list[int]
 
     @classmethod
-    def drawn(cls, draw: random.Random, count: int) -> Processes:
-        """A third of the dispatchers join late; -1: the process has been there since the worker's start."""
-        began_ns = [draw.choice([-1, -1, draw.randrange(POLICY.slow_start_ns)]) for _ in range(count)]
-        return cls(draw, began_ns, [draw.randrange(POLICY.slow_start_ns) for _ in range(count)])
-
-    def replace_if_ended(self, dispatcher: int, age_ns: int, own: deque[tuple[int, float]]) -> None:
-        """Replace the process at its end; one of three hands its record over, the others lose it."""
-        if not age_ns >= self.ends_ns[dispatcher] > self.began_ns[dispatcher]:
+    def draw(cls, rng: random.Random, count: int) -> Processes:
+        """Draw processes, a third of which start late."""
+        start_ns = [rng.choice([-1, -1, rng.randrange(POLICY.slow_start_ns)]) for _ in range(count)]
+        return cls(rng, start_ns, [rng.randrange(POLICY.slow_start_ns) for _ in range(count)])
+
+    def replace_if_ended(self, dispatcher: int, age_ns: int, own_sends: deque[tuple[int, float]]) -> None:
+        """Replace the process at its end; a third of the processes hand over their record of sends."""
+        if not age_ns >= self.end_ns[dispatcher] > self.start_ns[dispatcher]:
             return
-        if self.draw.random() > 1 / 3:
-            own.clear()
-            self.began_ns[dispatcher] = self.ends_ns[dispatcher]
+        if self.rng.random() > 1 / 3:
+            own_sends.clear()
+            self.start_ns[dispatcher] = self.end_ns[dispatcher]
         else:
-            self.began_ns[dispatcher] = -1
-        self.ends_ns[dispatcher] = POLICY.slow_start_ns
+            self.start_ns[dispatcher] = -1
+        self.end_ns[dispatcher] = POLICY.slow_start_ns
 
 
-def restarts(
+def run_worker_starts(
     seed: int, dispatcher_count: int, mean_s: float, capacity: float, demand: float = 3.0
 ) -> tuple[list[float], float]:
-    """Four worker starts while processes restart, join late and hand over.
+    """Run four starts of a worker while dispatcher processes restart, join late and hand over.
+
+    Args:
+        seed: seed of the random generator.
+        dispatcher_count: number of dispatchers.
+        mean_s: mean work of a job, in seconds.
+        capacity: capacity of the warm worker, in nanoseconds of work per nanosecond.
+        demand: work of the requests as a multiple of the worker's mean capacity.
 
-    demand: of the mean capacity that the skewed traffic asks for.  Returns the load of the fullest window of
-    each start, and the mean fraction of the capacity that was used.
+    Returns:
+        The maximum window load of each start, and the mean fraction of the capacity that was used.
     """
-    draw = random.Random(seed)
-    loads = list[float]()
+    rng = random.Random(seed)
+    window_loads = list[float]()
     used = 0.0
     capacity_while_warming = mean_capacity(capacity)
     rate = demand * capacity_while_warming / mean_s
     for _ in range(4):
-        weights = [draw.lognormvariate(0, 1) for _ in range(dispatcher_count)]
-        processes = Processes.drawn(draw, dispatcher_count)
-        fleet = Fleet(dispatcher_count, [draw.randrange(2**32)], capacity)
-        for age_ns in sorted(draw.randrange(POLICY.slow_start_ns) for _ in range(int(rate * 8.9))):
-            dispatcher = draw.choices(range(dispatcher_count), weights)[0]
-            processes.replace_if_ended(dispatcher, age_ns, fleet.own.setdefault((dispatcher, 0), deque()))
-            if age_ns < processes.began_ns[dispatcher]:
+        weights = [rng.lognormvariate(0, 1) for _ in range(dispatcher_count)]
+        processes = Processes.draw(rng, dispatcher_count)
+        fleet = Fleet(dispatcher_count, [rng.randrange(2**32)], capacity)
+        for age_ns in sorted(rng.randrange(POLICY.slow_start_ns) for _ in range(int(rate * 8.9))):
+            dispatcher = rng.choices(range(dispatcher_count), weights)[0]
+            processes.replace_if_ended(
+                dispatcher, age_ns, fleet.own_sends.setdefault((dispatcher, 0), deque())
+            )
+            if age_ns < processes.start_ns[dispatcher]:
                 continue
             fleet.try_send(
                 0,
                 age_ns,
                 dispatcher,
-                1 + int(draw.lognormvariate(-0.4, 0.9) * mean_s * SECOND),
-                recorded_since_ns=max(0, processes.began_ns[dispatcher]),
+                1 + int(rng.lognormvariate(-0.4, 0.9) * mean_s * SECOND),
+                recorded_since_ns=max(0, processes.start_ns[dispatcher]),
                 mean_work_ns=mean_s * SECOND,
                 expected_requests=rate * weights[dispatcher] / sum(weights),
             )
-        loads.append(max_window_load(fleet.sent[0], capacity, mean_s * SECOND))
-        work_ns = sum(work_ns for _, work_ns in fleet.sent[0])
+        window_loads.append(max_window_load(fleet.worker_sends[0], capacity, mean_s * SECOND))
+        work_ns = sum(work_ns for _, work_ns in fleet.worker_sends[0])
         used += work_ns / POLICY.slow_start_ns / capacity_while_warming / 4
-    return loads, used
+    return window_loads, used
 
 
 @pytest.mark.parametrize("dispatcher_count", [3, 6, 20, 30, 200, 230, 410])
@@ -292,24 +321,24 @@
 def test_dispatchers_that_restart_overload_no_warming_worker(
     dispatcher_count: int, mean_s: float, capacity: float
 ) -> None:
-    """The threshold is N + 2 sqrt(N) + 2 jobs of mean work over all processes."""
+    """The work of all processes stays below the threshold of N + 2 sqrt(N) + 2 jobs of mean work."""
     max_load = 0.0
     used = 0.0
     for seed in range(3 if mean_s < 0.1 else 10):
-        loads, fraction = restarts(seed, dispatcher_count, mean_s, capacity)
-        max_load = max(max_load, *loads)
+        window_loads, fraction = run_worker_starts(seed, dispatcher_count, mean_s, capacity)
+        max_load = max(max_load, *window_loads)
         used += fraction
     assert max_load < 1 and used > 0
 
 
 @pytest.mark.parametrize("dispatcher_count", [3, 6])
 def test_a_restart_of_all_dispatchers_within_a_window_stays_within_the_budget(dispatcher_count: int) -> None:
-    """All have used their parts of the budget and restart; the worker is large and the jobs are short."""
+    """All dispatchers use their shares, restart and use them again, at a large worker with short jobs."""
     mean_ns = 50 * MS
     fleet = Fleet(dispatcher_count, [7], capacity=64.0)
     for dispatcher in range(dispatcher_count):
         for recorded_since_ns, begin_ns in ((0, SECOND), (1200 * MS, 1300 * MS)):
-            fleet.own.clear()
+            fleet.own_sends.clear()
             for age_ns in range(begin_ns, begin_ns + 600):
                 fleet.try_send(
                     0,
@@ -318,18 +347,18 @@
                     mean_ns,
                     recorded_since_ns=recorded_since_ns,
                     mean_work_ns=float(mean_ns),
-                    expected_requests=MANY,
+                    expected_requests=MANY_REQUESTS,
                 )
-    assert 0.8 < max_window_load(fleet.sent[0], 64.0, mean_ns) < 1
+    assert 0.8 < max_window_load(fleet.worker_sends[0], 64.0, mean_ns) < 1
 
 
 def test_forty_dispatchers_use_much_of_a_warming_workers_capacity() -> None:
-    """A fortieth of the budget is less than a job, so that equal parts would leave the worker idle."""
-    draw = random.Random(5)
+    """A fortieth of the budget is less than a job, so equal shares would leave the worker idle."""
+    rng = random.Random(5)
     used = 0.0
-    jobs = [(draw.randrange(POLICY.slow_start_ns), draw.randrange(40), 300 * MS) for _ in range(40 * 27)]
+    jobs = [(rng.randrange(POLICY.slow_start_ns), rng.randrange(40), 300 * MS) for _ in range(40 * 27)]
     for start_id in range(10):
-        used += sum(work_ns for _, work_ns in play(40, jobs, [0] * 40, start_id, 3.0)) / 10
+        used += sum(work_ns for _, work_ns in send_jobs(40, jobs, [0] * 40, start_id, 3.0)) / 10
     capacity_ns = sum(
         POLICY.capacity_fraction(age) * CAPACITY * 100 * MS
         for age in range(0, POLICY.slow_start_ns, 100 * MS)
@@ -338,12 +367,18 @@
 
 
 def test_a_send_slot_holds_a_large_job() -> None:
-    """Of jobs with a mean of 0.88 s those well above the mean have half of the work."""
+    """Jobs well above the mean of 0.88 s make up half of the work, so they must fit into a slot."""
     budgets_ns = [
         remaining_budget_ns(
             POLICY,
             WarmingWorker(
-                7, 4 * SECOND, CAPACITY, dispatcher, 40, mean_work_ns=0.88 * SECOND, expected_requests=MANY
+                7,
+                4 * SECOND,
+                CAPACITY,
+                dispatcher,
+                40,
+                mean_work_ns=0.88 * SECOND,
+                expected_requests=MANY_REQUESTS,
             ),
             deque(),
         )
@@ -353,7 +388,7 @@
 
 
 def test_a_dispatcher_with_few_requests_has_more_send_slots() -> None:
-    """Slots are overcommitted where many stay unused, and not where all are used."""
+    """Slots are overcommitted if many stay unused, and not if all are used."""
     slot_counts = [
         sum(
             remaining_budget_ns(
@@ -373,14 +408,14 @@
             for dispatcher in range(40)
             for age_s in range(8)
         )
-        for expected_requests in (0.0, 8.0, MANY)
+        for expected_requests in (0.0, 8.0, MANY_REQUESTS)
     ]
     without_requests, with_some, with_many = slot_counts
     assert without_requests > 2 * with_many and without_requests > with_some >= with_many >= 8
 
 
 def test_a_process_does_not_use_a_send_slot_of_the_slice_it_started_in() -> None:
-    """An earlier process of the dispatcher may have used the slot."""
+    """An earlier process of the dispatcher may have used the slot already."""
     holder = next(dispatcher for dispatcher in range(40) if rendezvous_rank(7, 3, dispatcher, 40) == 0)
     for recorded_since_ns, may_send in ((3200 * MS, False), (3000 * MS, True)):
         warming = WarmingWorker(7, 3500 * MS, CAPACITY, holder, 40, recorded_since_ns, mean_work_ns=MEAN_NS)
@@ -389,47 +424,49 @@
 
 @pytest.mark.parametrize("dispatcher_count", [3, 30, 200])
 def test_the_budget_scales_with_the_mean_work(dispatcher_count: int) -> None:
-    """Where all times are ten times shorter, so is the work that may be sent."""
-    fast = SlowStartPolicy(0.34, POLICY.slow_start_ns // 10, POLICY.overload_multiple, POLICY.window_ns // 10)
+    """With all times divided by ten, so is the work that may be sent."""
+    short_policy = SlowStartPolicy(
+        0.34, POLICY.slow_start_ns // 10, POLICY.overload_multiple, POLICY.window_ns // 10
+    )
     for dispatcher in range(dispatcher_count):
         for age_s in range(8):
-            slow = WarmingWorker(
-                7, age_s * SECOND, CAPACITY, dispatcher, dispatcher_count, 0, 1.0, MEAN_NS, MANY
+            original = WarmingWorker(
+                7, age_s * SECOND, CAPACITY, dispatcher, dispatcher_count, 0, 1.0, MEAN_NS, MANY_REQUESTS
             )
-            short = replace(slow, age_ns=age_s * SECOND // 10, mean_work_ns=MEAN_NS / 10)
-            assert remaining_budget_ns(fast, short, deque()) == pytest.approx(
-                remaining_budget_ns(POLICY, slow, deque()) / 10, rel=1e-6
+            scaled = replace(original, age_ns=age_s * SECOND // 10, mean_work_ns=MEAN_NS / 10)
+            assert remaining_budget_ns(short_policy, scaled, deque()) == pytest.approx(
+                remaining_budget_ns(POLICY, original, deque()) / 10, rel=1e-6
             )
 
 
 def test_the_mean_work_is_that_of_the_received_requests() -> None:
-    """Slots times running time by the mix of classes received; before, the latency objectives."""
-    running = RuntimeEstimator([SECOND, 3 * SECOND])
-    assert running.mean_work_ns() == running.mean_runtime_ns() == 2 * SECOND
+    """It follows the received mix of classes, and is the mean latency objective before any request."""
+    runtimes = RuntimeEstimator([SECOND, 3 * SECOND])
+    assert runtimes.mean_work_ns() == runtimes.mean_runtime_ns() == 2 * SECOND
     for _ in range(200):
-        running.record_request(0.5 * SECOND)
+        runtimes.record_request(0.5 * SECOND)
     assert (
-        running.mean_work_ns() == pytest.approx(0.5 * SECOND, rel=0.01)
-        and running.mean_runtime_ns() == 2 * SECOND
+        runtimes.mean_work_ns() == pytest.approx(0.5 * SECOND, rel=0.01)
+        and runtimes.mean_runtime_ns() == 2 * SECOND
     )
-    # Other settings discard the mix.
-    running.configure_classes([SECOND, 3 * SECOND, 5 * SECOND], [True, False, True])
-    assert running.mean_work_ns() == 3 * SECOND
+    # New settings reset the mean.
+    runtimes.configure_classes([SECOND, 3 * SECOND, 5 * SECOND], [True, False, True])
+    assert runtimes.mean_work_ns() == 3 * SECOND
 
 
-def test_without_a_common_start_each_dispatcher_has_an_equal_part() -> None:
-    """Dispatchers learn at different times of a worker that operators reinstate, so slices would differ."""
-    parts_ns = [
+def test_without_a_common_start_each_dispatcher_has_an_equal_share() -> None:
+    """Dispatchers learn of a reinstated worker at different times, so their slices would differ."""
+    shares_ns = [
         remaining_budget_ns(POLICY, WarmingWorker(None, SECOND, CAPACITY, dispatcher, 40), deque())
         for dispatcher in range(40)
     ]
     capacity = POLICY.capacity_fraction(SECOND) * CAPACITY
-    assert 0 < sum(parts_ns) <= POLICY.overload_multiple * capacity * POLICY.window_ns
+    assert 0 < sum(shares_ns) <= POLICY.overload_multiple * capacity * POLICY.window_ns
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 3, 40, 64])
 def test_each_slice_ranks_every_dispatcher_once(dispatcher_count: int) -> None:
-    """Over many slices each dispatcher is first about as often."""
+    """Over many slices, each dispatcher ranks first about equally often."""
     first_counts = [0] * dispatcher_count
     for slice_number in range(64 * 20):
         ranks = [
@@ -444,7 +481,7 @@
 
 
 class RecordedRun(Simulation):
-    """A run that records the work of each send, as (time, worker, work in ns)."""
+    """A simulation that records the work of each send, as (time, worker, work in ns)."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         self.work: list[tuple[int, int, float]] = []
@@ -459,12 +496,12 @@
 
 
 def test_forty_dispatchers_use_the_restarted_workers_of_a_zone() -> None:
-    """Twenty of forty workers restart at once: each gets work while it warms up, and is not overloaded."""
+    """Twenty of forty workers restart at once; each gets work while it warms up and is not overloaded."""
     specs = [model.WorkerSpec(f"s{n}") for n in range(40)]
-    kinds = loads.JOB_CLASSES
+    job_classes = loads.JOB_CLASSES
     dispatcher_settings = [
         replace(
-            decode_settings(FlatSettings.from_nested(loads.settings(40, kinds, dispatcher)))[0],
+            decode_settings(FlatSettings.from_nested(loads.settings(40, job_classes, dispatcher)))[0],
             initial_capacity_fraction=POLICY.initial_capacity_fraction,
             slow_start_ns=POLICY.slow_start_ns,
             overload_multiple=POLICY.overload_multiple,
@@ -473,22 +510,22 @@
         for dispatcher in range(40)
     ]
     capacity = sum(spec.speed * spec.cores for spec in specs)
-    arrivals = loads.Traffic(3, 12 * SECOND, capacity, 0.4, 40, kinds).draw_arrivals()
+    arrivals = loads.Traffic(3, 12 * SECOND, capacity, 0.4, 40, job_classes).draw_arrivals()
     restarts = [Fault(2 * SECOND, partial(Simulation.restart, worker=worker)) for worker in range(1, 21)]
-    run = RecordedRun(Scenario(arrivals, specs, dispatcher_settings, 3, kinds, 1, restarts))
+    run = RecordedRun(Scenario(arrivals, specs, dispatcher_settings, 3, job_classes, 1, restarts))
     run.run()
-    begun_ns = run.begun_ns + 2 * SECOND
+    restart_ns = run.begun_ns + 2 * SECOND
     used = 0.0
     for worker in range(1, 21):
         sent = [
-            (sent_ns - begun_ns, work_ns)
+            (sent_ns - restart_ns, work_ns)
             for sent_ns, number, work_ns in run.work
-            if number == worker and begun_ns <= sent_ns < begun_ns + POLICY.slow_start_ns
+            if number == worker and restart_ns <= sent_ns < restart_ns + POLICY.slow_start_ns
         ]
         assert sent, worker
         used += sum(work_ns for _, work_ns in sent)
-        whole = [(age_ns, int(work_ns)) for age_ns, work_ns in sent]
-        assert max_window_load(whole, specs[0].cores, 700 * MS) < 0.75
+        rounded = [(age_ns, int(work_ns)) for age_ns, work_ns in sent]
+        assert max_window_load(rounded, specs[0].cores, 700 * MS) < 0.75
     capacity_ns = 20 * sum(
         POLICY.capacity_fraction(age) * specs[0].cores * 100 * MS
         for age in range(0, POLICY.slow_start_ns, 100 * MS)
@@ -497,17 +534,19 @@
 
 
 def test_a_machine_kind_without_samples_counts_as_slow() -> None:
-    """The uncertainty of its running times reduces the budget."""
-    running = RuntimeEstimator([SECOND])
-    assert running.uncertainty(2) > 1.5
+    """The uncertainty of its running times reduces the budget, and falls with samples."""
+    runtimes = RuntimeEstimator([SECOND])
+    assert runtimes.uncertainty(2) > 1.5
     for _ in range(200):
-        running.record_runtime(0, 2, SECOND)
-    assert running.uncertainty(2) < 1.05
+        runtimes.record_runtime(0, 2, SECOND)
+    assert runtimes.uncertainty(2) < 1.05
     certain_ns, uncertain_ns = (
         sum(
             remaining_budget_ns(
                 POLICY,
-                WarmingWorker(7, 4 * SECOND, CAPACITY, dispatcher, 40, 0, uncertainty, MEAN_NS, MANY),
+                WarmingWorker(
+                    7, 4 * SECOND, CAPACITY, dispatcher, 40, 0, uncertainty, MEAN_NS, MANY_REQUESTS
+                ),
                 deque(),
             )
             for dispatcher in range(40)
