--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations by EASY backfill: timetables, the scheduler, and the operators' settings."""
+"""Tests of reservations by EASY backfill: timetables, the scheduler, and the operators' settings."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def four_slot_timetable(
     running: list[tuple[float, float, float]], queued: list[tuple[float, float, float]]
 ) -> Timetable:
-    """A worker of four slots; running jobs that do not fit are left out."""
+    """Return the timetable of a worker of four slots; running jobs that do not fit are left out."""
     fitting = []
     free_slots = 4.0
     free_memory = 4.0
@@ -46,7 +46,7 @@
 def expected_schedule(
     timetable: Timetable, extra: list[QueuedJob]
 ) -> list[tuple[float, float, float, float]]:
-    """(start, end, slots, memory) of all jobs of a worker that serves its queue in order."""
+    """Return (start, end, slots, memory) of all jobs of a worker that serves its queue in order."""
     jobs = [(0.0, running.remaining_ns, running.slots, running.memory) for running in timetable.running]
     queue = [*timetable.queued, *extra]
     for number, job in enumerate(queue):
@@ -62,19 +62,19 @@
     queued: list[Any],
     job: tuple[float, float, float],
 ) -> None:
-    """At each planned start the running jobs fit into the worker, and starts keep the order of the queue."""
+    """At each planned start the running jobs fit into the worker, and jobs start in queue order."""
     timetable = four_slot_timetable(running, queued)
     jobs = expected_schedule(timetable, [QueuedJob(*job)])
     queued_starts = [start for start, *_ in jobs[len(timetable.running) :]]
     assert queued_starts == sorted(queued_starts)
-    for moment, *_ in jobs:
-        running_then = [(slots, memory) for start, end, slots, memory in jobs if start <= moment < end]
+    for start_ns, *_ in jobs:
+        running_then = [(slots, memory) for start, end, slots, memory in jobs if start <= start_ns < end]
         assert sum(slots for slots, _ in running_then) <= 4.0 + 1e-3
         assert sum(memory for _, memory in running_then) <= 4.0 + 1e-3
 
 
 def test_a_worker_that_is_too_small_never_starts_a_job() -> None:
-    """The start is NEVER where slots or memory do not suffice."""
+    """The start is `NEVER` if slots or memory are insufficient."""
     assert four_slot_timetable([], []).earliest_start(8.0).wait_ns == NEVER
     assert four_slot_timetable([], []).earliest_start(1.0, 4.5).wait_ns == NEVER
 
@@ -87,7 +87,7 @@
 
 
 def test_queued_jobs_of_other_dispatchers_start_first() -> None:
-    """Six slots are needed at a worker of four: two jobs are queued ahead of a new one."""
+    """Six slots are used at a worker of four, so two jobs are queued ahead of a new one."""
     timetable = estimate_timetable(4.0, [OwnAttempt(SECOND, 0.0, 4.0)], 6.0, 0.0, float(SECOND))
     assert [job.slots for job in timetable.queued] == [1.0, 1.0]
     assert timetable.earliest_start(4.0).wait_ns == pytest.approx(2 * SECOND)
@@ -100,7 +100,7 @@
 def test_remaining_time_of_an_overdue_job_grows_with_its_age(
     run_ns: float, age_ns: float, expected_ns: float
 ) -> None:
-    """The remaining time is never zero."""
+    """The remaining time of a job is never zero, even if it has run for longer than expected."""
     assert remaining_ns(run_ns, age_ns) == expected_ns
 
 
@@ -108,19 +108,19 @@
 
 
 def capacity_request(request: int = 1, weight: float = 8.0, **changes: Any) -> CapacityRequest:
-    """A four-slot job of 1 s that may end 4 s from now."""
+    """Return the request of a four-slot job of 1 s with a deadline in 4 s."""
     values = {"slots": 4.0, "memory": 1.0, "run_ns": float(SECOND), "max_end_ns": 4.0 * SECOND}
     return CapacityRequest(request, priority_weight=weight, **{**values, **changes})
 
 
 def worker_offer(worker: int, *remaining_ms: float, run_ns: float = SECOND) -> WorkerOffer:
-    """A worker of four slots that runs one-slot jobs with these remaining times."""
+    """Return a worker of four slots that runs one-slot jobs with these remaining times."""
     timetable = Timetable(4.0, 4.0, [RunningJob(ms * MS, 1.0, 0.5) for ms in remaining_ms])
     return WorkerOffer(worker, run_ns, lambda: timetable)
 
 
 def scheduler_with(dispatcher_count: int = 1, **changes: Any) -> BackfillScheduler:
-    """A scheduler with a mean slot value of 1."""
+    """Return a scheduler with a mean slot value of 1."""
     scheduler = BackfillScheduler(reservation_settings.ReservationSettings(**changes), dispatcher_count)
     scheduler.record_send(1.0, 1e9)
     return scheduler
@@ -129,17 +129,17 @@
 def request_capacity(
     scheduler: BackfillScheduler, job: CapacityRequest, *offers: WorkerOffer, now: int = 0, queued: int = 1
 ) -> int | None:
-    """Request capacity of ten workers with a utilization of one half."""
+    """Request capacity in a fleet of ten workers with a utilization of one half."""
     return scheduler.request_capacity(now, job, offers, FleetLoad(10, 0.5, queued))
 
 
 def end_reasons(scheduler: BackfillScheduler) -> list[str]:
-    """The reasons of the reservations that ended since the last call."""
+    """Return the reasons for which reservations ended since the last call."""
     return [result.reason for result in scheduler.take_results()]
 
 
 def test_the_worker_with_the_earliest_end_is_reserved() -> None:
-    """An earlier start at a slower worker does not count."""
+    """An earlier start at a slower worker is not preferred."""
     scheduler = scheduler_with()
     assert (
         request_capacity(
@@ -154,7 +154,7 @@
 
 
 def test_a_job_joins_the_workers_queue_shortly_before_its_start() -> None:
-    """With other dispatchers the job is sent early; without, only at its start."""
+    """With other dispatchers the job is sent early; without, only when it can start."""
     assert request_capacity(scheduler_with(3), capacity_request(), worker_offer(2, 600.0)) == 2
     alone = scheduler_with(1)
     assert request_capacity(alone, capacity_request(), worker_offer(2, 600.0)) is None
@@ -164,7 +164,7 @@
 
 
 def test_a_job_does_not_join_a_queue_that_is_served_out_of_order() -> None:
-    """Smaller jobs would overtake it there, so it is sent only once its slots are free."""
+    """Smaller jobs would overtake it in that queue, so it is sent only once its slots are free."""
     scheduler = BackfillScheduler(reservation_settings.ReservationSettings(), 3, serves_in_order=False)
     scheduler.record_send(1.0, 1e9)
     assert (
@@ -181,8 +181,8 @@
         (capacity_request(max_end_ns=0.5 * SECOND), 1, "too_late"),
     ],
 )
-def test_a_reservation_ends_where_it_is_of_no_use(job: CapacityRequest, queued: int, reason: str) -> None:
-    """Without a hint, under overload or past the deadline it ends, and none is created."""
+def test_a_reservation_ends_if_it_is_useless(job: CapacityRequest, queued: int, reason: str) -> None:
+    """Without a hint, in overload or past the deadline it ends, and no new one is created."""
     scheduler = scheduler_with()
     request_capacity(scheduler, capacity_request(), worker_offer(1, 900.0))
     assert scheduler.by_request
@@ -210,7 +210,7 @@
 
 
 def test_nothing_is_reserved_for_a_job_of_low_value() -> None:
-    """Three slots that are idle for 0.9 s would run work of eight times the weight."""
+    """Three slots that would be idle for 0.9 s could run work of eight times the weight."""
     scheduler = scheduler_with()
     for _ in range(200):
         scheduler.record_send(8.0, 1e9)
@@ -219,7 +219,7 @@
 
 
 def test_a_reservation_that_was_taken_over_is_not_returned() -> None:
-    """The request of lower priority cannot take it back, so that no cycle of waiting requests arises."""
+    """The request of lower priority cannot take it back, so that requests never wait in a cycle."""
     scheduler = scheduler_with()
     request_capacity(scheduler, capacity_request(1, weight=2.0), worker_offer(1, 900.0))
     request_capacity(scheduler, capacity_request(2, weight=8.0), worker_offer(1, 900.0))
@@ -229,7 +229,7 @@
 
 
 def test_the_number_of_reservations_is_limited() -> None:
-    """Twenty requests and ten workers: at most a third of the workers is reserved."""
+    """With twenty requests and ten workers, at most a third of the workers are reserved."""
     scheduler = scheduler_with(max_reserved_fraction=0.34)
     for request in range(20):
         request_capacity(
@@ -242,7 +242,7 @@
 
 
 def test_a_reservation_ends_with_its_worker() -> None:
-    """The caller reports workers that are draining, banned, warming up or gone."""
+    """The caller decides which workers are usable: not draining, banned, warming up or gone."""
     scheduler = scheduler_with()
     request_capacity(scheduler, capacity_request(), worker_offer(1, 900.0))
     scheduler.expire(100 * MS, lambda _: False)
@@ -250,7 +250,7 @@
 
 
 def test_reconfiguration_ends_all_reservations() -> None:
-    """The new settings may not allow them."""
+    """The new settings may not allow the reservations."""
     scheduler = scheduler_with()
     request_capacity(scheduler, capacity_request(), worker_offer(1, 900.0))
     scheduler.reconfigure(MS, None, 1)
@@ -271,7 +271,7 @@
     run_ns: float,
     small_slots: float,
 ) -> None:
-    """A job that runs no longer than expected leaves the reserved start as it is."""
+    """A backfilled job that runs no longer than expected does not delay the reserved start."""
     timetable = four_slot_timetable(running, queued)
     scheduler = scheduler_with(hint_margin=1.0, value_margin=0.0)
     before = timetable.earliest_start(slots, 1.0).wait_ns
@@ -297,13 +297,13 @@
         max_size=40,
     )
 )
-def test_every_reservation_ends_and_decisions_are_reproducible(moves: list[Any]) -> None:
-    """A request and a worker have one reservation at most; none outlives its expiry; two runs are equal."""
+def test_every_reservation_ends_and_decisions_are_reproducible(capacity_requests: list[Any]) -> None:
+    """Requests and workers have at most one reservation, none outlives its expiry, and two runs are equal."""
     runs = []
     for _ in range(2):
         scheduler = scheduler_with(2)
         chosen = []
-        for step, (request, weight, worker, remaining) in enumerate(moves):
+        for step, (request, weight, worker, remaining) in enumerate(capacity_requests):
             now = step * 200 * MS
             scheduler.expire(now, lambda _: True)
             chosen.append(
@@ -318,7 +318,7 @@
                 scheduler.by_request
             )
             assert all(reservation.expires_ns > now for reservation in scheduler.by_request.values())
-        scheduler.expire(len(moves) * 200 * MS + 10 * SECOND, lambda _: True)
+        scheduler.expire(len(capacity_requests) * 200 * MS + 10 * SECOND, lambda _: True)
         assert not scheduler.by_request and not scheduler.by_worker
         runs.append((chosen, scheduler.take_results()))
     assert runs[0] == runs[1]
@@ -346,7 +346,7 @@
     ],
 )
 def test_an_invalid_file_is_reported_in_one_line(tmp_path: Path, text: bytes, message: str) -> None:
-    """The line names the key, its value and the valid range."""
+    """The line names the file, the key, its value and the valid range."""
     path = tmp_path / "room.json"
     path.write_bytes(text)
     with pytest.raises(reservation_settings.ReservationSettingsError) as caught:
@@ -355,21 +355,21 @@
 
 
 def test_an_unreadable_file_is_reported(tmp_path: Path) -> None:
-    """It does not exist, or is a directory."""
+    """The file does not exist, or is a directory."""
     for path in (tmp_path / "absent", tmp_path):
         with pytest.raises(reservation_settings.ReservationSettingsError, match="cannot be read"):
             reservation_settings.read_settings(path)
 
 
 def test_the_deployed_file_has_every_key_with_its_default() -> None:
-    """Operators find all keys in it."""
+    """Operators can look up all keys in deploy/room.json."""
     path = Path(__file__).parents[1] / "deploy" / "room.json"
     assert reservation_settings.read_settings(path) == reservation_settings.ReservationSettings()
     assert set(json.loads(path.read_text())) == set(reservation_settings.EXTERNAL_KEYS.values())
 
 
 def test_the_external_keys_are_mapped_explicitly() -> None:
-    """Each field has a key, in the spelling of 725bba5, and is read by it."""
+    """Each field has a key with the spelling of release 725bba5, and is read from it."""
     keys = [
         "on",
         "least_slots",
