--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,4 @@
-"""Capacity reservations for large requests: with model workers in virtual time, and event by event."""
+"""Tests of capacity reservations for large requests, in simulations and with single events."""
 
 from __future__ import annotations
 
@@ -23,50 +23,51 @@
     replace(loads.JOB_CLASSES[0], fraction=1.0),
     replace(loads.JOB_CLASSES[3], fraction=1.0, slot_probabilities=(1.0,)),
 )
-MILD = 15 * SECOND
+DURATION_NS = 15 * SECOND
 DRAINING = api.WorkerState.DRAINING
 
 
-def play(  # noqa: PLR0913  # the dimensions of a run, each with its default
+def simulate(  # noqa: PLR0913  # the dimensions of a run, each with its default
     load: float = 0.8,
     dispatchers: int = 1,
-    room: ReservationSettings | None = None,
-    kinds: Sequence[loads.JobClass] = loads.JOB_CLASSES,
+    reservations: ReservationSettings | None = None,
+    job_classes: Sequence[loads.JobClass] = loads.JOB_CLASSES,
     hints: loads.Hints | None = None,
-    troubles: Sequence[Fault] = (),
+    faults: Sequence[Fault] = (),
     seed: int = 3,
     **spec: Any,
 ) -> tuple[Simulation, SimulationResult]:
-    """Simulation a quarter of a minute of load; return the run and its result.
+    """Simulate 15 s of load; return the simulation and its result.
 
-    Each request has one answer, no non-idempotent one runs twice, and every reservation ends.
+    Checks that each request gets one answer, that no non-idempotent request is executed twice, and that every
+    reservation ends.
     """
     specs = [
         model.WorkerSpec(f"s{n}", speed=speed, kind=kind, **spec) for n, (kind, speed) in enumerate(FLEET)
     ]
     capacity = sum(worker.speed * worker.cores for worker in specs)
     arrivals = loads.Traffic(
-        seed, MILD, capacity, load, dispatchers, kinds, hints or loads.Hints()
+        seed, DURATION_NS, capacity, load, dispatchers, job_classes, hints or loads.Hints()
     ).draw_arrivals()
     dispatcher_settings = [
-        decode_settings(FlatSettings.from_nested(loads.settings(dispatchers, kinds, me)))[0]
+        decode_settings(FlatSettings.from_nested(loads.settings(dispatchers, job_classes, me)))[0]
         for me in range(dispatchers)
     ]
     run = Simulation(
         Scenario(
             arrivals,
             specs,
-            [replace(base, reservations=room) for base in dispatcher_settings],
+            [replace(base, reservations=reservations) for base in dispatcher_settings],
             seed,
-            kinds,
+            job_classes,
             1,
-            troubles,
+            faults,
         )
     )
     result = run.run()
     for record in result.records:
         assert record.answers == 1, record
-        if kinds[record.arrival.job_class].effect == "fragile":
+        if job_classes[record.arrival.job_class].effect == "fragile":
             assert result.starts_by_job.get(record.arrival.number, 0) <= 1
     assert not any(
         dispatcher.scheduler.by_request or dispatcher.scheduler.by_worker for dispatcher in run.dispatchers
@@ -75,12 +76,12 @@
 
 
 def on_time_fraction(
-    result: SimulationResult, slots: int, kinds: Sequence[loads.JobClass] = loads.JOB_CLASSES
+    result: SimulationResult, slots: int, job_classes: Sequence[loads.JobClass] = loads.JOB_CLASSES
 ) -> float:
-    """Return the fraction of the weight of requests with so many slots that were on time; 0: all."""
+    """Return the fraction, by value, of the requests with this many slots that were on time; 0: of all."""
     return next(
         row.fractions[loads.RequestResult.IN_TIME]
-        for row in loads.summary(result.records, kinds)
+        for row in loads.summary(result.records, job_classes)
         if row.name == "any" and row.slots == slots
     )
 
@@ -92,22 +93,24 @@
     ids=["good", "wrong", "missing"],
 )
 def test_every_request_has_one_answer_with_any_hints(dispatchers: int, hints: loads.Hints) -> None:
-    """Several dispatchers reserve at the same workers, with hints four times too long or short, or none."""
-    _, result = play(1.1, dispatchers, ReservationSettings(), hints=hints)
+    """Several dispatchers reserve the same workers; hints are good, wrong by a factor of four, or missing."""
+    _, result = simulate(1.1, dispatchers, ReservationSettings(), hints=hints)
     assert any(name.startswith("reservations_") for name in result.counts) or hints.wrong_fraction
 
 
 def count_on_time(result: SimulationResult, slots: int) -> tuple[int, int]:
-    """Return the requests with so many slots: those on time, and all."""
-    fates = [record.result for record in result.records if record.arrival.slots == slots]
-    return fates.count(loads.RequestResult.IN_TIME), len(fates)
+    """Return the number of requests with this many slots that were on time, and of all such requests."""
+    results = [record.result for record in result.records if record.arrival.slots == slots]
+    return results.count(loads.RequestResult.IN_TIME), len(results)
 
 
 def test_reservations_serve_more_large_requests_and_hardly_fewer_small_ones() -> None:
-    """The mean over thirty seeds of a quarter of a minute; that of ten varies by 0.04."""
+    """Compares means over 30 seeds of 15 s each, since a mean over ten seeds varies by 0.04."""
     gains: dict[int, float] = {1: 0.0, 4: 0.0}
     for seed in range(30):
-        off, on = (play(0.9, 3, room, seed=seed)[1] for room in (None, ReservationSettings()))
+        off, on = (
+            simulate(0.9, 3, reservations, seed=seed)[1] for reservations in (None, ReservationSettings())
+        )
         for slots in gains:
             (before, jobs), (after, _) = count_on_time(off, slots), count_on_time(on, slots)
             gains[slots] += (after - before) / jobs / 30
@@ -115,64 +118,66 @@
 
 
 def test_reservations_change_nothing_without_large_requests() -> None:
-    """The same sends at the same times."""
-    runs = [play(0.9, 3, room, SMALL)[0].sends for room in (None, ReservationSettings())]
+    """The same requests are sent to the same workers at the same times."""
+    runs = [simulate(0.9, 3, reservations, SMALL)[0].sends for reservations in (None, ReservationSettings())]
     assert runs[0] == runs[1] and runs[0]
 
 
 def test_large_requests_alone_do_not_starve_each_other() -> None:
-    """Each has a reservation at one worker at most, and none waits for another that waits for it."""
+    """Each request has at most one reservation, so no two requests wait for each other."""
     totals = [
-        sum(count_on_time(play(0.8, 2, room, LARGE, seed=seed)[1], 4)[0] for seed in range(6))
-        for room in (None, ReservationSettings())
+        sum(count_on_time(simulate(0.8, 2, reservations, LARGE, seed=seed)[1], 4)[0] for seed in range(6))
+        for reservations in (None, ReservationSettings())
     ]
     assert totals[1] > 0.95 * totals[0]
 
 
 @pytest.mark.parametrize("load", [0.9, 1.1, 1.3, 1.5])
 def test_reservations_do_little_harm_in_overload(load: float) -> None:
-    """Up to one and a half times the capacity, with all weights counted, over six seeds."""
+    """The value of all requests on time, over six seeds, at up to one and a half times the capacity."""
     gain = 0.0
     for seed in range(6):
-        off, on = (play(load, 3, room, seed=seed)[1] for room in (None, ReservationSettings()))
+        off, on = (
+            simulate(load, 3, reservations, seed=seed)[1] for reservations in (None, ReservationSettings())
+        )
         gain += on_time_fraction(on, 0) - on_time_fraction(off, 0)
     assert gain > -0.18
 
 
 @pytest.mark.parametrize("delay_s", [0.35, 4.0])
-def test_late_reports(delay_s: float) -> None:
-    """Load reports that are up to four seconds old break no invariant of `play`."""
-    play(0.9, 3, ReservationSettings(), report_delay_ns=int(delay_s * SECOND))
+def test_late_load_reports_break_no_invariant(delay_s: float) -> None:
+    """Load reports that are up to four seconds old break no invariant that `simulate` checks."""
+    simulate(0.9, 3, ReservationSettings(), report_delay_ns=int(delay_s * SECOND))
 
 
 def test_slow_machine_is_not_reserved_when_a_faster_one_ends_sooner() -> None:
-    """Its slots come free first, but the request would end too late there."""
-    drive, _ = busy_pair(old=True)
+    """The slots of the slow machine are released first, but the request would end too late there."""
+    drive, _ = two_busy_workers(is_first_slow=True)
     drive.step(large_request(), after=MS)
     assert {reserved.worker for reserved in drive.dispatcher.scheduler.by_request.values()} == {2}
 
 
-TROUBLES = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.vanish}
+FAULTS = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.vanish}
 
 
-@pytest.mark.parametrize("trouble", list(TROUBLES))
-def test_reserved_worker_that_drains_restarts_or_vanishes(trouble: str) -> None:
+@pytest.mark.parametrize("fault", list(FAULTS))
+def test_reserved_worker_that_drains_restarts_or_vanishes(fault: str) -> None:
     """A draining or removed worker gets nothing new; one that is warming up is not overloaded."""
-    hits = [Fault(at * SECOND, partial(TROUBLES[trouble], worker=w)) for at, w in ((4, 1), (7, 3))]
-    cold: dict[str, Any] = {
+    faults = [Fault(at * SECOND, partial(FAULTS[fault], worker=w)) for at, w in ((4, 1), (7, 3))]
+    slow_start_spec: dict[str, Any] = {
         "initial_capacity_fraction": 0.34,
         "slow_start_ns": 8900 * MS,
         "overload_multiple": 2.5,
     }
-    run, _ = play(1.0, 2, ReservationSettings(), troubles=hits, **cold)
-    if trouble == "restart":
+    run, _ = simulate(1.0, 2, ReservationSettings(), faults=faults, **slow_start_spec)
+    if fault == "restart":
         assert not any(worker.has_failed for worker in run.fleet.workers)
-    else:  # the list is updated at once in virtual time: one step may be under way
-        late = [w for at, w in run.sends if at > run.begun_ns + 4 * SECOND + 5 * MS]
-        assert 1 not in late and len(late) > 50
+    else:  # the simulated list is updated at once, but a send may already be in progress
+        late_targets = [w for at, w in run.sends if at > run.begun_ns + 4 * SECOND + 5 * MS]
+        assert 1 not in late_targets and len(late_targets) > 50
 
 
-# --- event by event ---
+# --- single events ---
 
 
 def large_request(number: int = 100, **changes: Any) -> api.RequestReceived:
@@ -180,21 +185,29 @@
     return api.RequestReceived(number, 0, 10 * SECOND, slots=4.0, runtime_hint_ns=SECOND, **changes)
 
 
-def busy_pair(old: bool = False, room: ReservationSettings | None = None) -> tuple[Drive, list[api.Send]]:
-    """Return two workers of four slots, each with two own running requests of 0.8 s, and the sends."""
-    rules = job_class(idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0)
+def two_busy_workers(
+    is_first_slow: bool = False, reservations: ReservationSettings | None = None
+) -> tuple[Drive, list[api.Send]]:
+    """Return a dispatcher with two workers of four slots, and the sends of its requests that run there.
+
+    Each worker runs two requests of two slots and 0.8 s.  If is_first_slow, the first worker is of a slow
+    machine kind.
+    """
+    non_idempotent = job_class(
+        idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0
+    )
     drive = Drive(
         settings(
-            classes=(rules, job_class()),
+            classes=(non_idempotent, job_class()),
             reports_start=True,
             may_probe=False,
             progress_interval_ns=0,
-            reservations=room or ReservationSettings(),
+            reservations=reservations or ReservationSettings(),
             weights_per_work=True,
         ),
         workers=2,
     )
-    if old:
+    if is_first_slow:
         drive.dispatcher.parts.runtimes.slowness[1] = (1.0, 1000)
         entries = [api.WorkerEntry(w, api.WorkerState.READY, kind=2 - w) for w in (1, 2)]
         drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries)))
@@ -223,8 +236,8 @@
 
 
 def test_reserved_capacity_is_kept_and_used() -> None:
-    """A small request does not take the slots, and the large one is sent once they are free."""
-    drive, started = busy_pair()
+    """A small request does not use the reserved slots, and the large one is sent once they are free."""
+    drive, started = two_busy_workers()
     assert not sends(drive.step(large_request(), after=MS))
     worker = reservation(drive).worker
     first, second = (send for send in started if send.worker == worker)
@@ -233,14 +246,14 @@
     other = drive.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
     )
-    assert not sends(other), "its two slots are free, but reserved"
+    assert not sends(other), "two slots are free, but reserved"
     actions = drive.end(second, api.Outcome.OK, over=True)
     assert api.Send(100, worker) in actions and end_reasons(actions) == ["placed"]
 
 
 def test_short_request_backfills_a_reservation() -> None:
-    """It ends before the reservation starts."""
-    drive, started = busy_pair()
+    """The short request ends before the reserved start."""
+    drive, started = two_busy_workers()
     drive.step(large_request(), after=MS)
     worker = reservation(drive).worker
     drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, over=True)
@@ -252,16 +265,16 @@
 
 
 def test_reservation_ends_when_the_client_disconnects() -> None:
-    """The slots are free for other requests."""
-    drive, _ = busy_pair()
+    """The reserved slots become available to other requests."""
+    drive, _ = two_busy_workers()
     drive.step(large_request(), after=MS)
     assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
     assert not drive.dispatcher.scheduler.by_worker
 
 
 def test_reserved_request_is_rejected_once_it_can_only_be_late() -> None:
-    """The slots do not come free in time."""
-    drive, _ = busy_pair()
+    """The slots are not released in time."""
+    drive, _ = two_busy_workers()
     drive.step(large_request(), after=MS)
     received_ns, answers = drive.now, list[api.Action]()
     while not answers:
@@ -285,7 +298,7 @@
 )
 def test_reservation_ends_at_once_when_its_worker_leaves(event: Callable[[int], api.Event]) -> None:
     """Nothing new is sent to a banned, draining or removed worker."""
-    drive, started = busy_pair()
+    drive, started = two_busy_workers()
     drive.step(large_request(), after=MS)
     worker = reservation(drive).worker
     actions = drive.step(event(worker), after=MS)
@@ -295,8 +308,8 @@
 
 
 def test_reserved_worker_that_restarts_gets_its_slow_start_budget_only() -> None:
-    """The budget applies whatever is reserved."""
-    drive, _ = busy_pair()
+    """A reservation does not exempt a worker from its slow-start budget."""
+    drive, _ = two_busy_workers()
     drive.step(large_request(), after=MS)
     worker = reservation(drive).worker
     fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=drive.now)
@@ -310,8 +323,8 @@
 
 
 def test_reload_ends_reservations_and_requests_keep_their_settings() -> None:
-    """The request is reserved anew by the class settings that it was accepted with."""
-    drive, _ = busy_pair()
+    """The request gets a new reservation by the class settings that it was accepted with."""
+    drive, _ = two_busy_workers()
     drive.step(large_request(), after=MS)
     new = replace(drive.dispatcher.settings, classes=(job_class(latency_objective_ns=MS), job_class()))
     actions = drive.step(api.SettingsChanged(new), after=20 * MS)
@@ -320,17 +333,17 @@
 
 
 def test_migrated_request_gets_a_new_reservation() -> None:
-    """The new process adopts the request without its reservation."""
-    drive, _ = busy_pair()
+    """The newer process takes over the request without its reservation."""
+    drive, _ = two_busy_workers()
     drive.step(large_request(), after=MS)
-    newer, _ = busy_pair()
+    newer, _ = two_busy_workers()
     newer.step(api.RequestMigrated(large_request(), drive.now - MS, 0), after=MS)
     assert reservation(newer).request == 100
     assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
 
 
 def test_disabled_reservations_are_never_made() -> None:
-    """No reservation is tried at all."""
-    drive, _ = busy_pair(room=ReservationSettings(is_enabled=False))
+    """No reservation is attempted."""
+    drive, _ = two_busy_workers(reservations=ReservationSettings(is_enabled=False))
     drive.step(large_request(), after=MS)
     assert not drive.dispatcher.scheduler.by_request and not drive.dispatcher.scheduler.counts
