--- a/weldquay/candidates/worker_groups.py
+++ b/weldquay/candidates/worker_groups.py
@@ -5,7 +5,7 @@
 - in a group;
 - individual, which means that each decision evaluates it by itself: it is warming up, slow, reserved or
   reinstated by operators, has a high failure score, or has an attempt that is late to start;
-- in neither, while it is unhealthy or its load report contains no free slots.
+- in neither, while it is unhealthy or its load report does not state its free slots.
 
 A worker is regrouped before the next decision after an event about it, or when its recheck is due.  In a
 small fleet all workers are individual, since evaluating them costs less than maintaining groups.
--- a/weldquay/reservations/placement.py
+++ b/weldquay/reservations/placement.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # msgspec is imported only where reservations are configured
+if TYPE_CHECKING:  # msgspec is imported at run time only if reservations are configured
     from weldquay.reservations.settings import ReservationSettings
 from weldquay.reservations.records import CapacityRequest, Reservation, ReservationEndReason, WorkerOffer
 from weldquay.reservations.timetable import ExpectedStart
--- a/weldquay/reservations/scheduler.py
+++ b/weldquay/reservations/scheduler.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # msgspec is imported only where reservations are configured
+if TYPE_CHECKING:  # msgspec is imported at run time only if reservations are configured
     from weldquay.reservations.settings import ReservationSettings
 from weldquay.reservations.placement import (
     Placement,
