--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -48,7 +48,7 @@
         now_ns = self.context.now_ns
         since_last_report_ns, is_new = now_ns - worker.reported_ns, report != worker.report
         if worker.report is not None:
-            self.report_interval.learn(since_last_report_ns, is_new)
+            self.report_interval.record_report(since_last_report_ns, is_new)
         worker.reported_ns = now_ns
         if is_new:
             self._apply_new(worker, report, since_last_report_ns)
