--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -6,7 +6,14 @@
 from typing import Any
 
 from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
-from weldquay.limits import BASE_MB, BYTES_EACH, MAX_PORT, MIN_MEMORY_MB, MIN_SOCKETS, RESERVE
+from weldquay.limits import (
+    BASE_MEMORY_MB,
+    CONNECTION_BYTES,
+    MAX_PORT,
+    MIN_MEMORY_MB,
+    MIN_SOCKETS,
+    RESERVED_DESCRIPTORS,
+)
 
 WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
 
@@ -143,7 +150,12 @@
     limits = context.group("limits")
     sockets = figure(limits.get("sockets"), 1024.0) or 1024.0
     memory = figure(limits.get("memory_mb"), 192.0) or 192.0
-    capacity = int(min(sockets * (1 - WORKERS_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH))
+    capacity = int(
+        min(
+            sockets * (1 - WORKERS_FRACTION) - RESERVED_DESCRIPTORS,
+            (memory - BASE_MEMORY_MB) * 2**20 / CONNECTION_BYTES,
+        )
+    )
     value = context.number("settings", "caps", "max_open")
     if value is not None and value > capacity and sockets >= MIN_SOCKETS and memory >= MIN_MEMORY_MB:
         yield (
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -21,7 +21,7 @@
 from weldquay.config.catalogue import Catalogue, fold, near
 from weldquay.config.rules.limits import WORKERS_FRACTION
 from weldquay.errors import OperatorError
-from weldquay.limits import BASE_MB, BYTES_EACH, RESERVE
+from weldquay.limits import BASE_MEMORY_MB, CONNECTION_BYTES, RESERVED_DESCRIPTORS
 
 MS, SECOND = 1_000_000, 1_000_000_000
 TIMEOUT_MULTIPLE = 10.0  # times the wanted time, where nobody says how long clients wait
@@ -210,8 +210,8 @@
     """Descriptors and memory for the calls that are open at the expected rate, and how many that is."""
     stay_s = min(MAX_STAY_S, max(entry["give_up_ns"] for entry in services) / SECOND)
     open_calls = max(32, math.ceil(description.calls_per_s * stay_s * HEADROOM))
-    sockets = max(MIN_SOCKETS, math.ceil((open_calls + RESERVE) / (1 - WORKERS_FRACTION)) + 1)
-    memory = max(MIN_MEMORY_MB, math.ceil(BASE_MB + open_calls * BYTES_EACH / 2**20) + 1)
+    sockets = max(MIN_SOCKETS, math.ceil((open_calls + RESERVED_DESCRIPTORS) / (1 - WORKERS_FRACTION)) + 1)
+    memory = max(MIN_MEMORY_MB, math.ceil(BASE_MEMORY_MB + open_calls * CONNECTION_BYTES / 2**20) + 1)
     why = f"{description.calls_per_s:g} calls a second that stay {stay_s:g} s, {HEADROOM:g} times over"
     origin["limits"] = origin["settings.caps.max_open"] = why
     return {"cores": 1.0, "memory_mb": memory, "sockets": sockets}, open_calls
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from weldquay.limits import BASE_MB, BYTES_EACH, RESERVE
+from weldquay.limits import BASE_MEMORY_MB, CONNECTION_BYTES, RESERVED_DESCRIPTORS
 from weldquay.net.client_connection import AdoptedConnection, ClientConnection
 from weldquay.net.client_context import ClientContext
 from weldquay.net.config import Address, Config
@@ -26,7 +26,7 @@
 
 LISTEN_BACKLOG = 1024  # connections in the system's queue; beyond it a client repeats its SYN after a second
 # Connections accepted in one turn of the event loop.  They are counted up to four turns later, and
-# limits.RESERVE has descriptors for them.
+# limits.RESERVED_DESCRIPTORS has descriptors for them.
 MAX_ACCEPTS = 4
 TIMEOUT_CHECK_INTERVAL_S = 0.1
 STOP_POLL_INTERVAL_S = 0.01
@@ -56,10 +56,10 @@
         is_serving: Callable[[], bool],
     ) -> None:
         """Create the server without a listener; is_serving: the result of a health check."""
-        client_memory_bytes = (config.memory_mb - BASE_MB) * 1024 * 1024
+        client_memory_bytes = (config.memory_mb - BASE_MEMORY_MB) * 1024 * 1024
         connection_limit = min(
-            config.sockets - config.sockets * 3 // 10 - RESERVE,
-            client_memory_bytes // BYTES_EACH,
+            config.sockets - config.sockets * 3 // 10 - RESERVED_DESCRIPTORS,
+            client_memory_bytes // CONNECTION_BYTES,
         )
         self.table: ConnectionTable[ClientConnection] = ConnectionTable(counters, connection_limit)
         self.context = ClientContext(
