--- a/weldquay/__init__.py
+++ b/weldquay/__init__.py
@@ -1,1 +1,1 @@
-"""weldquay: the decisions of a dispatcher that pushes jobs to workers."""
+"""weldquay: a dispatcher that pushes jobs to match workers."""
--- a/weldquay/__main__.py
+++ b/weldquay/__main__.py
@@ -18,12 +18,15 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM; the exit status (1: an address is not available, 2: a bad configuration)."""
-    parser = argparse.ArgumentParser("weldquay", description="One dispatcher; see README.md.")
-    parser.add_argument("--room", metavar="FILE", help="figures for holding room (or $GW_ROOM)")
+    """Serve until SIGTERM and return the exit status.
+
+    1: an address is unavailable; 2: the configuration is invalid.
+    """
+    parser = argparse.ArgumentParser("weldquay", description="Run one dispatcher; see README.md.")
+    parser.add_argument("--room", metavar="FILE", help="file of reservation settings (default: $GW_ROOM)")
     if room := parser.parse_args().room:
         os.environ["GW_ROOM"] = room
-    # Without a handler SIGHUP would end the process.  It waits until there is one.
+    # SIGHUP would end the process until its handler is installed, so it is blocked until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
@@ -34,7 +37,7 @@
 
 
 def _load_config() -> Config | None:
-    """The configuration; None, with a line on standard error, where there is none without errors."""
+    """Load the configuration; print one line on standard error and return None if it is invalid."""
     try:
         return load(os.environ)
     except ConfigError as error:
@@ -46,7 +49,10 @@
 
 
 def _load_config_of_older_process() -> Config | None:
-    """The saved configuration of a running older process: a bad file must not prevent a hot restart."""
+    """Load the configuration that a running older process has saved.
+
+    An invalid file must not prevent a hot restart.
+    """
     name = os.environ.get("GW_NAME", "")
     if not name or not is_peer_listening(name):
         return None
@@ -58,7 +64,7 @@
 
 
 async def _run(config: Config) -> int:
-    """Run the dispatcher; the exit status."""
+    """Run the dispatcher and return its exit status."""
     return await DispatcherProcess(config).run()
 
 
--- a/weldquay/errors.py
+++ b/weldquay/errors.py
@@ -1,7 +1,7 @@
-"""Errors that operators see: what happened, where, and what to do.
+"""Base class of the errors that operators see: what happened, where, and how to fix it.
 
-Rules: one class for each cause, each with a code and a remedy of its own; the command line, the log and the
-operators' interface show them.  An error that is handled where it arises needs no class of these.
+Each cause has a class of its own, with its own code and remedy; the command line, the log and the operators'
+interface show both.  An error that is handled inside the program does not need such a class.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 
 class OperatorError(Exception):
-    """The root of the errors that operators see.
+    """Base class of all errors that operators see.
 
-    what: one plain phrase; where: a file, a key or an address, empty if `what` names it.
+    what: a short description; where: a file, a key or an address, empty if `what` already names it.
     """
 
-    error_code: ClassVar[str] = "operator-error"  # in responses and logs; external, so it does not change
-    remedy: ClassVar[str] = ""  # what an operator can do
+    error_code: ClassVar[str] = "operator-error"  # appears in responses and logs, so it must not change
+    remedy: ClassVar[str] = ""  # what an operator can do about it
 
     def __init__(self, what: str, where: str = "") -> None:
         super().__init__(f"{where}: {what}" if where else what)
@@ -24,9 +24,9 @@
         self.where = where
 
     def advice(self) -> str:
-        """One line for a terminal or a log: what happened, and what to do."""
+        """The error and its remedy in one line, for a terminal or a log."""
         return f"{' '.join(str(self).split())}; what to do: {self.remedy}"
 
     def as_json(self) -> dict[str, str]:
-        """The fields of a JSON response."""
+        """The error as the object of a JSON response."""
         return {"error": self.error_code, "what": self.what, "where": self.where, "remedy": self.remedy}
--- a/weldquay/limits.py
+++ b/weldquay/limits.py
@@ -1,10 +1,12 @@
-"""Limits of one process: its sockets keep them, and a configuration is checked against them."""
+"""Resource limits of one process, used to size its connection tables and to check a configuration."""
 
 from __future__ import annotations
 
 MAX_PORT = 65535
 MIN_SOCKETS = 128  # file descriptors, for clients and workers together
-MIN_MEMORY_MB = 24  # the program without connections takes about 14 MB
-RESERVED_DESCRIPTORS = 48  # 22 of the program and its operators, 20 accepted but not counted, 6 spare
-CONNECTION_BYTES = 128 * 1024  # limit of one connection: its body, its read buffer, its objects
-BASE_MEMORY_MB = 20  # of the program without clients
+MIN_MEMORY_MB = 24  # the process without connections takes about 14 MB
+# File descriptors that the connection limits leave free: 22 for the process and its operators' connections,
+# 20 for connections that are accepted but not yet counted, 6 spare.
+RESERVED_DESCRIPTORS = 48
+CONNECTION_BYTES = 128 * 1024  # upper bound for one connection: its body, its read buffer and its objects
+BASE_MEMORY_MB = 20  # used by the process without clients
