--- a/weldquay/settings.py
+++ b/weldquay/settings.py
@@ -1,7 +1,7 @@
-"""The codec of settings, and the meaning of the fields in a load report.
+"""Decodes settings and load reports.
 
-The simulator sends settings as path=value lines; the configuration file of a real dispatcher has the same
-object as nested JSON.  Both become `FlatSettings`.  The keys here are external names.
+The simulator sends settings as path=value lines; the configuration file of a real dispatcher holds the same
+settings as nested JSON.  Both are converted to `FlatSettings`.  The keys are external names.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 
 
 class FlatSettings:
-    """Settings by path, with typed look-ups.
+    """Settings by dotted path, with typed accessors.
 
-    A look-up raises ValueError with the key if the value is malformed, or missing without a default.
+    An accessor raises ValueError with the key if the value is malformed, or if it is missing and the accessor
+    has no default.
     """
 
     def __init__(self, values: dict[str, str]) -> None:
@@ -34,86 +35,86 @@
 
     @classmethod
     def from_text(cls, text: str) -> FlatSettings:
-        """Settings in the simulator's form: one path=value per line."""
+        """Parse the simulator's format: one path=value per line."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     @classmethod
     def from_nested(cls, settings: object) -> FlatSettings:
-        """Settings in the form of a configuration file: nested JSON, flattened to the same paths."""
+        """Flatten the nested JSON of a configuration file to the same paths."""
         values: dict[str, str] = {}
         _flatten("", settings, values)
         return cls(values)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Return a value as a string."""
         value = self.values.get(key, default)
         if value is None:
             raise ValueError(f"missing setting {key}")
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A number without its fraction."""
+        """Return a number truncated to an integer."""
         number = self.number(key, None if default is None else float(default))
         return int(number)
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Return a finite number."""
         value = self.text(key, None if default is None else repr(default))
         try:
             number = float(value)
         except ValueError:
-            raise ValueError(f"setting {key} is no number: {value!r}") from None
+            raise ValueError(f"setting {key} is not a number: {value!r}") from None
         if not math.isfinite(number):
             raise ValueError(f"setting {key} is not finite: {value!r}")
         return number
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """A boolean: true or false."""
+        """Return a boolean, written `true` or `false`."""
         value = self.text(key, "true" if default else "false")
         if value not in ("true", "false"):
             raise ValueError(f"setting {key} is neither true nor false: {value!r}")
         return value == "true"
 
     def items(self, key: str) -> list[str]:
-        """The items of a comma-separated list; empty if the key is absent."""
+        """Return the items of a comma-separated list; empty if the key is absent."""
         return [item for item in self.text(key, "").split(",") if item]
 
 
 def _flatten(path: str, value: object, values: dict[str, str]) -> None:
-    """Add a nested value to values, with the path and the text that the simulator would use."""
+    """Add a nested value to `values` in the simulator's format: dotted paths and plain text."""
     if isinstance(value, dict):
         for name, item in value.items():
             _flatten(f"{path}.{name}" if path else str(name), item, values)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         values[f"{path}.count"] = str(len(value))
-        for number, item in enumerate(value):
-            _flatten(f"{path}.{number}", item, values)
+        for index, item in enumerate(value):
+            _flatten(f"{path}.{index}", item, values)
     elif isinstance(value, list):
-        values[path] = ",".join(_plain(item) for item in value)
+        values[path] = ",".join(_scalar_text(item) for item in value)
     elif value is not None:
-        values[path] = _plain(value)
+        values[path] = _scalar_text(value)
 
 
-def _plain(value: object) -> str:
+def _scalar_text(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
 def decode_settings(flat: FlatSettings) -> tuple[api.Settings, tuple[str, ...]]:
-    """The settings, and the meanings of a load report's fields in their order.
+    """Return the settings, and what each field of a load report means, in the order of the fields.
 
     Raises ValueError if a value is missing or malformed.
     """
     count = flat.integer("services.count")
     if count < 1:
-        raise ValueError(f"setting services.count names no class: {count}")
-    classes = tuple(_job_class(flat, number) for number in range(count))
+        raise ValueError(f"setting services.count must be at least 1: {count}")
+    classes = tuple(_job_class(flat, index) for index in range(count))
     return _settings(flat, classes), _report_field_meanings(flat)
 
 
-def _job_class(flat: FlatSettings, number: int) -> api.JobClass:
-    path = f"services.{number}."
+def _job_class(flat: FlatSettings, index: int) -> api.JobClass:
+    path = f"services.{index}."
     effect = flat.text(path + "effect")
     group = flat.text(path + "group", "all")
     if effect not in _IDEMPOTENCY:
@@ -130,26 +131,26 @@
         late_weight=flat.number(path + "late_value", 0.0),
         runtime_allowance=(
             flat.number(path + "aim_stretch", 0.0)
-            + _class_item(flat, "family_info.class_stretch", number, 0.0)
+            + _class_item(flat, "family_info.class_stretch", index, 0.0)
         ),
-        machine_kind=int(_class_item(flat, "family_info.class_kind", number, -1)),
+        machine_kind=int(_class_item(flat, "family_info.class_kind", index, -1)),
         streams_response=flat.flag(path + "stream"),
     )
 
 
-def _class_item(flat: FlatSettings, key: str, number: int, default: float) -> float:
-    """The number of a class in a list with one for each class; the default if the list is shorter."""
+def _class_item(flat: FlatSettings, key: str, index: int, default: float) -> float:
+    """Return one class's value from a list with a value per class, or the default if the list is shorter."""
     items = flat.items(key)
-    if number >= len(items):
+    if index >= len(items):
         return default
     try:
-        return float(items[number])
+        return float(items[index])
     except ValueError:
-        raise ValueError(f"setting {key} is no number: {items[number]!r}") from None
+        raise ValueError(f"setting {key} is not a number: {items[index]!r}") from None
 
 
 def load_report(values: Mapping[str, float]) -> api.LoadReport | None:
-    """A load report from its numbers by meaning; None if one of them is negative or not finite."""
+    """Build a load report from values by meaning; None if one of them is negative or not finite."""
     if any(not math.isfinite(value) or value < 0.0 for value in values.values()):
         return None
     return api.LoadReport(
@@ -163,7 +164,7 @@
 
 
 def _report_field_meanings(flat: FlatSettings) -> tuple[str, ...]:
-    """The meanings of a load report's fields; the fields x0 and x1 have theirs in the settings."""
+    """Return what each field of a load report means; for x0 and x1 the settings say it."""
     meanings = {
         "x0": flat.text("family_info.report_x0", "free_slots"),
         "x1": flat.text("family_info.report_x1", "free_memory"),
@@ -172,7 +173,7 @@
 
 
 def _check_dispatcher_index(index: int, count: int) -> None:
-    """Raise ValueError unless the index is one of count: turns and subsets are assigned by it."""
+    """Raise ValueError unless 0 <= index < count, as turns and subsets are assigned by the index."""
     if not 0 <= index < count:
         raise ValueError(f"setting me is not among the {count} dispatchers of group_size: {index}")
 
