--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's codec on the bytes of the page WIRE and on bad input, and the adapter."""
+"""The codec of the simulator's protocol, on examples of the document WIRE and on bad input; the adapter."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 
 def decode(text: str) -> tuple[api.Settings, tuple[str, ...]]:
-    """The settings of a wire text."""
+    """Decode settings from the simulator's text."""
     return decode_settings(FlatSettings.from_text(text))
 
 
 def decode_record(text: str) -> wire.WireEvent:
-    """Decode a FOR and one other record."""
+    """Decode a FOR record and one other record, given in hexadecimal."""
     data = bytes.fromhex(text.replace(" ", ""))
     ((_, event),) = wire.decode_batch(data, 2, {3: ("free_slots", "busy_reqs"), 5: ()})
     return event
 
 
-def test_events_of_the_page() -> None:
-    """REQUEST, DEADLINE_HIT, GONE, MEMBERSHIP and REPORT_BACK."""
+def test_examples_of_events() -> None:
+    """The document's REQUEST, DEADLINE_HIT, GONE, MEMBERSHIP and REPORT_BACK records decode to events."""
     request = decode_record(
         "070103000000 0101c4913a5d0000000000640ad2557c3bf091001c4e0e00000000001bb70000000000"
         "000000400000000001 00"
@@ -67,8 +67,8 @@
     assert (ended.outcome, ended.request_finished, ended.report) == (api.Outcome.OK, True, None)
 
 
-def test_actions_of_the_page() -> None:
-    """The reply of the page, byte by byte."""
+def test_examples_of_actions() -> None:
+    """The encoder produces the document's example of a reply, byte by byte."""
     body = wire.encode_actions(
         3, [api.Send(0x5D3A91C4, 0x03124A07, 80_000_000), api.SetTimer(500_000_000, 77)]
     )
@@ -85,14 +85,14 @@
 
 @pytest.mark.parametrize("values", [[], [1.0], [-1.0, 2.0], [float("nan"), 1.0], [float("inf"), 1.0]])
 def test_malformed_reports_are_none(values: list[float]) -> None:
-    """Absent, short, negative or non-finite reports never become free slots."""
+    """A report that is absent, short, negative or not finite never counts as free slots."""
     packed = struct.pack(f"<{len(values)}f", *values).hex()
     event = decode_record("070103000000 0a01" + struct.pack("<QBIB", 5, 10, 9, len(values)).hex() + packed)
     assert isinstance(event, api.ProbeEnded) and event.report is None
 
 
 def test_settings() -> None:
-    """Known keys are read, unknown ones are ignored, missing ones are named."""
+    """Known keys are read, unknown ones ignored, and a missing one is named in the error."""
     settings, fields = decode(SETTINGS)
     assert (
         settings.classes[0].idempotency is api.Idempotency.IDEMPOTENT_BY_KEY
@@ -107,7 +107,7 @@
 
 
 def test_nested_settings_flatten_to_the_same_paths() -> None:
-    """Both programs read the same values: lists, flags and words with spaces included."""
+    """Nested JSON and path=value lines give the same values, also for lists, flags and text with spaces."""
     nested = {
         "services": [{"name": "a b", "stream": False}, {"name": "c"}],
         "caps": {"cancel": True, "x": 2.5},
@@ -137,7 +137,7 @@
 
 
 def power_on(instance: int, seed: int = 9, text: str = SETTINGS) -> bytes:
-    """FOR, POWER_ON and a cached list of two workers."""
+    """Encode FOR, POWER_ON and a cached list of two workers."""
     rows = b"".join(struct.pack("<HHBIHQf", 0, 0, 1, worker, 0, 0, 1.0) for worker in (11, 12))
     return (
         struct.pack("<HI", 263, instance)
@@ -149,36 +149,38 @@
 
 
 def request(instance: int, number: int) -> bytes:
-    """FOR and REQUEST."""
+    """Encode FOR and REQUEST."""
     return struct.pack("<HI", 263, instance) + struct.pack(
         "<HIBIQQQffH", 257, number, 0, 0, 0, 60_000_000_000, 0, 1.0, 0.0, 0
     )
 
 
 def frame(body: bytes, count: int, now: int = 1_000_000_000) -> bytes:
-    """A batch frame."""
+    """Encode the frame of a batch."""
     return wire.HEADER.pack(len(body), count, now) + body
 
 
 def test_instances_share_nothing() -> None:
-    """Two instances in one process behave like two processes; KILLED and POWER_ON may share a batch."""
-    both, alone = adapter.Host(), adapter.Host()
+    """Two instances in one process behave like two processes; a batch may contain KILLED and POWER_ON."""
+    both, alone = adapter.DispatcherHost(), adapter.DispatcherHost()
     body = power_on(1) + power_on(2)
-    first = both.answer(10, body, 6)
-    assert first.endswith(alone.answer(10, power_on(2), 3))
+    first = both.process_batch(10, body, 6)
+    assert first.endswith(alone.process_batch(10, power_on(2), 3))
     killed = struct.pack("<HI", 263, 1) + struct.pack("<H", 262) + power_on(1)
-    assert both.answer(20, killed + request(2, 5), 7).endswith(alone.answer(20, request(2, 5), 2))
-    assert both.answer(30, b"", 0) == b""
+    assert both.process_batch(20, killed + request(2, 5), 7).endswith(
+        alone.process_batch(20, request(2, 5), 2)
+    )
+    assert both.process_batch(30, b"", 0) == b""
 
 
 def test_bad_settings_become_fault() -> None:
-    """A missing required setting is named in a FAULT record."""
-    reply = adapter.Host().answer(10, power_on(1, text="services.count=1"), 3)
+    """A FAULT record names the missing required setting."""
+    reply = adapter.DispatcherHost().process_batch(10, power_on(1, text="services.count=1"), 3)
     assert struct.pack("<H", 329) in reply and b"services.0.effect" in reply
 
 
 def run(data: bytes) -> tuple[int, bytes, str]:
-    """Run the adapter as a process."""
+    """Run the adapter as a process; return its status, output and standard error."""
     process = subprocess.run(
         [sys.executable, "-m", "weldquay.adapter"], input=data, capture_output=True, check=False
     )
@@ -186,7 +188,7 @@
 
 
 def test_input_may_end_between_frames() -> None:
-    """Status 0, one reply for each frame."""
+    """The adapter exits with status 0 after one reply per frame."""
     assert run(frame(b"", 0)) == (0, wire.frame_reply(b""), "")
 
 
@@ -201,14 +203,14 @@
         frame(struct.pack("<H", 262), 1),
     ],
 )
-def test_broken_frames_stop_adapter(data: bytes) -> None:
-    """One line on standard error, status 2, no partial output."""
-    status, written, complaint = run(data)
-    assert status == 2 and written == b"" and complaint.count("\n") == 1
+def test_invalid_frames_stop_adapter(data: bytes) -> None:
+    """The adapter exits with status 2 and one line on standard error, without partial output."""
+    status, output, error_text = run(data)
+    assert status == 2 and output == b"" and error_text.count("\n") == 1
 
 
 def test_serve_flushes_each_reply() -> None:
-    """Each frame in a stream gets its reply."""
+    """Each frame of a stream gets a reply at once."""
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(frame(power_on(1), 3) + frame(request(1, 4), 2)), sink)
     assert struct.pack("<HI", 320, 4) in sink.getvalue()
--- a/weldquay/wire.py
+++ b/weldquay/wire.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's wire: frames to events, and actions to records.
+"""Codec of the simulator's binary protocol: decodes batches to events, and encodes actions.
 
-Source: the page WIRE.  All numbers are little-endian; a record is a 16-bit code and its
-fields.  Each code has a decoder or an encoder in a table.
+The protocol is defined by the document WIRE.  All numbers are little-endian; a record is a 16-bit code and
+its fields.  Tables map each code to its decoder and each action to its encoder.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from weldquay.errors import OperatorError
 from weldquay.settings import load_report
 
-HEADER = struct.Struct("<IIQ")  # of a batch: bytes of its body, records, time in ns
-REPLY_HEADER = struct.Struct("<I")  # bytes of the reply's body
-MAX_TEXT = 60_000  # bytes of a text in a record
+HEADER = struct.Struct("<IIQ")  # of a batch: size of its body in bytes, number of records, time in ns
+REPLY_HEADER = struct.Struct("<I")  # size of the reply's body in bytes
+MAX_TEXT_BYTES = 60_000  # of a text in a record; a longer one is cut
 
 
 class EventCode(IntEnum):
-    """The codes of the records in a batch, with the names of the page WIRE."""
+    """Codes of the records in a batch, named as in the document WIRE."""
 
     REPORT_BACK = 256
     REQUEST = 257
@@ -31,7 +31,7 @@
     HEARTBEAT = 260
     GONE = 261
     KILLED = 262
-    FOR = 263  # the instance of the records after it
+    FOR = 263  # selects the instance of the records that follow
     ACK_FIRST = 264
     MEMBERSHIP = 265
     CHECKED = 266
@@ -39,7 +39,7 @@
 
 
 class ActionCode(IntEnum):
-    """The codes of the records in a reply, with the names of the page WIRE."""
+    """Codes of the records in a reply, named as in the document WIRE."""
 
     ISSUE = 320
     DECLINE = 321
@@ -52,7 +52,7 @@
     RECORD = 328
     FAULT = 329
     OBSERVE = 330
-    INSTANCE = 332  # the instance of the records after it
+    INSTANCE = 332  # selects the instance of the records that follow
 
 
 _OUTCOMES = {
@@ -73,7 +73,7 @@
     3: api.EndpointListKind.FAILED,
 }
 
-# The fields of the records that follow the code; those of the events first.
+# Layouts of the fields after a record's code; actions are packed by their encoders.
 _CODE = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 _REPORT_BACK = struct.Struct("<IHIBQBBB")
@@ -86,95 +86,102 @@
 _PROBE_RESULT = struct.Struct("<QBIB")
 _POWER_ON = struct.Struct("<QI")
 
-_PROGRESS_STARTED = 1  # the kind of progress that has no amount
-_REQUEST_HAS_HINT = 1  # flags of a request
+_PROGRESS_STARTED = 1  # kind of progress without an amount
+_REQUEST_HAS_HINT = 1  # bits of a request's flags
 _REQUEST_IS_RETRY = 2
-_EVERY_PEER = 0xFFFFFFFF
-_WATCH_ON = 1
+_ALL_PEERS = 0xFFFFFFFF
+_WATCH_ENABLED = 1
 _NO_INSTANCE = -1
 
 
 class WireError(OperatorError):
-    """A frame does not follow the protocol; the text says what is wrong, and where."""
+    """A frame violates the protocol; the message says what is wrong, and where."""
 
     error_code = "wire-error"
-    remedy = "start the adapter with the simulator of the same protocol note; nothing else speaks this wire"
+    remedy = "start the adapter from a simulator with the same version of the protocol; nothing else uses it"
 
 
 @dataclass(frozen=True, slots=True)
-class PowerOn:
-    """An instance starts without any state, with its seed and the text of its settings."""
+class InstanceStarted:
+    """An instance starts without state, with its seed and the text of its settings."""
 
     seed: int
     settings_text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Killed:
-    """An instance has ended, with all its state."""
+class InstanceKilled:
+    """An instance has ended and its state is discarded."""
 
 
-WireEvent = api.Event | PowerOn | Killed
+WireEvent = api.Event | InstanceStarted | InstanceKilled
 
 
 class _Reader:
-    """Reads fields from a frame's body.  Raises WireError past its end."""
+    """Reads fields from a frame's body.  Raises WireError if they extend past its end."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.offset = 0  # bytes
-        self.record = 0  # its number in the frame, for errors
+        self.offset = 0  # of the next field, in bytes
+        self.record_index = 0  # in the frame, for error messages
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
-        """The next fields; those of a float format are floats at run time."""
+        """Read the next fields; those with a float format are floats at run time."""
         if self.offset + layout.size > len(self.body):
-            raise WireError(f"record {self.record}: fields run past the frame at byte {self.offset}")
+            raise WireError(
+                f"record {self.record_index}: fields extend past the end of the frame at byte {self.offset}"
+            )
         fields = layout.unpack_from(self.body, self.offset)
         self.offset += layout.size
         return fields
 
     def read(self, count: int) -> bytes:
-        """The next count bytes."""
+        """Read the next `count` bytes."""
         start = self.offset
         if start + count > len(self.body):
-            raise WireError(f"record {self.record}: {count} bytes run past the frame at byte {start}")
+            raise WireError(
+                f"record {self.record_index}: {count} bytes extend past the end of the frame at byte {start}"
+            )
         self.offset += count
         return self.body[start : self.offset]
 
 
-ReportFields = tuple[str, ...]  # what the numbers of a load report mean, in their order
+ReportFields = tuple[str, ...]  # what each number of a load report means, in their order
 
 
 def decode_batch(
     body: bytes, count: int, report_fields: dict[int, ReportFields]
 ) -> Iterator[tuple[int, WireEvent]]:
-    """Yield (instance, event) for each of the count records; report_fields: by instance.
+    """Yield (instance, event) for each event in a body of `count` records.
 
-    Each record is read when the next event is asked for, so that the caller can add the report fields of a
-    PowerOn to report_fields before them.  Raises WireError.
+    Records are decoded lazily: on InstanceStarted the caller can add the instance's entry to `report_fields`
+    before the instance's next record is decoded.
+
+    Raises:
+        WireError: the body violates the protocol.
     """
     reader = _Reader(body)
     instance: int | None = None
-    for number in range(count):
-        reader.record = number
+    for index in range(count):
+        reader.record_index = index
         (code,) = reader.unpack(_CODE)
         if code == EventCode.FOR:
             (instance,) = reader.unpack(_U32)
             continue
         decode = _DECODERS.get(code)
         if decode is None:
-            raise WireError(f"record {number}: unknown code {code} at byte {reader.offset - _CODE.size}")
+            raise WireError(f"record {index}: unknown code {code} at byte {reader.offset - _CODE.size}")
         fields = report_fields.get(_NO_INSTANCE if instance is None else instance, ())
         event = decode(reader, fields)
         if instance is None:
-            raise WireError(f"record {number}: an event before any FOR")
+            raise WireError(f"record {index}: event before the first FOR record")
         yield instance, event
     if reader.offset != len(body):
-        raise WireError(f"{len(body) - reader.offset} bytes left after the last of {count} records")
+        raise WireError(f"{len(body) - reader.offset} bytes left over after {count} records")
 
 
 def _read_load_report(reader: _Reader, count: int, fields: ReportFields) -> api.LoadReport | None:
-    """A load report of count numbers; None if it is absent or lacks a field."""
+    """Read a load report of `count` numbers; None if it is absent or lacks a field."""
     values = struct.unpack(f"<{count}f", reader.read(4 * count))
     if not fields or count < len(fields):
         return None
@@ -220,8 +227,8 @@
     return api.ClientDisconnected(reader.unpack(_U32)[0])
 
 
-def _decode_killed(_reader: _Reader, _fields: ReportFields) -> Killed:
-    return Killed()
+def _decode_killed(_reader: _Reader, _fields: ReportFields) -> InstanceKilled:
+    return InstanceKilled()
 
 
 def _decode_response_started(reader: _Reader, _fields: ReportFields) -> api.ResponseStarted:
@@ -232,16 +239,16 @@
 def _decode_membership(reader: _Reader, _fields: ReportFields) -> api.EndpointListUpdate:
     _sequence, kind, count = reader.unpack(_MEMBERSHIP)
     if kind not in _LIST_KINDS:
-        raise WireError(f"record {reader.record}: unknown list kind {kind}")
+        raise WireError(f"record {reader.record_index}: unknown list kind {kind}")
     members = _Reader(reader.read(count * _MEMBER.size))
-    entries = tuple(_decode_member(members, reader.record) for _ in range(count))
+    entries = tuple(_decode_member(members, reader.record_index) for _ in range(count))
     return api.EndpointListUpdate(_LIST_KINDS[kind], entries)
 
 
-def _decode_member(reader: _Reader, record: int) -> api.WorkerEntry:
+def _decode_member(reader: _Reader, record_index: int) -> api.WorkerEntry:
     cell, kind, state, worker, zone, started_ns, weight = reader.unpack(_MEMBER)
     if state not in _WORKER_STATES:
-        raise WireError(f"record {record}: unknown worker state {state}")
+        raise WireError(f"record {record_index}: unknown worker state {state}")
     return api.WorkerEntry(
         worker, _WORKER_STATES[state], cell, kind, zone, started_ns, float(weight), start_id=worker
     )
@@ -253,9 +260,9 @@
     return api.ProbeEnded(worker, _OUTCOMES.get(status, api.Outcome.UNKNOWN), latency_ns, report)
 
 
-def _decode_power_on(reader: _Reader, _fields: ReportFields) -> PowerOn:
+def _decode_power_on(reader: _Reader, _fields: ReportFields) -> InstanceStarted:
     seed, size = reader.unpack(_POWER_ON)
-    return PowerOn(seed, reader.read(size).decode("utf-8", "replace"))
+    return InstanceStarted(seed, reader.read(size).decode("utf-8", "replace"))
 
 
 _DECODERS: dict[int, Callable[[_Reader, ReportFields], WireEvent]] = {
@@ -274,7 +281,7 @@
 
 
 def encode_actions(instance: int, actions: list[api.Action]) -> bytes:
-    """The records of one instance's actions; empty if there are none."""
+    """Encode the actions of one instance; empty if there are none."""
     if not actions:
         return b""
     records = [struct.pack("<HI", ActionCode.INSTANCE, instance)]
@@ -283,13 +290,13 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """The records of a failure in an instance's decision module."""
-    data = text.encode()[:MAX_TEXT]
+    """Encode an exception in the decision module of an instance."""
+    data = text.encode()[:MAX_TEXT_BYTES]
     return struct.pack("<HIHH", ActionCode.INSTANCE, instance, ActionCode.FAULT, len(data)) + data
 
 
 def frame_reply(body: bytes) -> bytes:
-    """The frame of a reply."""
+    """Prepend the header of a reply to its body."""
     return REPLY_HEADER.pack(len(body)) + body
 
 
@@ -322,21 +329,21 @@
 
 
 def _encode_peer_message(action: api.SendToPeer) -> bytes:
-    peer = _EVERY_PEER if action.peer is None else action.peer
+    peer = _ALL_PEERS if action.peer is None else action.peer
     return struct.pack("<HIH", ActionCode.SHARE, peer, len(action.data)) + action.data
 
 
 def _encode_log(action: api.Log) -> bytes:
-    data = action.text.encode()[:MAX_TEXT]
+    data = action.text.encode()[:MAX_TEXT_BYTES]
     return struct.pack("<HH", ActionCode.RECORD, len(data)) + data
 
 
 def _encode_watch(_action: api.WatchEndpoints) -> bytes:
-    return struct.pack("<HB", ActionCode.OBSERVE, _WATCH_ON)
+    return struct.pack("<HB", ActionCode.OBSERVE, _WATCH_ENABLED)
 
 
 def _encode_nothing(_action: api.ReservationEnded) -> bytes:
-    """The simulator has no record for the end of a reservation."""
+    """Encode nothing: the simulator has no record for the end of a reservation."""
     return b""
 
 
