--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -230,7 +230,7 @@
     """And what needs no facts still holds."""
     told = good(settings__services__3__effect="retryable")
     assert [each for each in found(told, site=None) if each.error] == []
-    assert "WQ201" in {rule.id for rule in checking.left_out(None)} and not checking.left_out(SITE)
+    assert "WQ201" in {rule.id for rule in checking.skipped_rules(None)} and not checking.skipped_rules(SITE)
 
 
 def test_a_sidecar_listens_on_loopback_only() -> None:
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("rule", sorted(RULES))
 def test_every_rule_explains_itself(rule: str) -> None:
     """Its page has a reason, a bad and a good example."""
-    page = cli.page(RULES[rule])
+    page = cli.format_rule(RULES[rule])
     assert RULES[rule].why in page and "Bad:" in page and "Good:" in page and len(RULES[rule].why) > 20
 
 
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -133,7 +133,7 @@
             objects += [finding_to_json(finding, path) for finding in findings]
         else:
             print_findings(findings, path)
-    not_applied = [rule.id for rule in checking.left_out(site)]
+    not_applied = [rule.id for rule in checking.skipped_rules(site)]
     if is_json:
         click.echo(json.dumps({"findings": objects, "not_applied": not_applied}, indent=1))
     elif not_applied:
@@ -326,10 +326,10 @@
     rule = RULES.get(rule_id.upper())
     if rule is None:
         fail(f"there is no rule {rule_id}; `weldquay config rules` lists them")
-    click.echo(page(rule))
+    click.echo(format_rule(rule))
 
 
-def page(rule: Rule) -> str:
+def format_rule(rule: Rule) -> str:
     """Return the explanation of a rule."""
     needs = "\nIt needs a catalogue (--catalogue)." if rule.facts else ""
     return (
--- a/weldquay/config/catalogue.py
+++ b/weldquay/config/catalogue.py
@@ -25,7 +25,7 @@
     remedy = "name one of the catalogues that are listed, or the path of a file of your own"
 
 
-class Kind(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class JobKind(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A kind of job: whether it may run twice, and how long its clients wait."""
 
     name: str
@@ -63,27 +63,27 @@
     """A site's facts."""
 
     site: str
-    kinds: list[Kind] = []
+    kinds: list[JobKind] = []
     customers: list[Customer] = []
     limits: Limits = Limits()
     networks: list[str] = []  # that addresses may lie in; none: any
 
-    def kind(self, name: str) -> Kind | None:
+    def kind(self, name: str) -> JobKind | None:
         """Return the kind with this name, whatever its spelling, or None."""
-        return next((kind for kind in self.kinds if fold(kind.name) == fold(name)), None)
+        return next((kind for kind in self.kinds if normalize_name(kind.name) == normalize_name(name)), None)
 
 
-def fold(name: str) -> str:
+def normalize_name(name: str) -> str:
     """Return a name in lower case, with `-` for `_`, spaces and dots, to compare it with others."""
     return "".join("-" if entry in "_-. " else entry for entry in name.casefold()).strip("-")
 
 
-def near(name: str, names: list[str]) -> str:
-    """Return the name that a misspelt one probably means; empty if there is none or both fold alike."""
-    folded = {fold(entry): entry for entry in names}
-    if fold(name) in folded:
+def find_similar_name(name: str, names: list[str]) -> str:
+    """Return the name that a misspelt one probably means; empty if there is none or both normalize alike."""
+    folded = {normalize_name(entry): entry for entry in names}
+    if normalize_name(name) in folded:
         return ""
-    found = difflib.get_close_matches(fold(name), list(folded), 1, MIN_SIMILARITY)
+    found = difflib.get_close_matches(normalize_name(name), list(folded), 1, MIN_SIMILARITY)
     return folded[found[0]] if found else ""
 
 
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -57,7 +57,7 @@
     return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
 
 
-def left_out(catalogue: Catalogue | None) -> list[Rule]:
+def skipped_rules(catalogue: Catalogue | None) -> list[Rule]:
     """Return the rules that cannot be applied for want of a catalogue."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.facts]
 
@@ -71,7 +71,7 @@
     """Return the findings with line and column of the value, or of the object that lacks it."""
     if not findings:
         return []
-    offsets: dict[reading.Steps, int] = {}
+    offsets: dict[reading.KeyPath, int] = {}
     wanted = {finding.steps[:n] for finding in findings for n in range(len(finding.steps) + 1)}
     for steps, offset in reading.places(text):
         if steps in wanted:
--- a/weldquay/config/difference.py
+++ b/weldquay/config/difference.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-from weldquay.config.schema import json_text
+from weldquay.config.schema import short_json
 
 MISSING = object()
 START_ONLY = {"seed": "used at a start only", "known": "used at a start only"}
@@ -56,7 +56,7 @@
 
 
 def _text(value: Any) -> str | None:
-    return None if value is MISSING else json_text(value)
+    return None if value is MISSING else short_json(value)
 
 
 def _effect(steps: tuple[str | int, ...], new: Any) -> tuple[Taken, str]:
--- a/weldquay/config/reading.py
+++ b/weldquay/config/reading.py
@@ -20,7 +20,7 @@
 MAX_BYTES = 16 * 1024 * 1024  # bytes: a list of 100,000 workers; a larger file is a mistake
 MAX_DEPTH = 64  # levels of nesting; the configuration itself has five
 READ_SIZE = 1 << 20
-Steps = tuple[str | int, ...]  # the way to a value: keys and positions
+KeyPath = tuple[str | int, ...]  # the way to a value: keys and positions
 
 
 class ReadingError(OperatorError, ValueError):
@@ -139,7 +139,7 @@
 
 def _second_position(text: str, key: str) -> tuple[int, int]:
     """Return line and column of the second occurrence of a key in one object."""
-    seen: set[Steps] = set()
+    seen: set[KeyPath] = set()
     for steps, offset in places(text):
         if steps in seen and steps and steps[-1] == key:
             return position(text, offset)
@@ -153,7 +153,7 @@
     return before.count("\n") + 1, len(before) - (before.rfind("\n") + 1) + 1
 
 
-def places(text: str) -> Iterator[tuple[Steps, int]]:  # noqa: C901  # one pass over the tokens
+def places(text: str) -> Iterator[tuple[KeyPath, int]]:  # noqa: C901  # one pass over the tokens
     """Yield the path of each value and its offset (of its key, in an object), in the order of the text.
 
     The text must be JSON; duplicate keys come twice.
--- a/weldquay/config/reference.py
+++ b/weldquay/config/reference.py
@@ -15,12 +15,14 @@
     for title, group in _groups("", schema.Document):
         lines += [f"## {title or 'The file'}", "", "| key | write | default | meaning |", "|" + " --- |" * 4]
         for field in msgspec.structs.fields(group):
-            if schema.struct_of(field.type) is None or field.required:
-                default = "required" if field.required else f"`{schema.json_text(_default(field))}`"
+            if schema.nested_struct(field.type) is None or field.required:
+                default = "required" if field.required else f"`{schema.short_json(_default(field))}`"
                 why = schema.note(field.type, "why")
                 if variable := schema.note(field.type, "variable"):
                     why = f"{why} ({variable} comes before it)".strip()
-                lines.append(f"| `{field.encode_name}` | {schema.right(field.type)} | {default} | {why} |")
+                lines.append(
+                    f"| `{field.encode_name}` | {schema.valid_values(field.type)} | {default} | {why} |"
+                )
         lines.append("")
     return "\n".join(lines)
 
@@ -31,8 +33,8 @@
 
 def _groups(title: str, group: type[msgspec.Struct]) -> list[tuple[str, type[msgspec.Struct]]]:
     groups = [(title, group)]
-    for name, kind in schema.keys(group).items():
-        inner = schema.struct_of(kind)
+    for name, kind in schema.key_types(group).items():
+        inner = schema.nested_struct(kind)
         if inner is not None:
             suffix = "[]" if "list" in str(kind) else ""
             groups += _groups(f"{title}.{name}{suffix}".lstrip("."), inner)
--- a/weldquay/config/rules/base.py
+++ b/weldquay/config/rules/base.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any
 
-from weldquay.config.catalogue import Catalogue, Kind, fold, near
-from weldquay.config.reading import Steps
+from weldquay.config.catalogue import Catalogue, JobKind, find_similar_name, normalize_name
+from weldquay.config.reading import KeyPath
 
 
 class Level(Enum):
@@ -54,7 +54,7 @@
         value = (figure(row.get(key)) for _, row in self.rows(name))
         return [entry for entry in value if entry is not None]
 
-    def jobs(self) -> Iterator[tuple[int, dict[str, Any], Kind]]:
+    def jobs(self) -> Iterator[tuple[int, dict[str, Any], JobKind]]:
         """The classes that the catalogue knows, with their positions and what it says of them."""
         assert self.catalogue is not None
         for number, row in self.rows("services"):
@@ -85,7 +85,7 @@
 
     rule: str
     error: bool
-    steps: Steps
+    steps: KeyPath
     text: str
     line: int = 0
     column: int = 0
@@ -96,7 +96,7 @@
         return ".".join(str(step) for step in self.steps) or "(file)"
 
 
-Findings = Iterator[tuple[Steps, str]]
+Findings = Iterator[tuple[KeyPath, str]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,8 +148,8 @@
 
 def meant(name: str, known: list[str]) -> str:
     """Return the known name that a misspelt name probably means; empty if there is none."""
-    same = (entry for entry in known if fold(entry) == fold(name) and entry != name)
-    return next(same, "") or near(name, known)
+    same = (entry for entry in known if normalize_name(entry) == normalize_name(name) and entry != name)
+    return next(same, "") or find_similar_name(name, known)
 
 
 def seconds(ns: float) -> str:
--- a/weldquay/config/rules/customers.py
+++ b/weldquay/config/rules/customers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.catalogue import fold, near
+from weldquay.config.catalogue import find_similar_name, normalize_name
 from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule
 
 ROUNDING = 0.005  # shares in whole hundredths
@@ -19,9 +19,9 @@
 )
 def _missing_customer(context: CheckContext) -> Findings:
     assert context.catalogue is not None
-    value = {fold(str(row.get("name", ""))) for _, row in context.rows("customers")}
+    value = {normalize_name(str(row.get("name", ""))) for _, row in context.rows("customers")}
     for customer in context.catalogue.customers:
-        if fold(customer.name) not in value:
+        if normalize_name(customer.name) not in value:
             yield (
                 ("settings", "customers"),
                 (
@@ -57,9 +57,9 @@
 )
 def _share_of_site(context: CheckContext) -> Findings:
     assert context.catalogue is not None
-    shares = {fold(entry.name): entry for entry in context.catalogue.customers}
+    shares = {normalize_name(entry.name): entry for entry in context.catalogue.customers}
     for number, row in context.rows("customers"):
-        customer, value = shares.get(fold(str(row.get("name", "")))), figure(row.get("fraction"))
+        customer, value = shares.get(normalize_name(str(row.get("name", "")))), figure(row.get("fraction"))
         if customer is not None and value is not None and abs(value - customer.fraction) > ROUNDING:
             yield (
                 ("settings", "customers", number, "fraction"),
@@ -78,12 +78,12 @@
 def _duplicate_customer(context: CheckContext) -> Findings:
     seen: dict[str, str] = {}
     for number, name in context.named("customers"):
-        if fold(name) in seen:
+        if normalize_name(name) in seen:
             yield (
                 ("settings", "customers", number, "name"),
-                (f"{name} stands in the list already, as {seen[fold(name)]}: keep one"),
+                (f"{name} stands in the list already, as {seen[normalize_name(name)]}: keep one"),
             )
-        seen.setdefault(fold(name), name)
+        seen.setdefault(normalize_name(name), name)
 
 
 @rule(
@@ -116,7 +116,12 @@
     known = [customer.name for customer in context.catalogue.customers]
     for number, row in context.rows("customers"):
         name = str(row.get("name", ""))
-        if known and name and not near(name, known) and fold(name) not in {fold(entry) for entry in known}:
+        if (
+            known
+            and name
+            and not find_similar_name(name, known)
+            and normalize_name(name) not in {normalize_name(entry) for entry in known}
+        ):
             yield (
                 ("settings", "customers", number, "name"),
                 (f"the catalogue of {context.catalogue.site} has no customer {name}"),
--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.catalogue import fold, near
+from weldquay.config.catalogue import find_similar_name, normalize_name
 from weldquay.config.rules.base import CheckContext, Findings, Level, rule
 
 
@@ -78,7 +78,7 @@
 def _alias(context: CheckContext) -> Findings:
     seen: dict[str, str] = {}
     for number, name in context.named("services"):
-        other = seen.setdefault(fold(name), name)
+        other = seen.setdefault(normalize_name(name), name)
         if other != name:
             yield (
                 ("settings", "services", number, "name"),
@@ -100,7 +100,7 @@
     known = [kind.name for kind in context.catalogue.kinds]
     for number, row in context.rows("services"):
         name = str(row.get("name", ""))
-        if name and context.catalogue.kind(name) is None and not near(name, known):
+        if name and context.catalogue.kind(name) is None and not find_similar_name(name, known):
             yield (
                 ("settings", "services", number, "name"),
                 (
--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from weldquay.config import schema
-from weldquay.config.reading import Steps
+from weldquay.config.reading import KeyPath
 from weldquay.config.rules.base import CheckContext, Findings, Level, Rule, add, rule
 
 for _number, _title, _why, _bad, _good in (
@@ -46,10 +46,10 @@
         for field in msgspec.structs.fields(group):
             key = field.encode_name
             if field.required and value.get(key) is None and not _from_variable(steps, key):
-                yield (*steps, key), f"{key} is missing: write {schema.right(field.type)}"
+                yield (*steps, key), f"{key} is missing: write {schema.valid_values(field.type)}"
 
 
-def _from_variable(steps: Steps, name: str) -> bool:
+def _from_variable(steps: KeyPath, name: str) -> bool:
     """True for keys that a GW_* variable may give in place of the file: the program looks there."""
     return not steps and name in ("name", "listen", "discovery")
 
@@ -64,22 +64,22 @@
 )
 def _invalid_value(context: CheckContext) -> Findings:
     for steps, group, value in _groups(context):
-        for name, kind in schema.keys(group).items():
+        for name, kind in schema.key_types(group).items():
             value_at_key = value.get(name)
             if value_at_key is None or name in ("known", "origin"):
                 continue
-            if schema.struct_of(kind) is not None:
+            if schema.nested_struct(kind) is not None:
                 want: type = list if "list" in str(kind) else dict
                 rows = value_at_key if isinstance(value_at_key, list) else []
                 if not isinstance(value_at_key, want) or any(not isinstance(row, dict) for row in rows):
-                    yield (*steps, name), f"{name} is {schema.json_text(value_at_key)}: write {_shape(want)}"
+                    yield (*steps, name), f"{name} is {schema.short_json(value_at_key)}: write {_shape(want)}"
                     continue
                 if not (want is list and not value_at_key):
                     continue
             if not fits(value_at_key, kind):
                 yield (
                     (*steps, name),
-                    f"{name} is {schema.json_text(value_at_key)}: write {schema.right(kind)}",
+                    f"{name} is {schema.short_json(value_at_key)}: write {schema.valid_values(kind)}",
                 )
 
 
@@ -108,7 +108,7 @@
 )
 def _unknown_key(context: CheckContext) -> Findings:
     for steps, group, value in _groups(context):
-        known = list(schema.keys(group))
+        known = list(schema.key_types(group))
         for name in value:
             if name not in known:
                 similar = difflib.get_close_matches(name, known, 1, 0.6)
@@ -116,22 +116,22 @@
                 yield (*steps, name), f"{name} is no key here{hint}"
 
 
-def _groups(context: CheckContext) -> list[tuple[Steps, type[Struct], dict[str, Any]]]:
+def _groups(context: CheckContext) -> list[tuple[KeyPath, type[Struct], dict[str, Any]]]:
     """All objects of a document that the definition knows, with their places."""
-    groups: list[tuple[Steps, type[Struct], dict[str, Any]]] = []
+    groups: list[tuple[KeyPath, type[Struct], dict[str, Any]]] = []
     _collect((), schema.Document, context.document, groups)
     return groups
 
 
 def _collect(
-    steps: Steps,
+    steps: KeyPath,
     group: type[Struct],
     value: dict[str, Any],
-    groups: list[tuple[Steps, type[Struct], dict[str, Any]]],
+    groups: list[tuple[KeyPath, type[Struct], dict[str, Any]]],
 ) -> None:
     groups.append((steps, group, value))
-    for name, kind in schema.keys(group).items():
-        inner, below = schema.struct_of(kind), value.get(name)
+    for name, kind in schema.key_types(group).items():
+        inner, below = schema.nested_struct(kind), value.get(name)
         if inner is None:
             continue
         if isinstance(below, dict):
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -220,7 +220,7 @@
     origin: Annotated[Any, Meta(extra={"why": "where figures come from; not read by the program"})] = None
 
 
-def struct_of(kind: Any) -> type[Struct] | None:
+def nested_struct(kind: Any) -> type[Struct] | None:
     """The group that a key holds, or that the entries of its list are; None for a plain value."""
     for part in _parts(kind):
         if isinstance(part, type) and issubclass(part, Struct):
@@ -238,24 +238,24 @@
     ]
 
 
-def keys(group: type[Struct]) -> dict[str, Any]:
+def key_types(group: type[Struct]) -> dict[str, Any]:
     """The keys of a group and their types."""
     return {field.encode_name: field.type for field in msgspec.structs.fields(group)}
 
 
-def right(kind: Any) -> str:
+def valid_values(kind: Any) -> str:
     """What would be right for a key, in words."""
     for meta in _metas(kind):
         if meta.description:
             return str(meta.description)
     literal = next((part for part in _parts(kind) if getattr(part, "__origin__", None) is Literal), None)
     if literal is not None:
-        return " or ".join(json_text(value) for value in literal.__args__)
+        return " or ".join(short_json(value) for value in literal.__args__)
     names = {bool: "true or false", int: "a whole number", float: "a number", str: "a text", list: "a list"}
     for part in _parts(kind):
         if part in names:
             return names[part]
-    group = struct_of(kind)
+    group = nested_struct(kind)
     return "an object" if group is not None else "another value"
 
 
@@ -275,7 +275,7 @@
     return ""
 
 
-def json_text(value: Any) -> str:
+def short_json(value: Any) -> str:
     """A value as JSON, cut where it is long."""
     text = msgspec.json.encode(value).decode()
     return text if len(text) <= 60 else text[:57] + "..."
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -18,7 +18,7 @@
 from msgspec import Meta, Struct
 
 from weldquay.config import catalogue, schema
-from weldquay.config.catalogue import Catalogue, fold, near
+from weldquay.config.catalogue import Catalogue, find_similar_name, normalize_name
 from weldquay.config.rules.limits import WORKERS_FRACTION
 from weldquay.errors import OperatorError
 from weldquay.limits import BASE_MEMORY_MB, CONNECTION_BYTES, RESERVED_DESCRIPTORS
@@ -75,7 +75,7 @@
         _service(kind, site, origin, f"settings.services.{number}")
         for number, kind in enumerate(description.kinds)
     ]
-    names = [fold(entry["name"]) for entry in services]
+    names = [normalize_name(entry["name"]) for entry in services]
     if len(set(names)) < len(names):
         raise DescriptionError("two kinds have the same name, or the same in another spelling")
     stretches = [_stretch(kind, site) for kind in description.kinds]
@@ -154,14 +154,14 @@
     }
 
 
-def _check_kind(kind: Kind, known: catalogue.Kind | None, site: Catalogue | None) -> None:
+def _check_kind(kind: Kind, known: catalogue.JobKind | None, site: Catalogue | None) -> None:
     """Raise DescriptionError where a kind contradicts the catalogue, or lacks what it does not say."""
     if known is not None:
         if known.never_twice and kind.repeat_harmless:
             raise DescriptionError(f"{known.name} must never run twice, so a repeat is not harmless")
     else:
         names = [entry.name for entry in site.kinds] if site is not None else []
-        if meant := near(kind.name, names):
+        if meant := find_similar_name(kind.name, names):
             raise DescriptionError(
                 f"{kind.name} is nearly {meant}: write that, or a name nobody takes for it"
             )
@@ -181,15 +181,17 @@
 ) -> list[dict[str, Any]]:
     """The site's customers with its shares, and those of the description that it does not know."""
     known = site.customers if site is not None else []
-    rows = {fold(entry.name): (entry.name, entry.fraction) for entry in known}
+    rows = {normalize_name(entry.name): (entry.name, entry.fraction) for entry in known}
     for name, fraction in description.customers.items():
-        if fold(name) in rows:
-            if abs(rows[fold(name)][1] - fraction) > 0.005:
-                raise DescriptionError(f"the share of {name} is {rows[fold(name)][1]:g}, not {fraction:g}")
+        if normalize_name(name) in rows:
+            if abs(rows[normalize_name(name)][1] - fraction) > 0.005:
+                raise DescriptionError(
+                    f"the share of {name} is {rows[normalize_name(name)][1]:g}, not {fraction:g}"
+                )
             continue
-        if meant := near(name, [entry for entry, _ in rows.values()]):
+        if meant := find_similar_name(name, [entry for entry, _ in rows.values()]):
             raise DescriptionError(f"the customer {name} is nearly {meant}: write that")
-        rows[fold(name)] = (name, fraction)
+        rows[normalize_name(name)] = (name, fraction)
     total = math.fsum(fraction for _, fraction in rows.values())
     if total > 1.005:
         raise DescriptionError(f"the customers' shares add up to {total:g}: they may be 1 together")
