--- a/weldquay/config/__init__.py
+++ b/weldquay/config/__init__.py
@@ -1,4 +1,5 @@
-"""The configuration: its definition, strict reading, the rules it is checked by, and the tool's commands.
+"""Configuration: schema, strict parser, validation rules, and the code behind the `weldquay config` commands.
 
-No I/O but in `reading.read_file` and the commands.  The program loads of this what it needs to start.
+Only `reading.read_file`, `catalogue.load` and the commands do I/O.  The dispatcher imports only the modules
+that it needs to start.
 """
--- a/weldquay/config/catalogue.py
+++ b/weldquay/config/catalogue.py
@@ -1,4 +1,4 @@
-"""The site catalogue: facts about a site that a configuration does not contain."""
+"""The site catalogue: facts about a site that its configuration does not contain."""
 
 from __future__ import annotations
 
@@ -13,102 +13,107 @@
 from weldquay.config import reading
 from weldquay.errors import OperatorError
 
-Time = Annotated[int, Meta(gt=0)]
-SHIPPED_FOLDER = "catalogues"
-MIN_SIMILARITY = 0.82  # of two names, from which one counts as a misspelling of the other
+DurationNs = Annotated[int, Meta(gt=0)]
+BUILTIN_DIRECTORY = "catalogues"
+MIN_SIMILARITY = 0.82  # ratio of difflib from which one name counts as a misspelling of another
 
 
 class CatalogueError(OperatorError, ValueError):
-    """A catalogue that cannot be used; one line says why."""
+    """A catalogue that cannot be used; the message says why, in one line."""
 
     error_code = "catalogue-error"
-    remedy = "name one of the catalogues that are listed, or the path of a file of your own"
+    remedy = "give the name of a catalogue that ships with weldquay, or the path of a catalogue file"
 
 
 class JobKind(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A kind of job: whether it may run twice, and how long its clients wait."""
+    """A kind of job: whether it may run twice, and how long its clients wait for a result."""
 
     name: str
     never_twice: bool
-    give_up_ns: Time
-    aim_ns: Time | None = None
+    give_up_ns: DurationNs
+    aim_ns: DurationNs | None = None
     stretch: float = 0.0
     worth: float = 1.0
 
 
 class Customer(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A customer and its share."""
+    """A customer and its share of the capacity."""
 
     name: str
     fraction: Annotated[float, Meta(gt=0, le=1)]
 
 
 class Limits(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The limits of the platform; one that is absent is not checked."""
+    """Limits of the platform; a limit that is absent is not checked."""
 
     max_attempts: int | None = None
     may_duplicate: bool | None = None
-    max_retry_after_ns: Time | None = None
-    conn_idle_ns: Time | None = None
-    connect_timeout_ns: Time | None = None
-    stop_sending_within_ns: Time | None = None
-    ask_within_ns: Time | None = None
+    max_retry_after_ns: DurationNs | None = None
+    conn_idle_ns: DurationNs | None = None
+    connect_timeout_ns: DurationNs | None = None
+    stop_sending_within_ns: DurationNs | None = None
+    ask_within_ns: DurationNs | None = None
     cold_share: float | None = None
-    warm_after_ns: Time | None = None
+    warm_after_ns: DurationNs | None = None
     fall_multiple: float | None = None
-    overload_for_ns: Time | None = None
+    overload_for_ns: DurationNs | None = None
 
 
 class Catalogue(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A site's facts."""
+    """The facts about one site."""
 
     site: str
     kinds: list[JobKind] = []
     customers: list[Customer] = []
     limits: Limits = Limits()
-    networks: list[str] = []  # that addresses may lie in; none: any
+    networks: list[str] = []  # that may contain the configured addresses; empty: any address
 
     def kind(self, name: str) -> JobKind | None:
-        """Return the kind with this name, whatever its spelling, or None."""
+        """Return the kind with this name, compared in normalized form, or None."""
         return next((kind for kind in self.kinds if normalize_name(kind.name) == normalize_name(name)), None)
 
 
 def normalize_name(name: str) -> str:
-    """Return a name in lower case, with `-` for `_`, spaces and dots, to compare it with others."""
-    return "".join("-" if entry in "_-. " else entry for entry in name.casefold()).strip("-")
+    """Return a name in lower case with `-` for `_`, spaces and dots, for comparison."""
+    return "".join("-" if character in "_-. " else character for character in name.casefold()).strip("-")
 
 
 def find_similar_name(name: str, names: list[str]) -> str:
-    """Return the name that a misspelt one probably means; empty if there is none or both normalize alike."""
-    folded = {normalize_name(entry): entry for entry in names}
-    if normalize_name(name) in folded:
+    """Return the known name that a misspelt one probably means; empty if there is none.
+
+    It is also empty if the name equals a known one after normalization.
+    """
+    normalized = {normalize_name(entry): entry for entry in names}
+    if normalize_name(name) in normalized:
         return ""
-    found = difflib.get_close_matches(normalize_name(name), list(folded), 1, MIN_SIMILARITY)
-    return folded[found[0]] if found else ""
+    matches = difflib.get_close_matches(normalize_name(name), list(normalized), 1, MIN_SIMILARITY)
+    return normalized[matches[0]] if matches else ""
 
 
 def load(name: str) -> Catalogue:
-    """Return a catalogue from a file, or one that ships with the project, by its site's name.
+    """Load the catalogue of a site that ships with weldquay, by its name, or one from a file.
 
     Raises:
-        CatalogueError: it cannot be read, or is not valid.
+        CatalogueError: the catalogue cannot be read or is invalid.
     """
-    shipped_file = resources.files("weldquay.config").joinpath(SHIPPED_FOLDER, f"{name}.json")
-    if "/" not in name and shipped_file.is_file():
-        data = shipped_file.read_bytes()
+    builtin_file = resources.files("weldquay.config").joinpath(BUILTIN_DIRECTORY, f"{name}.json")
+    if "/" not in name and builtin_file.is_file():
+        data = builtin_file.read_bytes()
     else:
         try:
             data = reading.read_file(Path(name))
         except reading.ReadingError as error:
-            raise CatalogueError(f"{error}; the project's own are {', '.join(shipped())}") from None
+            raise CatalogueError(
+                f"{error}; catalogues that ship with weldquay: {', '.join(builtin_sites())}"
+            ) from None
     try:
         return msgspec.convert(reading.parse(reading.decode(data)), Catalogue)
     except (reading.ReadingError, msgspec.ValidationError) as error:
-        raise CatalogueError(f"{name}: no catalogue: {error}") from None
+        raise CatalogueError(f"{name}: not a catalogue: {error}") from None
 
 
-def shipped() -> list[str]:
-    """Return the sites whose catalogues ship with the project."""
-    folder = resources.files("weldquay.config").joinpath(SHIPPED_FOLDER)
-    names = (entry.name for entry in folder.iterdir())
+def builtin_sites() -> list[str]:
+    """Return the names of the sites whose catalogues ship with weldquay."""
+    directory = resources.files("weldquay.config").joinpath(BUILTIN_DIRECTORY)
+    names = (entry.name for entry in directory.iterdir())
     return sorted(name.removesuffix(".json") for name in names if name.endswith(".json"))
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -1,6 +1,7 @@
-"""The checker: all findings in a configuration in one pass, by the table of rules.
+"""The checker: applies all rules to a configuration in one pass and collects their findings.
 
-The program calls `errors` at its start and at a reload; the tool calls `check`.  Both run the same rules.
+The dispatcher calls `errors` at its start and on a reload; the command line calls `check`.  Both apply the
+same rules.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 from weldquay.config.catalogue import Catalogue
 from weldquay.config.rules import RULES, CheckContext, Finding, Level, Rule
 
-MAX_FINDINGS_PER_RULE = 1000  # a long list may have the same error in every entry
+MAX_FINDINGS_PER_RULE = 1000  # limits the output if every entry of a long list has the same error
 
 
 def check(data: bytes, catalogue: Catalogue | None = None, sidecar: bool = False) -> list[Finding]:
-    """Return all findings in a file's bytes, errors first, then by their position."""
+    """Return all findings in the bytes of a file: errors first, then by position."""
     try:
         text = reading.decode(data)
         document = reading.parse(text)
     except reading.ReadingError as error:
         return [Finding("WQ002", True, (), str(error), error.line, error.column)]
     if not isinstance(document, dict):
-        return [Finding("WQ002", True, (), f"it holds {_kind(document)}, not one JSON object", 1, 1)]
+        return [Finding("WQ002", True, (), f"the file holds {_type_name(document)}, not a JSON object", 1, 1)]
     findings = run_rules(CheckContext(document, catalogue, sidecar))
     located = _locate(text, findings)
     return sorted(
@@ -34,64 +35,64 @@
 
 
 def errors(document: dict[str, Any], catalogue: Catalogue | None = None) -> list[Finding]:
-    """Return the findings that prevent a start."""
+    """Return the findings that prevent a start of the dispatcher."""
     return [finding for finding in run_rules(CheckContext(document, catalogue)) if finding.error]
 
 
 def run_rules(context: CheckContext) -> list[Finding]:
-    """Return the findings in a decoded document, without their positions."""
+    """Return the findings in a decoded document, without line and column."""
     findings = []
     for rule in applicable_rules(context.catalogue):
         if rule.check is None:
             continue
         error = rule.level is Level.ALWAYS or (rule.level is Level.SITE and context.catalogue is not None)
-        for number, (steps, text) in enumerate(rule.check(context)):
-            if number >= MAX_FINDINGS_PER_RULE:
+        for count, (path, text) in enumerate(rule.check(context)):
+            if count >= MAX_FINDINGS_PER_RULE:
                 break
-            findings.append(Finding(rule.id, error, steps, text))
+            findings.append(Finding(rule.id, error, path, text))
     return findings
 
 
 def applicable_rules(catalogue: Catalogue | None) -> list[Rule]:
-    """Return the rules that can be applied with or without a catalogue, in the order of their ids."""
+    """Return the rules that can be applied with this catalogue, or without one, by id."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
 
 
 def skipped_rules(catalogue: Catalogue | None) -> list[Rule]:
-    """Return the rules that cannot be applied for want of a catalogue."""
+    """Return the rules that are skipped because they need a catalogue."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.facts]
 
 
-def _kind(value: object) -> str:
-    names = {list: "a list", str: "a text", bool: "true or false", type(None): "null"}
+def _type_name(value: object) -> str:
+    names = {list: "a list", str: "a string", bool: "true or false", type(None): "null"}
     return names.get(type(value), "a number")
 
 
 def _locate(text: str, findings: Sequence[Finding]) -> list[Finding]:
-    """Return the findings with line and column of the value, or of the object that lacks it."""
+    """Add line and column of the value to each finding; of the nearest enclosing value if it is absent."""
     if not findings:
         return []
     offsets: dict[reading.KeyPath, int] = {}
     wanted = {finding.steps[:n] for finding in findings for n in range(len(finding.steps) + 1)}
-    for steps, offset in reading.places(text):
-        if steps in wanted:
-            offsets.setdefault(steps, offset)
+    for path, offset in reading.value_offsets(text):
+        if path in wanted:
+            offsets.setdefault(path, offset)
     located = []
-    lines = _Lines(text)
+    line_index = _LineIndex(text)
     for finding in findings:
-        ways = (finding.steps[:n] for n in range(len(finding.steps), -1, -1))
-        offset = next(offsets[way] for way in ways if way in offsets)
-        line, column = lines.position(offset)
+        prefixes = (finding.steps[:n] for n in range(len(finding.steps), -1, -1))
+        offset = next(offsets[prefix] for prefix in prefixes if prefix in offsets)
+        line, column = line_index.line_and_column(offset)
         located.append(replace(finding, line=line, column=column))
     return located
 
 
-class _Lines:
-    """Converts offsets of one text to lines and columns."""
+class _LineIndex:
+    """Converts offsets in a text to lines and columns, by binary search."""
 
     def __init__(self, text: str) -> None:
-        self.starts = [0, *(n + 1 for n, finding in enumerate(text) if finding == "\n")]
+        self.line_starts = [0, *(n + 1 for n, character in enumerate(text) if character == "\n")]
 
-    def position(self, offset: int) -> tuple[int, int]:
-        line = bisect.bisect_right(self.starts, offset)
-        return line, offset - self.starts[line - 1] + 1
+    def line_and_column(self, offset: int) -> tuple[int, int]:
+        line = bisect.bisect_right(self.line_starts, offset)
+        return line, offset - self.line_starts[line - 1] + 1
