--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -53,9 +53,9 @@
     name: schema.Name
     kinds: Annotated[list[Kind], Meta(min_length=1)]
     customers: dict[str, Annotated[float, Meta(gt=0, le=1)]] = {}
-    listen: schema.Place = "127.0.0.1:8443"
-    mgmt: schema.Place = "127.0.0.1:8444"
-    discovery: schema.Place = "127.0.0.1:8500"
+    listen: schema.HostPort = "127.0.0.1:8443"
+    mgmt: schema.HostPort = "127.0.0.1:8444"
+    discovery: schema.HostPort = "127.0.0.1:8500"
     calls_per_s: Annotated[float, Meta(gt=0, le=10_000)] = 10.0
     dispatchers: Annotated[int, Meta(ge=1, le=100_000)] = 1
 
