--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer: what it makes is sound, starts, and serves on loopback unchanged."""
+"""The writer: the configurations that it generates are valid, and a dispatcher serves with them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 import pytest
 from click.testing import CliRunner
 from hypothesis import HealthCheck, given
-from hypothesis import settings as trials
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tests.site import site as running
+from tests.site import site as running_site
 from weldquay import cli
 from weldquay.config import catalogue, checking, writer
 from weldquay.interface import Idempotency
 from weldquay.net.config import read
 
 SITE = catalogue.load("sapporo-tm")
-KNOWN = [kind.name for kind in SITE.kinds]
+SITE_KIND_NAMES = [kind.name for kind in SITE.kinds]
 NEVER_TWICE = {kind.name for kind in SITE.kinds if kind.never_twice}
 NAMES = st.text(st.characters(categories=["Ll", "Nd"]), min_size=1, max_size=20).map(lambda name: f"x{name}")
 OWN_KINDS = st.fixed_dictionaries(
     {"name": NAMES, "repeat_harmless": st.booleans(), "wanted_ms": st.floats(1, 100_000)}
 )
-SITE_KINDS = st.sampled_from(KNOWN).map(lambda name: {"name": name})
+SITE_KINDS = st.sampled_from(SITE_KIND_NAMES).map(lambda name: {"name": name})
 DESCRIPTIONS = st.fixed_dictionaries(
     {
         "name": NAMES,
@@ -37,64 +37,76 @@
 )
 
 
-@trials(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
+@hypothesis_settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(DESCRIPTIONS)
-def test_what_is_written_passes_and_starts(told: dict[str, Any]) -> None:
-    """Without a site: the team's word on each kind holds."""
-    made = writer.compose(writer.describe(told))
-    text = writer.text(made)
-    assert [each for each in checking.check(text.encode()) if each.error] == []
+def test_generated_configuration_is_valid(description: dict[str, Any]) -> None:
+    """Without a catalogue, a class is idempotent exactly if the description says so."""
+    document = writer.compose_configuration(writer.parse_description(description))
+    text = writer.format_configuration(document)
+    assert [entry for entry in checking.check(text.encode()) if entry.error] == []
     config = read({}, json.loads(text))
-    for kind, rules in zip(told["kinds"], config.settings.classes, strict=True):
+    for kind, rules in zip(description["kinds"], config.settings.classes, strict=True):
         assert rules.idempotency is (
             Idempotency.IDEMPOTENT if kind["repeat_harmless"] else Idempotency.NON_IDEMPOTENT
         )
-    assert writer.text(writer.compose(writer.describe(told))) == text
+    assert (
+        writer.format_configuration(writer.compose_configuration(writer.parse_description(description)))
+        == text
+    )
 
 
-@trials(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
+@hypothesis_settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(DESCRIPTIONS, st.lists(SITE_KINDS, max_size=4, unique_by=lambda kind: kind["name"]))
-def test_with_a_site_its_facts_come_first(told: dict[str, Any], kinds: list[dict[str, Any]]) -> None:
-    """No kind that must never run twice may be repeated, and no customer is missing."""
-    told = {**told, "kinds": [*told["kinds"], *kinds]}
+def test_catalogue_has_precedence_over_description(
+    description: dict[str, Any], kinds: list[dict[str, Any]]
+) -> None:
+    """No kind that must never run twice is repeatable, and no customer of the site is missing."""
+    description = {**description, "kinds": [*description["kinds"], *kinds]}
     try:
-        made = writer.compose(writer.describe(told), SITE)
+        document = writer.compose_configuration(writer.parse_description(description), SITE)
     except writer.DescriptionError as error:
-        assert "nearly" in str(error)  # noqa: PT017  # a description may also be complete
+        assert "similar to" in str(error)  # noqa: PT017  # most descriptions are accepted
         return
-    assert [each for each in checking.check(writer.text(made).encode(), SITE) if each.error] == []
-    for row in made["settings"]["services"]:
+    assert [
+        entry for entry in checking.check(writer.format_configuration(document).encode(), SITE) if entry.error
+    ] == []
+    for row in document["settings"]["services"]:
         assert row["effect"] == "fragile" or row["name"] not in NEVER_TWICE
-    assert {row["name"] for row in made["settings"]["customers"]} >= {each.name for each in SITE.customers}
+    assert {row["name"] for row in document["settings"]["customers"]} >= {
+        entry.name for entry in SITE.customers
+    }
 
 
-BAD: list[tuple[dict[str, Any], str]] = [
+INVALID_DESCRIPTIONS: list[tuple[dict[str, Any], str]] = [
     ({}, "name"),
     ({"name": "a"}, "kinds"),
     ({"name": "a", "kinds": []}, "kinds"),
-    ({"name": "a", "kinds": [{"name": "k"}]}, "say whether a repeat is harmless"),
+    ({"name": "a", "kinds": [{"name": "k"}]}, "state whether a repeat is harmless"),
     ({"name": "a", "kinds": [{"name": "k", "repeat_harmless": True}]}, "wanted_ms"),
     ({"name": "a", "kinds": [{"name": "segment-commit", "repeat_harmless": True}]}, "must never run twice"),
-    ({"name": "a", "kinds": [{"name": "segment_comit", "repeat_harmless": True, "wanted_ms": 1}]}, "nearly"),
-    ({"name": "a", "kinds": [{"name": "exact-lookup"}, {"name": "Exact_Lookup"}]}, "another spelling"),
+    (
+        {"name": "a", "kinds": [{"name": "segment_comit", "repeat_harmless": True, "wanted_ms": 1}]},
+        "similar to",
+    ),
+    ({"name": "a", "kinds": [{"name": "exact-lookup"}, {"name": "Exact_Lookup"}]}, "only in spelling"),
     ({"name": "a", "kinds": [{"name": "exact-lookup", "give_up_s": 60}]}, "give up after 5 s"),
-    ({"name": "a", "kinds": [{"name": "exact-lookup", "wanted_ms": 9000}]}, "only after"),
+    ({"name": "a", "kinds": [{"name": "exact-lookup", "wanted_ms": 9000}]}, "longer than its clients wait"),
     ({"name": "a", "kinds": [{"name": "exact-lookup"}], "customers": {"kushiro-soft": 0.5}}, "is 0.17"),
-    ({"name": "a", "kinds": [{"name": "exact-lookup"}], "customers": {"kushiro-sofft": 0.1}}, "nearly"),
+    ({"name": "a", "kinds": [{"name": "exact-lookup"}], "customers": {"kushiro-sofft": 0.1}}, "similar to"),
     ({"name": "a", "kinds": [{"name": "exact-lookup"}], "customers": {"more-of-it": 0.5}}, "add up to"),
     ({"name": "a", "kinds": [{"name": "exact-lookup"}], "listen": "here"}, "listen"),
 ]
 
 
-@pytest.mark.parametrize(("told", "text"), BAD)
-def test_a_description_that_is_not_enough_is_told(told: dict[str, Any], text: str) -> None:
-    """What is missing or cannot be, in plain words; nothing is guessed."""
-    with pytest.raises(writer.DescriptionError, match=text):
-        writer.compose(writer.describe(told), SITE)
+@pytest.mark.parametrize(("description", "message"), INVALID_DESCRIPTIONS)
+def test_invalid_description_is_rejected(description: dict[str, Any], message: str) -> None:
+    """The error names what is missing or contradictory; no value is guessed."""
+    with pytest.raises(writer.DescriptionError, match=message):
+        writer.compose_configuration(writer.parse_description(description), SITE)
 
 
-def test_the_command_writes_once(tmp_path: Path) -> None:
-    """It never overwrites without --force, and what it writes passes the checker of the same site."""
+def test_command_does_not_overwrite_without_force(tmp_path: Path) -> None:
+    """`config new` overwrites a file only with --force, and its output passes `config check`."""
     path = tmp_path / "made.json"
     arguments = [
         "config",
@@ -114,52 +126,52 @@
     assert again.exit_code == 2 and "--force" in again.output and path.read_bytes() == before
     assert run(cli.main, [*arguments, "--force"]).exit_code == 0 and path.read_bytes() == before
     assert run(cli.main, ["config", "check", str(path), "--catalogue", "sapporo-tm"]).exit_code == 0
-    assert [each.name for each in tmp_path.glob(".*")] == [], "nothing half written stays"
+    assert [entry.name for entry in tmp_path.glob(".*")] == [], "no temporary file is left"
     assert json.loads(before)["origin"]["settings.services.0.effect"] == "the catalogue of sapporo-tm"
 
 
-DIFFERENCES: list[tuple[str, Any, str, int]] = [
-    ("settings.caps.max_attempts", 4, "settings.caps.max_attempts: 3 to 4; at SIGHUP", 0),
-    ("discovery", "127.0.0.1:9", 'discovery: "127.0.0.1:8500" to "127.0.0.1:9"; at SIGHUP', 0),
-    ("listen", "127.0.0.1:9", "needs a new start", 1),
-    ("limits.sockets", 999, "needs a new start", 1),
-    ("seed", "7", "used at a start only", 1),
+CHANGES: list[tuple[str, Any, str, int]] = [
+    ("settings.caps.max_attempts", 4, "settings.caps.max_attempts: 3 to 4; applied at SIGHUP", 0),
+    ("discovery", "127.0.0.1:9", 'discovery: "127.0.0.1:8500" to "127.0.0.1:9"; applied at SIGHUP', 0),
+    ("listen", "127.0.0.1:9", "needs a restart", 1),
+    ("limits.sockets", 999, "needs a restart", 1),
+    ("seed", "7", "read only at startup", 1),
     ("origin", {}, "not read by the program", 0),
-    ("settings.services.0.worth", 3.0, "services.k.worth: 1.0 to 3.0; at SIGHUP (open jobs", 0),
-    ("settings.services.0.name", "other", "calls for it are answered 404", 0),
-    ("settings.caps.max_attempts", 0, "would take nothing of it", 1),
-    ("settings.zones", ["elsewhere"], "would take nothing of it", 1),
+    ("settings.services.0.worth", 3.0, "services.k.worth: 1.0 to 3.0; applied at SIGHUP (open jobs", 0),
+    ("settings.services.0.name", "other", "requests for it are answered with 404", 0),
+    ("settings.caps.max_attempts", 0, "would reject this reload", 1),
+    ("settings.zones", ["elsewhere"], "would reject this reload", 1),
     ("name", "a", "no difference", 0),
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "text", "status"), DIFFERENCES)
-def test_a_difference_is_told_in_operators_words(
+@pytest.mark.parametrize(("path", "value", "message", "status"), CHANGES)
+def test_effect_of_a_change(
     path: str,
     value: Any,
-    text: str,
+    message: str,
     status: int,
     tmp_path: Path,
 ) -> None:
-    """What a reload takes, what needs a start, what is refused whole: by the program's own check."""
+    """`config diff` says what a reload applies, what needs a restart, and what a dispatcher rejects."""
     kinds = [{"name": "k", "repeat_harmless": True, "wanted_ms": 1000}]
-    made = writer.compose(writer.describe({"name": "a", "kinds": kinds}))
-    (tmp_path / "old.json").write_text(writer.text(made))
+    document = writer.compose_configuration(writer.parse_description({"name": "a", "kinds": kinds}))
+    (tmp_path / "old.json").write_text(writer.format_configuration(document))
     *steps, last = path.split(".")
-    inner: Any = made
+    inner: Any = document
     for step in steps:
         inner = inner[int(step)] if isinstance(inner, list) else inner[step]
     inner[last] = value
-    (tmp_path / "new.json").write_text(writer.text(made))
+    (tmp_path / "new.json").write_text(writer.format_configuration(document))
     files = [str(tmp_path / f"{name}.json") for name in ("old", "new")]
     done = CliRunner().invoke(cli.main, ["config", "diff", *files])
-    assert text in done.output and done.exit_code == status, done.output
+    assert message in done.output and done.exit_code == status, done.output
 
 
-def test_what_is_written_serves_on_loopback() -> None:
-    """The written settings unchanged, with stand-in workers: each job one answer."""
-    made = writer.compose(
-        writer.describe(
+def test_dispatcher_serves_with_generated_settings() -> None:
+    """With the generated settings and stand-in workers, each job is sent once and answered."""
+    document = writer.compose_configuration(
+        writer.parse_description(
             {
                 "name": "a",
                 "kinds": [
@@ -172,9 +184,9 @@
 
     async def scenario() -> None:
         settings: dict[str, Any] = {
-            name: value for name, value in made["settings"].items() if isinstance(value, dict)
+            name: value for name, value in document["settings"].items() if isinstance(value, dict)
         }
-        async with running(workers=2, **settings) as here:
+        async with running_site(workers=2, **settings) as here:
             answers = await asyncio.gather(
                 *(here.post(f"c{number}", f"/{'lookup' if number % 2 else 'import'}") for number in range(12))
             )
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -1,7 +1,7 @@
-"""The command line: `weldquay config check|explain|rules|schema|show` and `weldquay version`.
+"""The command line: `weldquay config check|new|diff|explain|rules|schema|show` and `weldquay version`.
 
-`python -m weldquay` without a command is the dispatcher, which does not import this module.  Exit status: 0,
-1 (findings), 2 (usage, or a file that cannot be read).
+`python -m weldquay` is the dispatcher, which does not import this module.  Exit status: 0; 1 for findings; 2
+for wrong usage or a file that cannot be read.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     "--catalogue",
     envvar="GW_CATALOGUE",
     metavar="FILE|SITE",
-    help="The site's facts: a file, or the name of one that ships with weldquay.",
+    help="Catalogue of the site: a file, or the name of one that ships with weldquay.",
 )
 format_option = click.option(
     "--format",
@@ -34,37 +34,37 @@
     default="text",
     envvar="WELDQUAY_FORMAT",
     show_default=True,
-    help="For people, or for machines.",
+    help="Output format.",
 )
-LEVEL_TEXTS = {
-    Level.ALWAYS: "an error; the program does not start",
-    Level.SITE: "an error where a catalogue is named, for the program too; else a warning",
+LEVEL_DESCRIPTIONS = {
+    Level.ALWAYS: "an error; the dispatcher does not start",
+    Level.SITE: "an error if a catalogue is given, also for the dispatcher; otherwise a warning",
     Level.ADVICE: "a warning",
 }
 
 
-def fail(text: str) -> NoReturn:
+def exit_with_error(text: str) -> NoReturn:
     """Print one line on standard error and exit with status 2."""
     click.echo(f"weldquay: {text}", err=True)
     sys.exit(2)
 
 
 def load_catalogue(name: str | None) -> Catalogue | None:
-    """Return the catalogue that an option names, if any; exit with status 2 if it cannot be used."""
+    """Load the catalogue that an option names, if any; exit with status 2 if it cannot be used."""
     try:
         return load(name) if name else None
     except CatalogueError as error:
-        fail(str(error))
+        exit_with_error(str(error))
 
 
 def read_input(path: Path) -> bytes:
-    """Return the bytes of a file, or of standard input for `-`; exit with status 2 if it cannot be read."""
+    """Read a file, or standard input for `-`; exit with status 2 if it cannot be read."""
     if str(path) == "-":
         return sys.stdin.buffer.read(reading.MAX_BYTES + 1)
     try:
         return reading.read_file(path)
     except reading.ReadingError as error:
-        fail(str(error))
+        exit_with_error(str(error))
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -82,7 +82,7 @@
     """Print the version."""
     try:
         click.echo(metadata.version("weldquay"))
-    except metadata.PackageNotFoundError:  # run from a checkout
+    except metadata.PackageNotFoundError:  # run from a source tree
         click.echo("unreleased")
 
 
@@ -92,7 +92,7 @@
 
 
 def reload_error(before: dict[str, Any], path: Path) -> str:
-    """Return why a running dispatcher would reject the newer file on a reload; empty where it would not."""
+    """Return why a running dispatcher would reject the newer file on a reload; empty if it would not."""
     from weldquay.net.config import ConfigError, read, reload
 
     try:
@@ -108,15 +108,20 @@
 @click.argument("files", nargs=-1, type=FILE_TYPE, required=True)
 @catalogue_option
 @format_option
-@click.option("--sidecar", is_flag=True, envvar="WELDQUAY_SIDECAR", help="It runs beside one application.")
-@click.option("--strict", is_flag=True, envvar="WELDQUAY_STRICT", help="Warnings count as findings too.")
+@click.option(
+    "--sidecar",
+    is_flag=True,
+    envvar="WELDQUAY_SIDECAR",
+    help="The dispatcher is a sidecar of one application.",
+)
+@click.option("--strict", is_flag=True, envvar="WELDQUAY_STRICT", help="Exit with status 1 for warnings too.")
 def check(
     files: tuple[Path, ...], catalogue: str | None, output_format: str, sidecar: bool, strict: bool
 ) -> None:
     """Check configurations before they are used.
 
-    Tells all that is wrong in one pass: where, why it matters, what to write. With the same catalogue the
-    program starts with what passes, and does not start with what is an error.
+    Reports all findings in one pass: where, why it matters, what to write. With the same catalogue the
+    dispatcher starts with a file that passes, and does not start with one that has an error.
 
     \b
     weldquay config check config.json
@@ -138,16 +143,16 @@
         click.echo(json.dumps({"findings": objects, "not_applied": not_applied}, indent=1))
     elif not_applied:
         ids = ", ".join(not_applied)
-        click.echo(f"without a catalogue these rules could not be applied: {ids}", err=True)
+        click.echo(f"rules skipped because they need a catalogue: {ids}", err=True)
     sys.exit(1 if has_failed else 0)
 
 
 def print_findings(findings: Sequence[Finding], path: Path) -> None:
-    """Print the findings in a file, for people."""
+    """Print the findings in a file as text."""
     for finding in findings:
         click.echo(format_finding(finding, path))
     if not findings:
-        click.echo(f"{path}: nothing found")
+        click.echo(f"{path}: no findings")
 
 
 def print_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
@@ -158,14 +163,14 @@
 
 
 def format_finding(finding: Finding, path: Path) -> str:
-    """Return a finding as one line: position, severity, rule id, path of the value, text."""
+    """Format a finding as one line: position, severity, rule id, path of the value, text."""
     severity = "error" if finding.error else "warning"
     position = f"{path}:{finding.line}:{finding.column}"
     return f"{position}: {severity} {finding.rule}: {finding.path}: {finding.text}"
 
 
 def finding_to_json(finding: Finding, path: Path) -> dict[str, Any]:
-    """Return a finding as a JSON object."""
+    """Return a finding as an object of the JSON output."""
     return {
         "file": str(path),
         "line": finding.line,
@@ -184,28 +189,28 @@
     "source",
     type=FILE_TYPE,
     envvar="WELDQUAY_DESCRIPTION",
-    help="A JSON file that describes the application; the other options come before it.",
+    help="A JSON file that describes the application; the other options override it.",
 )
-@click.option("--name", envvar="GW_NAME", help="Who the application is.")
+@click.option("--name", envvar="GW_NAME", help="Name of the application.")
 @click.option(
     "--kind",
     "kinds",
     multiple=True,
     metavar="NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]]",
-    help="A kind of job; what the catalogue knows need not be told.",
+    help="A kind of job; what the catalogue contains may be omitted.",
 )
 @click.option("--customer", "customers", multiple=True, metavar="NAME=SHARE", help="A customer's share.")
-@click.option("--listen", envvar="GW_LISTEN", help="HOST:PORT for the application.")
+@click.option("--listen", envvar="GW_LISTEN", help="HOST:PORT for the application's requests.")
 @click.option("--mgmt", envvar="GW_MGMT", help="HOST:PORT for operators.")
 @click.option("--discovery", envvar="GW_DISCOVERY", help="HOST:PORT of discovery.")
-@click.option("--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected calls a second.")
-@click.option("--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="How many at the site.")
-@click.option("--force", is_flag=True, help="Replace a file that is there.")
+@click.option("--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected requests a second.")
+@click.option("--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="Dispatchers at the site.")
+@click.option("--force", is_flag=True, help="Replace an existing file.")
 @catalogue_option
 def new(output: Path, source: Path | None, force: bool, catalogue: str | None, **options: Any) -> None:
-    """Write a whole configuration from a short description of the application.
+    """Generate a configuration from a short description of the application.
 
-    Asks for what is missing on a terminal. What it writes passes `config check` with the same catalogue.
+    On a terminal it asks for missing values. The result passes `config check` with the same catalogue.
 
     \b
     weldquay config new tm.json --name editor --catalogue sapporo-tm --kind exact-lookup
@@ -218,23 +223,23 @@
         description = describe_application(source, options)
         if sys.stdin.isatty():
             prompt_for_missing(description)
-        document = writer.compose(writer.describe(description), site)
+        document = writer.compose_configuration(writer.parse_description(description), site)
     except (reading.ReadingError, ValueError) as error:
-        fail(str(error))
-    text = writer.text(document)
+        exit_with_error(str(error))
+    text = writer.format_configuration(document)
     if errors := [finding for finding in checking.check(text.encode(), site) if finding.error]:
         print_and_exit(errors, output)
     try:
-        writer.save(output, text, force)
+        writer.write_file(output, text, force)
     except FileExistsError:
-        fail(f"{output} is there already: --force replaces it")
+        exit_with_error(f"{output} exists: use --force to replace it")
     except OSError as error:
-        fail(f"{output}: cannot be written: {error.strerror}")
-    click.echo(f"{output} is written; `weldquay config check {output}` says the same of it as the program")
+        exit_with_error(f"{output}: cannot be written: {error.strerror}")
+    click.echo(f"wrote {output}; `weldquay config check {output}` checks it as the dispatcher does")
 
 
 def describe_application(source: Path | None, options: dict[str, Any]) -> dict[str, Any]:
-    """Return the description of an application from a file and from options, which come before it.
+    """Return the description of an application from a file and from options, which override it.
 
     Raises:
         reading.ReadingError: the file cannot be read.
@@ -255,7 +260,7 @@
 
 
 def prompt_for_missing(description: dict[str, Any]) -> None:
-    """Ask on the terminal for a name and the kinds of job where the description lacks them."""
+    """Ask on the terminal for the name and the kinds of job that the description lacks."""
     if not description.get("name"):
         description["name"] = click.prompt("Name of the application")
     if not description.get("kinds"):
@@ -263,7 +268,7 @@
 
 
 def parse_kind(text: str) -> dict[str, Any]:
-    """Return the description of a kind of job from NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]].
+    """Parse a kind of job, NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]].
 
     Raises:
         ValueError: the text is malformed.
@@ -272,10 +277,10 @@
     kind: dict[str, Any] = {"name": name}
     if fields and fields[0]:
         if fields[0] not in ("once", "repeat"):
-            raise ValueError(f"{text}: write once or repeat behind the name")
+            raise ValueError(f"{text}: write `once` or `repeat` after the name")
         kind["repeat_harmless"] = fields[0] == "repeat"
-    for key, figure in zip(("wanted_ms", "give_up_s"), fields[1:], strict=False):
-        kind[key] = float(figure)
+    for key, value in zip(("wanted_ms", "give_up_s"), fields[1:], strict=False):
+        kind[key] = float(value)
     return kind
 
 
@@ -283,9 +288,9 @@
 @click.argument("older", type=FILE_TYPE)
 @click.argument("newer", type=FILE_TYPE)
 def diff(older: Path, newer: Path) -> None:
-    """Show what a change means: what a reload takes, what needs a new start.
+    """Show how a change takes effect: what a reload applies, what needs a restart.
 
-    Status 1 where a running dispatcher would take nothing, or where a new start is needed.
+    The exit status is 1 if a running dispatcher would reject the reload, or if a restart is needed.
 
     \b
     weldquay config diff running.json changed.json
@@ -295,45 +300,45 @@
     before, after = (read_document(path) for path in (older, newer))
     changes = difference.changes(before, after)
     for change in changes:
-        click.echo(change.line())
+        click.echo(change.format())
     if not changes:
         click.echo("no difference")
     if error := reload_error(before, newer):
-        click.echo(f"a running dispatcher would take nothing of it: {error}")
+        click.echo(f"a running dispatcher would reject this reload: {error}")
         sys.exit(1)
-    sys.exit(any(change.taken is difference.Taken.START for change in changes))
+    sys.exit(any(change.effect is difference.ChangeEffect.RESTART for change in changes))
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """Return the JSON object of a file; exit with status 2 if it cannot be read or holds none."""
+    """Read the JSON object in a file; exit with status 2 if the file cannot be read or holds none."""
     try:
         document = reading.parse(reading.decode(read_input(path)))
     except reading.ReadingError as error:
-        fail(f"{path}: {error}")
+        exit_with_error(f"{path}: {error}")
     if not isinstance(document, dict):
-        fail(f"{path}: it holds no JSON object")
+        exit_with_error(f"{path}: not a JSON object")
     return document
 
 
 @config.command()
 @click.argument("rule_id")
 def explain(rule_id: str) -> None:
-    """Explain a rule: why it is there, a bad and a good example.
+    """Explain a rule: its reason, a bad and a good example.
 
     \b
     weldquay config explain WQ201
     """
     rule = RULES.get(rule_id.upper())
     if rule is None:
-        fail(f"there is no rule {rule_id}; `weldquay config rules` lists them")
+        exit_with_error(f"unknown rule {rule_id}; `weldquay config rules` lists all rules")
     click.echo(format_rule(rule))
 
 
 def format_rule(rule: Rule) -> str:
-    """Return the explanation of a rule."""
-    needs = "\nIt needs a catalogue (--catalogue)." if rule.facts else ""
+    """Format the explanation of a rule."""
+    needs = "\nThe rule needs a catalogue (--catalogue)." if rule.facts else ""
     return (
-        f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVEL_TEXTS[rule.level]}.{needs}\n\n"
+        f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVEL_DESCRIPTIONS[rule.level]}.{needs}\n\n"
         f"Bad:   {rule.bad}\nGood:  {rule.good}"
     )
 
@@ -346,7 +351,7 @@
 
 
 @config.command("schema")
-@click.option("--reference", "as_page", is_flag=True, help="A page for people in place of JSON Schema.")
+@click.option("--reference", "as_page", is_flag=True, help="Print a Markdown page instead of JSON Schema.")
 def schema_command(as_page: bool) -> None:
     """Print the JSON Schema of a configuration, for editors."""
     click.echo(reference.page() if as_page else json.dumps(schema.json_schema(), indent=1))
@@ -354,7 +359,7 @@
 
 @config.command()
 @click.argument("file", type=FILE_TYPE)
-@click.option("--path", default="", help="Only what stands at this place, such as settings.caps.")
+@click.option("--path", default="", help="Show only the value at this path, such as settings.caps.")
 def show(file: Path, path: str) -> None:
     """Show a configuration with all defaults filled in.
 
@@ -370,7 +375,7 @@
         try:
             value = value[int(step) if isinstance(value, list) else step]
         except (KeyError, IndexError, ValueError, TypeError):
-            fail(f"there is nothing at {path}")
+            exit_with_error(f"no value at {path}")
     click.echo(json.dumps(value, indent=1))
 
 
--- a/weldquay/config/difference.py
+++ b/weldquay/config/difference.py
@@ -1,4 +1,4 @@
-"""The differences of two configurations: which a reload applies, and which need a new start."""
+"""Compares two configurations: which changes a reload applies, and which need a restart."""
 
 from __future__ import annotations
 
@@ -10,93 +10,98 @@
 from weldquay.config.schema import short_json
 
 MISSING = object()
-START_ONLY = {"seed": "used at a start only", "known": "used at a start only"}
-UNREAD = {"origin": "not read by the program"}
-LISTS_BY_NAME = {("settings", "services"), ("settings", "customers")}  # lists whose entries go by their names
+STARTUP_ONLY = {"seed": "read only at startup", "known": "read only at startup"}
+IGNORED = {"origin": "not read by the program"}
+LISTS_BY_NAME = {("settings", "services"), ("settings", "customers")}  # their entries are compared by name
 
 
-class Taken(Enum):
+class ChangeEffect(Enum):
     """When a change takes effect."""
 
-    RELOAD = "at SIGHUP"
-    START = "needs a new start"
+    RELOAD = "applied at SIGHUP"
+    RESTART = "needs a restart"
     NEVER = "no effect"
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value that differs; before or after is None where the key is not there."""
+    """One value that differs; `before` or `after` is None if the key is absent there."""
 
     path: str
     before: str | None
     after: str | None
-    taken: Taken
+    effect: ChangeEffect
     remark: str = ""
 
-    def line(self) -> str:
-        """Return the change as one line of text."""
+    def format(self) -> str:
+        """Format the change as one line of text."""
         remark = f" ({self.remark})" if self.remark else ""
         if self.before is None:
-            what = f"added: {self.after}"
+            change = f"added: {self.after}"
         elif self.after is None:
-            what = f"gone, it was {self.before}"
+            change = f"removed, was {self.before}"
         else:
-            what = f"{self.before} to {self.after}"
-        return f"{self.path}: {what}; {self.taken.value}{remark}"
+            change = f"{self.before} to {self.after}"
+        return f"{self.path}: {change}; {self.effect.value}{remark}"
 
 
 def changes(before: dict[str, Any], after: dict[str, Any]) -> list[Change]:
-    """Return all values that differ, in the order of the older file, then of the newer."""
-    found = []
-    for steps, old, new in _differ((), before, after):
-        taken, remark = _effect(steps, new)
-        path = ".".join(str(step) for step in steps)
-        found.append(Change(path, _text(old), _text(new), taken, remark))
-    return found
+    """Return all values that differ, in the order of the older file; added keys come last in their object."""
+    result = []
+    for key_path, old, new in _differing_values((), before, after):
+        effect, remark = _effect_of(key_path, new)
+        path = ".".join(str(step) for step in key_path)
+        result.append(Change(path, _json_or_none(old), _json_or_none(new), effect, remark))
+    return result
 
 
-def _text(value: Any) -> str | None:
+def _json_or_none(value: Any) -> str | None:
     return None if value is MISSING else short_json(value)
 
 
-def _effect(steps: tuple[str | int, ...], new: Any) -> tuple[Taken, str]:
-    first = str(steps[0])
-    if first in UNREAD:
-        return Taken.NEVER, UNREAD[first]
-    if first in START_ONLY:
-        return Taken.START, START_ONLY[first]
+def _effect_of(key_path: tuple[str | int, ...], new: Any) -> tuple[ChangeEffect, str]:
+    first = str(key_path[0])
+    if first in IGNORED:
+        return ChangeEffect.NEVER, IGNORED[first]
+    if first in STARTUP_ONLY:
+        return ChangeEffect.RESTART, STARTUP_ONLY[first]
     if first == "settings":
-        if steps[1:2] == ("services",) and len(steps) == 3:
+        if key_path[1:2] == ("services",) and len(key_path) == 3:
             if new is MISSING:
-                return Taken.RELOAD, "calls for it are answered 404; open jobs keep its rules"
-            return Taken.RELOAD, "calls may name it from then on"
-        if steps[1:2] in (("zones",), ("shapes",)):
-            return Taken.RELOAD, "names may be added behind the others only"
-        return Taken.RELOAD, "open jobs keep the rules they came with" if steps[1:2] == ("services",) else ""
+                return (
+                    ChangeEffect.RELOAD,
+                    "requests for it are answered with 404; open jobs keep its settings",
+                )
+            return ChangeEffect.RELOAD, "requests may name it from then on"
+        if key_path[1:2] in (("zones",), ("shapes",)):
+            return ChangeEffect.RELOAD, "names may only be added at the end"
+        return ChangeEffect.RELOAD, "open jobs keep the settings that they started with" if key_path[1:2] == (
+            "services",
+        ) else ""
     if first in ("discovery", "room"):
-        return Taken.RELOAD, ""
-    return Taken.START, ""
+        return ChangeEffect.RELOAD, ""
+    return ChangeEffect.RESTART, ""
 
 
-def _differ(
-    steps: tuple[str | int, ...],
+def _differing_values(
+    key_path: tuple[str | int, ...],
     old: Any,
     new: Any,
 ) -> Iterator[tuple[tuple[str | int, ...], Any, Any]]:
     if isinstance(old, dict) and isinstance(new, dict):
         for key in (*old, *(key for key in new if key not in old)):
-            yield from _differ((*steps, key), old.get(key, MISSING), new.get(key, MISSING))
-    elif steps in LISTS_BY_NAME and _named(old) and _named(new):
-        rows, others = ({str(row["name"]): row for row in entry} for entry in (old, new))
-        yield from _differ(steps, rows, others)
+            yield from _differing_values((*key_path, key), old.get(key, MISSING), new.get(key, MISSING))
+    elif key_path in LISTS_BY_NAME and _all_have_names(old) and _all_have_names(new):
+        old_by_name, new_by_name = ({str(row["name"]): row for row in entry} for entry in (old, new))
+        yield from _differing_values(key_path, old_by_name, new_by_name)
     elif (type(old) is not type(new) or old != new) and not _same_number(old, new):
-        yield steps, old, new
+        yield key_path, old, new
 
 
-def _named(rows: Any) -> bool:
+def _all_have_names(rows: Any) -> bool:
     return isinstance(rows, list) and all(isinstance(row, dict) and "name" in row for row in rows)
 
 
 def _same_number(old: Any, new: Any) -> bool:
-    numbers = all(isinstance(entry, int | float) and not isinstance(entry, bool) for entry in (old, new))
-    return numbers and old == new
+    are_numbers = all(isinstance(entry, int | float) and not isinstance(entry, bool) for entry in (old, new))
+    return are_numbers and old == new
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -22,7 +22,7 @@
     int, Meta(ge=0, le=86_400_000_000_000, description="nanoseconds from 0, at most a day")
 ]
 Fraction = Annotated[float, Meta(ge=0, le=1, description="a part from 0 to 1")]
-Cost = Annotated[float, Meta(ge=0, le=1000, description="a price from 0 up")]
+Cost = Annotated[float, Meta(ge=0, le=1000, description="a cost from 0 up")]
 Name = Annotated[str, Meta(min_length=1, max_length=200, description="a name of 1 to 200 characters")]
 HostPort = Annotated[
     str,
