--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: reading, reloading and errors."""
+"""The dispatcher's configuration: loading, reloading and errors."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from weldquay.net.messages import EndpointList
 
 
-def test_example_is_read() -> None:
-    """Every value that the process uses beside the decision module's settings."""
+def test_example_configuration_is_loaded() -> None:
+    """The values that the process uses, apart from the settings of the decision module."""
     config = load({"GW_CONFIG": str(CONFIG), "GW_LISTEN": "127.0.0.9:1"})
     assert config.listen == Address("127.0.0.9", 1) and config.discovery == Address("127.0.0.1", 8500)
     assert (config.class_names, config.zones, config.kinds) == (("lookup", "import"), ("here",), ("toy",))
@@ -32,9 +32,9 @@
 
 
 def test_reload_applies_settings_and_discovery_address(tmp_path: Path) -> None:
-    """The file has precedence over the variable; other changes are reported, and not applied.
+    """A reload prefers the file's address of discovery to the variable; other changes are only reported.
 
-    Classes keep their numbers; a removed class keeps its settings, and a new class comes last.
+    Classes keep their indexes: a removed class keeps its settings, and a new class is added at the end.
     """
     path = tmp_path / "config.json"
     environ = {"GW_CONFIG": str(path), "GW_DISCOVERY": "127.0.0.1:1"}
@@ -61,7 +61,7 @@
 
 
 def changed_document(path: str, value: Any) -> str:
-    """The example's configuration with one value changed, or its key left out."""
+    """Return the example configuration as JSON with one value replaced, or its key removed."""
     changed = document()
     changed["discovery"] = "127.0.0.1:99"
     *steps, last = path.split(".")
@@ -75,7 +75,7 @@
     return json.dumps(changed)
 
 
-BROKEN: list[tuple[str, Any]] = [
+INVALID_VALUES: list[tuple[str, Any]] = [
     ("settings", None),
     ("limits", None),
     ("name", None),
@@ -106,11 +106,11 @@
         "[]",
         "null",
         json.dumps(document())[:-40],
-        *(changed_document(path, value) for path, value in BROKEN),
+        *(changed_document(path, value) for path, value in INVALID_VALUES),
     ],
 )
-def test_broken_file_changes_nothing(text: str, tmp_path: Path) -> None:
-    """Nothing of a broken file is applied, the address of discovery included."""
+def test_reload_of_invalid_file_changes_nothing(text: str, tmp_path: Path) -> None:
+    """A reload rejects an invalid file as a whole, including its address of discovery."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     running = load({"GW_CONFIG": str(path)})
@@ -119,7 +119,7 @@
         reload({"GW_CONFIG": str(path)}, running)
 
 
-BAD: list[tuple[dict[str, Any], str]] = [
+INVALID_DOCUMENTS: list[tuple[dict[str, Any], str]] = [
     ({"listen": "here"}, "GW_LISTEN"),
     ({"listen": "h:99999"}, "GW_LISTEN"),
     ({"discovery": None}, "GW_DISCOVERY"),
@@ -133,9 +133,9 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "named"), BAD)
-def test_bad_configuration_is_named(changes: dict[str, Any], named: str, tmp_path: Path) -> None:
-    """The error names the wrong value, in one line."""
+@pytest.mark.parametrize(("changes", "named"), INVALID_DOCUMENTS)
+def test_error_names_invalid_value(changes: dict[str, Any], named: str, tmp_path: Path) -> None:
+    """The error names the key or the variable of the invalid value, in one line."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**document(), **changes}))
     with pytest.raises(ConfigError, match=named) as caught:
@@ -144,27 +144,29 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]"])
-def test_bad_file_prevents_start(text: str | None, tmp_path: Path) -> None:
-    """One line on standard error, status 2."""
+def test_invalid_file_prevents_start(text: str | None, tmp_path: Path) -> None:
+    """The process prints one line on standard error and exits with status 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     environ = {**os.environ, "GW_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-m", "weldquay"], env=environ, capture_output=True, check=False)
-    assert done.returncode == 2 and done.stdout == b""
-    assert done.stderr.startswith(b"weldquay: ") and done.stderr.count(b"\n") == 1
+    process = subprocess.run(
+        [sys.executable, "-m", "weldquay"], env=environ, capture_output=True, check=False
+    )
+    assert process.returncode == 2 and process.stdout == b""
+    assert process.stderr.startswith(b"weldquay: ") and process.stderr.count(b"\n") == 1
 
 
 def with_reservations(tmp_path: Path, text: str) -> dict[str, str]:
-    """Variables that name the example and a file of reservation settings."""
+    """Write the example and a file of reservation settings; return the variables that name them."""
     (tmp_path / "room.json").write_text(text)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     return {"GW_CONFIG": str(path), "GW_ROOM": str(tmp_path / "room.json")}
 
 
-def test_reservation_settings_come_with_settings(tmp_path: Path) -> None:
-    """At a start and at a reload; a removed key returns to its default, a bad file changes nothing."""
+def test_reservation_settings_are_loaded_and_reloaded(tmp_path: Path) -> None:
+    """A removed key returns to its default on a reload, and an invalid file changes nothing."""
     environ = with_reservations(tmp_path, '{"least_slots": 8, "slip": 2}')
     running = load(environ)
     assert running.settings.reservations is not None and running.settings.reservations.min_slots == 8
@@ -178,28 +180,28 @@
     assert "\n" not in str(caught.value)
 
 
-def test_bad_reservation_file_prevents_start(tmp_path: Path) -> None:
-    """Named by the option: one line, status 2, in the dispatcher and in the simulator's adapter."""
+def test_invalid_reservation_file_prevents_start(tmp_path: Path) -> None:
+    """Given by --room: the dispatcher and the adapter print one line and exit with status 2."""
     environ = {**os.environ, **with_reservations(tmp_path, '{"most_holds": 0}')}
     room = environ.pop("GW_ROOM")
     for module in ("weldquay", "weldquay.adapter"):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", module, "--room", room],
             env=environ,
             capture_output=True,
             check=False,
             stdin=subprocess.DEVNULL,
         )
-        assert done.returncode == 2 and done.stdout == b""
-        assert b"most_holds is 0: write a whole number from 1 to 256" in done.stderr
-        assert done.stderr.startswith(b"weldquay: ") and done.stderr.count(b"\n") == 1
+        assert process.returncode == 2 and process.stdout == b""
+        assert b"most_holds is 0: write a whole number from 1 to 256" in process.stderr
+        assert process.stderr.startswith(b"weldquay: ") and process.stderr.count(b"\n") == 1
 
 
 @pytest.mark.parametrize(
     "known", [[], {}, "torn", {"members": [{}]}, {"members": [{"id": "w"}], "revision": 3}]
 )
 def test_invalid_cached_list_is_ignored(known: Any, tmp_path: Path) -> None:
-    """An invalid cached list does not prevent the start."""
+    """An invalid cached endpoint list does not prevent a start: it counts as an empty list."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**document(), "known": known}))
     assert load({"GW_CONFIG": str(path)}).known == EndpointList(0, True, ())
@@ -207,7 +209,7 @@
 
 @pytest.mark.parametrize(("me", "count"), [(40, 40), (-1, 40), (1, 1)])
 def test_dispatcher_index_out_of_range(me: int, count: int, tmp_path: Path) -> None:
-    """Turns and subsets are assigned by the index, so a start and a reload reject it."""
+    """A start and a reload reject it, because turns and subsets are assigned by the index."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document()))
     running = load({"GW_CONFIG": str(path)})
@@ -221,7 +223,7 @@
 
 
 def test_single_dispatcher_is_valid(tmp_path: Path) -> None:
-    """An index of 0 in a group of one is valid."""
+    """A single dispatcher has index 0 in a group of size 1."""
     path = tmp_path / "config.json"
     changed = document()
     changed["settings"].update(group_size=1, me=0)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Operator errors: codes, remedies and output; and the direction of imports between packages."""
+"""Operator errors: codes, remedies and output.  Also checks that packages do not import in a cycle."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 from weldquay.net.config import read as config_of
 
 ROOT = Path(weldquay.__file__).parent
-# Roots of errors that are handled inside the program and are never shown to operators.
-INTERNAL_ROOTS = {"WorkerRequestError", "_DuplicateKey", "_NotFinite", "OperatorError"}
+# Base classes of errors that are handled inside the program and never shown to operators, and OperatorError.
+EXEMPT_CLASSES = {"WorkerRequestError", "_DuplicateKey", "_NotFinite", "OperatorError"}
 
 
 def error_classes() -> list[type[OperatorError]]:
-    """All operator errors of the program."""
+    """Return all subclasses of OperatorError in the package, after importing all of its modules."""
     for module in pkgutil.walk_packages([str(ROOT)], "weldquay."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
-    found, left = set[type[OperatorError]](), [OperatorError]
-    while left:
-        more = left.pop().__subclasses__()
-        found.update(more)
-        left += more
+    found, pending = set[type[OperatorError]](), [OperatorError]
+    while pending:
+        subclasses = pending.pop().__subclasses__()
+        found.update(subclasses)
+        pending += subclasses
     return [error for error in found if error.__module__.startswith("weldquay.")]
 
 
 def test_each_error_has_its_own_remedy() -> None:
-    """An inherited remedy would belong to another cause."""
+    """A remedy inherited from a base class would be that of another cause."""
     remedies = [error.__dict__.get("remedy", "") for error in error_classes()]
     assert len(remedies) >= 12 and all(len(remedy) > 20 for remedy in remedies)
     assert len(set(remedies)) == len(remedies)
 
 
 def test_every_error_derives_from_operator_error() -> None:
-    """Every exception that operators may see has a remedy."""
+    """An exception that operators may see must derive from OperatorError, so that it has a remedy."""
     for path in ROOT.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ClassDef) and node.name not in INTERNAL_ROOTS:
+            if isinstance(node, ast.ClassDef) and node.name not in EXEMPT_CLASSES:
                 bases = {base.id for base in node.bases if isinstance(base, ast.Name)}
-                plain = bases & {"Exception", "ValueError", "OSError"}
-                assert not plain or "OperatorError" in bases, node.name
+                builtins = bases & {"Exception", "ValueError", "OSError"}
+                assert not builtins or "OperatorError" in bases, node.name
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
 def test_failed_start_prints_remedy_in_one_line(
     files: dict[str, str], kind: type[ConfigError], tmp_path: Path
 ) -> None:
-    """No file, an unreadable one, one that is no object, one that lacks a key."""
+    """No file, an unreadable file, a file that is not a JSON object, and a file that lacks a key."""
     (tmp_path / "list.json").write_text("[]")
     (tmp_path / "bare.json").write_text("{}")
     with pytest.raises(ConfigError) as caught:
@@ -75,8 +75,8 @@
     assert line.endswith(f"; what to do: {kind.remedy}") and "\n" not in line
 
 
-def test_refused_reload_has_its_own_class(tmp_path: Path) -> None:
-    """Its remedy differs from a start's: the dispatcher continues."""
+def test_rejected_reload_has_its_own_class(tmp_path: Path) -> None:
+    """Its remedy differs from that of a failed start, because the dispatcher keeps running."""
     document = json.loads(CONFIG.read_text())
     running = config_of({}, document)
     (tmp_path / "c.json").write_text(json.dumps({**document, "limits": None}))
@@ -92,7 +92,7 @@
     ],
 )
 def test_operator_responses_have_remedies(call: str, code: str) -> None:
-    """In JSON, with the error's code, so that a program can distinguish causes."""
+    """The JSON response has the error's code, so that programs can tell causes apart, and its remedy."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -104,7 +104,8 @@
     asyncio.run(scenario())
 
 
-ERROR_CODES = {  # all of 725bba5, two for hot-restart messages that it had no types for, and address-conflict
+# All codes of release 725bba5, two for hot-restart messages that had no types then, and address-conflict.
+ERROR_CODES = {
     "address-conflict",
     "cannot-listen",
     "catalogue-error",
@@ -135,17 +136,17 @@
 
 
 def test_error_codes_are_unchanged() -> None:
-    """Each class defines its code; the codes of release 725bba5 are unchanged."""
+    """Each class defines a code of its own, and the codes of release 725bba5 are unchanged."""
     codes = [vars(error)["error_code"] for error in error_classes()]
     assert set(codes) == ERROR_CODES and len(codes) == len(ERROR_CODES)
 
 
 def test_packages_import_in_one_direction() -> None:
-    """There is no cycle between packages, imports in functions included."""
+    """There is no import cycle between packages, including imports inside functions."""
     edges: dict[str, set[str]] = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT).parts
-        own = parts[0].removesuffix(".py")
+        package = parts[0].removesuffix(".py")
         for node in ast.walk(ast.parse(path.read_text())):
             names: list[str] = []
             if isinstance(node, ast.ImportFrom) and node.module:
@@ -154,12 +155,12 @@
                     names = [f"weldquay.{alias.name}" for alias in node.names]
             elif isinstance(node, ast.Import):
                 names = [alias.name for alias in node.names]
-            edges.setdefault(own, set()).update(
+            edges.setdefault(package, set()).update(
                 name.split(".")[1] for name in names if name.startswith("weldquay.")
             )
     for package, others in edges.items():
         others.discard(package)
-    while free := [package for package, others in edges.items() if not others & set(edges)]:
-        for package in free:
+    while leaves := [package for package, others in edges.items() if not others & set(edges)]:
+        for package in leaves:
             del edges[package]
     assert not edges
