--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -54,7 +54,7 @@
 
 
 def applicable_rules(catalogue: Catalogue | None) -> list[Rule]:
-    """Return the rules that can be applied with this catalogue, or without one, by id."""
+    """Return the rules that apply with this catalogue, or without one, ordered by id."""
     return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
 
 
