--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -331,7 +331,7 @@
 
 def page(rule: Rule) -> str:
     """Return the explanation of a rule."""
-    needs = "\nIt needs a catalogue (--catalogue)." if rule.facts else ""
+    needs = "\nIt needs a catalogue (--catalogue)." if rule.needs_catalogue else ""
     return (
         f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVEL_TEXTS[rule.level]}.{needs}\n\n"
         f"Bad:   {rule.bad}\nGood:  {rule.good}"
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -54,12 +54,12 @@
 
 def applicable_rules(catalogue: Catalogue | None) -> list[Rule]:
     """Return the rules that can be applied with or without a catalogue, in the order of their ids."""
-    return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
+    return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.needs_catalogue]
 
 
 def left_out(catalogue: Catalogue | None) -> list[Rule]:
     """Return the rules that cannot be applied for want of a catalogue."""
-    return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.facts]
+    return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.needs_catalogue]
 
 
 def _kind(value: object) -> str:
--- a/weldquay/config/rules/base.py
+++ b/weldquay/config/rules/base.py
@@ -110,7 +110,7 @@
     bad: str
     good: str
     check: Callable[[CheckContext], Findings] | None  # None: found while the file is read
-    facts: bool = False  # it needs a catalogue
+    needs_catalogue: bool = False  # it needs a catalogue
 
 
 RULES: dict[str, Rule] = {}
@@ -124,12 +124,12 @@
     why: str,
     bad: str,
     good: str,
-    facts: bool = False,
+    needs_catalogue: bool = False,
 ) -> Callable[[Callable[[CheckContext], Findings]], Callable[[CheckContext], Findings]]:
     """Return a decorator that adds the function to the table of rules."""
 
     def register(check: Callable[[CheckContext], Findings]) -> Callable[[CheckContext], Findings]:
-        add(Rule(number, level, title, why, bad, good, check, facts))
+        add(Rule(number, level, title, why, bad, good, check, needs_catalogue))
         return check
 
     return register
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -25,7 +25,7 @@
     "WQ501",
     Level.SITE,
     "Cold starts or drains are treated more freely than the site allows",
-    facts=True,
+    needs_catalogue=True,
     why="A cold worker that gets more than it can stand falls over and stays down; a drained one must get "
     "nothing new once its grace is over.",
     bad='"fall_multiple": 10',
@@ -97,7 +97,7 @@
     "WQ604",
     Level.SITE,
     "An address outside the site's networks",
-    facts=True,
+    needs_catalogue=True,
     why="Nothing answers there, or something that is not the site's.",
     bad='"discovery": "192.0.2.1:8500"',
     good='"discovery": "10.2.0.1:8500"',
