--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -8,7 +8,8 @@
 from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
 from weldquay.limits import BASE_MB, BYTES_EACH, MAX_PORT, MIN_MEMORY_MB, MIN_SOCKETS, RESERVE
 
-WORKERS_FRACTION = 0.3  # of the descriptors, as `net/workers.py` reckons
+# Of the file descriptors; net/connection_pool.py and net/client_server.py divide them in the same way.
+WORKER_DESCRIPTOR_FRACTION = 0.3
 
 # Figures that may be stricter than the site's, but not laxer: name, which way is lax, what it does.
 SAFETY = (
@@ -143,7 +144,9 @@
     limits = context.group("limits")
     sockets = figure(limits.get("sockets"), 1024.0) or 1024.0
     memory = figure(limits.get("memory_mb"), 192.0) or 192.0
-    capacity = int(min(sockets * (1 - WORKERS_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH))
+    capacity = int(
+        min(sockets * (1 - WORKER_DESCRIPTOR_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH)
+    )
     value = context.number("settings", "caps", "max_open")
     if value is not None and value > capacity and sockets >= MIN_SOCKETS and memory >= MIN_MEMORY_MB:
         yield (
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -19,7 +19,7 @@
 
 from weldquay.config import catalogue, schema
 from weldquay.config.catalogue import Catalogue, fold, near
-from weldquay.config.rules.limits import WORKERS_FRACTION
+from weldquay.config.rules.limits import WORKER_DESCRIPTOR_FRACTION
 from weldquay.errors import OperatorError
 from weldquay.limits import BASE_MB, BYTES_EACH, RESERVE
 
@@ -210,7 +210,7 @@
     """Descriptors and memory for the calls that are open at the expected rate, and how many that is."""
     stay_s = min(MAX_STAY_S, max(entry["give_up_ns"] for entry in services) / SECOND)
     open_calls = max(32, math.ceil(description.calls_per_s * stay_s * HEADROOM))
-    sockets = max(MIN_SOCKETS, math.ceil((open_calls + RESERVE) / (1 - WORKERS_FRACTION)) + 1)
+    sockets = max(MIN_SOCKETS, math.ceil((open_calls + RESERVE) / (1 - WORKER_DESCRIPTOR_FRACTION)) + 1)
     memory = max(MIN_MEMORY_MB, math.ceil(BASE_MB + open_calls * BYTES_EACH / 2**20) + 1)
     why = f"{description.calls_per_s:g} calls a second that stay {stay_s:g} s, {HEADROOM:g} times over"
     origin["limits"] = origin["settings.caps.max_open"] = why
