--- a/weldquay/config/rules/__init__.py
+++ b/weldquay/config/rules/__init__.py
@@ -1,8 +1,8 @@
-"""The rules for configurations, each with a stable id.
+"""The rules that check a configuration, each with a stable id.
 
-A rule is a function that yields its findings.  A violation of an `always` rule prevents a start of the
-program; one of a `site` rule does so where a catalogue is named, else it is a warning; one of an `advice`
-rule is a warning.
+A rule is a function that yields the violations that it finds.  A violation of an `always` rule prevents the
+program from starting.  A violation of a `site` rule does so if a site catalogue is given, and is a warning
+otherwise.  A violation of an `advice` rule is a warning.
 """
 
 from __future__ import annotations
--- a/weldquay/config/rules/base.py
+++ b/weldquay/config/rules/base.py
@@ -1,4 +1,4 @@
-"""The type of a rule, the table of all rules, and the document that they check."""
+"""The types of rules and findings, the registry of all rules, and access to the document under check."""
 
 from __future__ import annotations
 
@@ -12,76 +12,84 @@
 
 
 class Level(Enum):
-    """Whether a violation of a rule is an error."""
+    """Whether a violation of a rule is an error or a warning."""
 
-    ALWAYS = "always"  # an error, and the program refuses it
-    SITE = "site"  # an error where a catalogue is named, for the program as well; else a warning
+    ALWAYS = "always"  # an error: the program does not start
+    SITE = "site"  # an error if a catalogue is given, also at the program's start; otherwise a warning
     ADVICE = "advice"  # a warning
 
 
 @dataclass(frozen=True, slots=True)
 class CheckContext:
-    """The document that is checked: the decoded object, and the site's catalogue if there is one."""
+    """The input of the rules: the decoded document, and the site catalogue if one is given.
+
+    The document may have any shape: where a value is missing or has the wrong type, the accessors return an
+    empty collection or a default, so that only the rules about keys and types report it.
+    """
 
     document: dict[str, Any]
     catalogue: Catalogue | None = None
-    sidecar: bool = False  # it is to run beside one application
+    sidecar: bool = False  # the dispatcher will run as the sidecar of one application
 
     @property
     def settings(self) -> dict[str, Any]:
-        """The settings, or none where they are no object."""
-        return self.group("settings")
+        """The `settings` object; empty if it is missing or not an object."""
+        return self.object_at("settings")
 
-    def group(self, *steps: str) -> dict[str, Any]:
-        """An object at a place; empty where there is none."""
+    def object_at(self, *steps: str) -> dict[str, Any]:
+        """Return the object at a path; empty if there is none."""
         inner: Any = self.document
         for step in steps:
             inner = inner.get(step) if isinstance(inner, dict) else None
         return inner if isinstance(inner, dict) else {}
 
-    def rows(self, name: str) -> list[tuple[int, dict[str, Any]]]:
-        """The objects of a list in the settings, with their positions."""
-        rows = self.settings.get(name)
-        rows = rows if isinstance(rows, list) else []
-        return [(number, row) for number, row in enumerate(rows) if isinstance(row, dict)]
-
-    def named(self, name: str) -> list[tuple[int, str]]:
-        """The names in a list of the settings, with their positions; what has no name is left out."""
-        return [(number, row["name"]) for number, row in self.rows(name) if isinstance(row.get("name"), str)]
-
-    def figures(self, name: str, key: str) -> list[float]:
-        """The figures under one key in a list of the settings; rows without one are left out."""
-        value = (figure(row.get(key)) for _, row in self.rows(name))
-        return [entry for entry in value if entry is not None]
-
-    def jobs(self) -> Iterator[tuple[int, dict[str, Any], Kind]]:
-        """The classes that the catalogue knows, with their positions and what it says of them."""
+    def entries(self, name: str) -> list[tuple[int, dict[str, Any]]]:
+        """Return the objects in a list of the settings, with their indices."""
+        entries = self.settings.get(name)
+        entries = entries if isinstance(entries, list) else []
+        return [(index, entry) for index, entry in enumerate(entries) if isinstance(entry, dict)]
+
+    def entry_names(self, name: str) -> list[tuple[int, str]]:
+        """Return the names of the entries in a list of the settings, with their indices."""
+        return [
+            (index, entry["name"])
+            for index, entry in self.entries(name)
+            if isinstance(entry.get("name"), str)
+        ]
+
+    def numbers(self, name: str, key: str) -> list[float]:
+        """Return the numbers under one key of the entries in a list of the settings."""
+        numbers = (to_number(entry.get(key)) for _, entry in self.entries(name))
+        return [number for number in numbers if number is not None]
+
+    def known_classes(self) -> Iterator[tuple[int, dict[str, Any], Kind]]:
+        """Yield the job classes that are in the catalogue: index, settings, catalogue entry."""
         assert self.catalogue is not None
-        for number, row in self.rows("services"):
-            if (kind := self.catalogue.kind(str(row.get("name", "")))) is not None:
-                yield number, row, kind
+        for index, entry in self.entries("services"):
+            if (kind := self.catalogue.kind(str(entry.get("name", "")))) is not None:
+                yield index, entry, kind
 
-    def misspelt(self, name: str, known: list[str]) -> Iterator[tuple[int, str, str]]:
-        """Yield misspelt names in a list of the settings: position, name, the known name."""
-        for number, row in self.rows(name):
-            value = str(row.get("name", ""))
-            if other := meant(value, known):
-                yield number, value, other
+    def misspelled_names(self, name: str, known: list[str]) -> Iterator[tuple[int, str, str]]:
+        """Yield the misspelled names in a list of the settings: index, name, the known name."""
+        for index, entry in self.entries(name):
+            value = str(entry.get("name", ""))
+            if correction := correct_spelling(value, known):
+                yield index, value, correction
 
-    def number(self, *steps: str, default: float | None = None) -> float | None:
-        """A figure at a place; the default where there is none, or no figure."""
-        value = self.group(*steps[:-1]).get(steps[-1], default)
-        return figure(value, default)
+    def number_at(self, *steps: str, default: float | None = None) -> float | None:
+        """Return the number at a path; the default if there is none."""
+        value = self.object_at(*steps[:-1]).get(steps[-1], default)
+        return to_number(value, default)
 
 
-def figure(value: Any, default: float | None = None) -> float | None:
-    """Return a number as a float, or the default where the value is none."""
+def to_number(value: Any, default: float | None = None) -> float | None:
+    """Return a number as a float; the default if the value is not a number."""
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else default
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A violation of a rule: where it is, why it matters, and what to write."""
+    """A violation of a rule: the position of the value, and what is wrong with it and how to correct it."""
 
     rule: str
     error: bool
@@ -96,12 +104,12 @@
         return ".".join(str(step) for step in self.steps) or "(file)"
 
 
-Findings = Iterator[tuple[Steps, str]]
+Violations = Iterator[tuple[Steps, str]]  # path of the value, and the finding's text
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """A rule with its explanation; bad and good are pieces of a configuration."""
+    """A rule and its explanation; `bad` and `good` are fragments of a configuration."""
 
     id: str
     level: Level
@@ -109,15 +117,15 @@
     why: str
     bad: str
     good: str
-    check: Callable[[CheckContext], Findings] | None  # None: found while the file is read
-    needs_catalogue: bool = False  # it needs a catalogue
+    check: Callable[[CheckContext], Violations] | None  # None: checked while the file is read
+    needs_catalogue: bool = False
 
 
 RULES: dict[str, Rule] = {}
 
 
-def rule(  # noqa: PLR0913  # the columns of the table of rules, by keyword
-    number: str,
+def rule(  # noqa: PLR0913  # the fields of a rule, passed by keyword
+    rule_id: str,
     level: Level,
     title: str,
     *,
@@ -125,33 +133,33 @@
     bad: str,
     good: str,
     needs_catalogue: bool = False,
-) -> Callable[[Callable[[CheckContext], Findings]], Callable[[CheckContext], Findings]]:
-    """Return a decorator that adds the function to the table of rules."""
+) -> Callable[[Callable[[CheckContext], Violations]], Callable[[CheckContext], Violations]]:
+    """Return a decorator that registers a check function as a rule."""
 
-    def register(check: Callable[[CheckContext], Findings]) -> Callable[[CheckContext], Findings]:
-        add(Rule(number, level, title, why, bad, good, check, needs_catalogue))
+    def register(check: Callable[[CheckContext], Violations]) -> Callable[[CheckContext], Violations]:
+        register_rule(Rule(rule_id, level, title, why, bad, good, check, needs_catalogue))
         return check
 
     return register
 
 
-def add(new_rule: Rule) -> None:
-    """Add a rule to the table.
+def register_rule(new_rule: Rule) -> None:
+    """Add a rule to the registry.
 
     Raises:
-        ValueError: another rule has this id.
+        ValueError: another rule has the same id.
     """
     if new_rule.id in RULES:
         raise ValueError(f"two rules have the id {new_rule.id}")
     RULES[new_rule.id] = new_rule
 
 
-def meant(name: str, known: list[str]) -> str:
-    """Return the known name that a misspelt name probably means; empty if there is none."""
-    same = (entry for entry in known if fold(entry) == fold(name) and entry != name)
+def correct_spelling(name: str, known: list[str]) -> str:
+    """Return the known name that a misspelled name probably stands for; empty if there is none."""
+    same = (known_name for known_name in known if fold(known_name) == fold(name) and known_name != name)
     return next(same, "") or near(name, known)
 
 
-def seconds(ns: float) -> str:
-    """Return a time as text with its unit."""
+def format_duration(ns: float) -> str:
+    """Return a duration as text with its unit."""
     return f"{ns / 1e9:g} s" if ns >= 1e9 else f"{ns / 1e6:g} ms"
--- a/weldquay/config/rules/customers.py
+++ b/weldquay/config/rules/customers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule
+from weldquay.config.rules.base import CheckContext, Level, Violations, rule, to_number
 
 ROUNDING = 0.005  # shares in whole hundredths
 
@@ -17,9 +17,9 @@
     bad="customers without wakkanai-dev",
     good='{"name": "wakkanai-dev", "fraction": 0.05}',
 )
-def _missing_customer(context: CheckContext) -> Findings:
+def _missing_customer(context: CheckContext) -> Violations:
     assert context.catalogue is not None
-    value = {fold(str(row.get("name", ""))) for _, row in context.rows("customers")}
+    value = {fold(str(row.get("name", ""))) for _, row in context.entries("customers")}
     for customer in context.catalogue.customers:
         if fold(customer.name) not in value:
             yield (
@@ -40,8 +40,8 @@
     bad='[{"fraction": 0.7}, {"fraction": 0.6}]',
     good='[{"fraction": 0.7}, {"fraction": 0.3}]',
 )
-def _sum_of_shares(context: CheckContext) -> Findings:
-    shares = context.figures("customers", "fraction")
+def _sum_of_shares(context: CheckContext) -> Violations:
+    shares = context.numbers("customers", "fraction")
     if sum(shares) > 1 + ROUNDING:
         yield ("settings", "customers"), f"the shares add up to {sum(shares):g}: they may be 1 together"
 
@@ -55,11 +55,11 @@
     bad='{"name": "kushiro-soft", "fraction": 0.5}',
     good='{"name": "kushiro-soft", "fraction": 0.17}',
 )
-def _share_of_site(context: CheckContext) -> Findings:
+def _share_of_site(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     shares = {fold(entry.name): entry for entry in context.catalogue.customers}
-    for number, row in context.rows("customers"):
-        customer, value = shares.get(fold(str(row.get("name", "")))), figure(row.get("fraction"))
+    for number, row in context.entries("customers"):
+        customer, value = shares.get(fold(str(row.get("name", "")))), to_number(row.get("fraction"))
         if customer is not None and value is not None and abs(value - customer.fraction) > ROUNDING:
             yield (
                 ("settings", "customers", number, "fraction"),
@@ -75,9 +75,9 @@
     bad='[{"name": "a"}, {"name": "A"}]',
     good='[{"name": "a"}]',
 )
-def _duplicate_customer(context: CheckContext) -> Findings:
+def _duplicate_customer(context: CheckContext) -> Violations:
     seen: dict[str, str] = {}
-    for number, name in context.named("customers"):
+    for number, name in context.entry_names("customers"):
         if fold(name) in seen:
             yield (
                 ("settings", "customers", number, "name"),
@@ -95,10 +95,10 @@
     bad='{"name": "kushiro-sofft"}',
     good='{"name": "kushiro-soft"}',
 )
-def _misspelt_customer(context: CheckContext) -> Findings:
+def _misspelt_customer(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [customer.name for customer in context.catalogue.customers]
-    for number, name, other in context.misspelt("customers", known):
+    for number, name, other in context.misspelled_names("customers", known):
         yield ("settings", "customers", number, "name"), f"{name} is not {other}: write {other}"
 
 
@@ -111,10 +111,10 @@
     bad='{"name": "nobody-we-know"}',
     good="enter it in the catalogue",
 )
-def _unknown_customer(context: CheckContext) -> Findings:
+def _unknown_customer(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [customer.name for customer in context.catalogue.customers]
-    for number, row in context.rows("customers"):
+    for number, row in context.entries("customers"):
         name = str(row.get("name", ""))
         if known and name and not near(name, known) and fold(name) not in {fold(entry) for entry in known}:
             yield (
--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from weldquay.config.catalogue import fold, near
-from weldquay.config.rules.base import CheckContext, Findings, Level, rule
+from weldquay.config.rules.base import CheckContext, Level, Violations, rule
 
 
 @rule(
@@ -16,8 +16,8 @@
     bad='{"name": "segment-commit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _repeatable(context: CheckContext) -> Findings:
-    for number, row, kind in context.jobs():
+def _repeatable(context: CheckContext) -> Violations:
+    for number, row, kind in context.known_classes():
         if kind.never_twice and row.get("effect") in ("retryable", "dedup"):
             yield (
                 ("settings", "services", number, "effect"),
@@ -35,10 +35,10 @@
     bad='{"name": "segment_comit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _misspelt_kind(context: CheckContext) -> Findings:
+def _misspelt_kind(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [kind.name for kind in context.catalogue.kinds]
-    for number, name, other in context.misspelt("services", known):
+    for number, name, other in context.misspelled_names("services", known):
         yield (
             ("settings", "services", number, "name"),
             (
@@ -56,9 +56,9 @@
     bad='[{"name": "a", "effect": "fragile"}, {"name": "a", "effect": "retryable"}]',
     good='[{"name": "a", "effect": "fragile"}, {"name": "b", "effect": "retryable"}]',
 )
-def _duplicate_name(context: CheckContext) -> Findings:
+def _duplicate_name(context: CheckContext) -> Violations:
     seen: dict[str, int] = {}
-    for number, name in context.named("services"):
+    for number, name in context.entry_names("services"):
         if name in seen:
             yield (
                 ("settings", "services", number, "name"),
@@ -75,9 +75,9 @@
     bad='["segment-commit", "Segment_Commit"]',
     good='["segment-commit"]',
 )
-def _alias(context: CheckContext) -> Findings:
+def _alias(context: CheckContext) -> Violations:
     seen: dict[str, str] = {}
-    for number, name in context.named("services"):
+    for number, name in context.entry_names("services"):
         other = seen.setdefault(fold(name), name)
         if other != name:
             yield (
@@ -95,10 +95,10 @@
     bad='{"name": "mystery", "effect": "retryable"}',
     good="enter it in the catalogue",
 )
-def _unknown_kind(context: CheckContext) -> Findings:
+def _unknown_kind(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [kind.name for kind in context.catalogue.kinds]
-    for number, row in context.rows("services"):
+    for number, row in context.entries("services"):
         name = str(row.get("name", ""))
         if name and context.catalogue.kind(name) is None and not near(name, known):
             yield (
@@ -118,10 +118,10 @@
     bad='"clients": {"retries_fragile": true}',
     good='"clients": {"retries_fragile": false}',
 )
-def _client_retries(context: CheckContext) -> Findings:
-    rows = [row for _, row in context.rows("services")]
+def _client_retries(context: CheckContext) -> Violations:
+    rows = [row for _, row in context.entries("services")]
     fragile = [str(row.get("name")) for row in rows if row.get("effect") == "fragile"]
-    if context.group("settings", "clients").get("retries_fragile") is True and fragile:
+    if context.object_at("settings", "clients").get("retries_fragile") is True and fragile:
         yield (
             ("settings", "clients", "retries_fragile"),
             (f"clients would send {', '.join(fragile)} again after a failure, for a second run: write false"),
@@ -136,8 +136,8 @@
     bad='{"effect": "dedup"}',
     good='{"effect": "dedup", "window_ns": 5000000000}',
 )
-def _deduplication_window(context: CheckContext) -> Findings:
-    for number, row in context.rows("services"):
+def _deduplication_window(context: CheckContext) -> Violations:
+    for number, row in context.entries("services"):
         if row.get("effect") == "dedup" and not row.get("window_ns"):
             yield (
                 ("settings", "services", number, "window_ns"),
@@ -154,9 +154,12 @@
     bad='"max_attempts": 9',
     good='"max_attempts": 5',
 )
-def _max_attempts(context: CheckContext) -> Findings:
+def _max_attempts(context: CheckContext) -> Violations:
     assert context.catalogue is not None
-    maximum, value = context.catalogue.limits.max_attempts, context.number("settings", "caps", "max_attempts")
+    maximum, value = (
+        context.catalogue.limits.max_attempts,
+        context.number_at("settings", "caps", "max_attempts"),
+    )
     if maximum is not None and value is not None and value > maximum:
         yield (
             ("settings", "caps", "max_attempts"),
@@ -173,10 +176,10 @@
     bad='"may_duplicate": true',
     good='"may_duplicate": false',
 )
-def _hedged_requests(context: CheckContext) -> Findings:
+def _hedged_requests(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     if context.catalogue.limits.may_duplicate is False and (
-        context.group("settings", "caps").get("may_duplicate") is True
+        context.object_at("settings", "caps").get("may_duplicate") is True
     ):
         yield ("settings", "caps", "may_duplicate"), "the platform allows no second copies: write false"
 
@@ -189,8 +192,8 @@
     bad='{"may_duplicate": true, "max_attempts": 1}',
     good='{"may_duplicate": true, "max_attempts": 2}',
 )
-def _hedging_without_attempts(context: CheckContext) -> Findings:
-    caps = context.group("settings", "caps")
+def _hedging_without_attempts(context: CheckContext) -> Violations:
+    caps = context.object_at("settings", "caps")
     if caps.get("may_duplicate") is True and caps.get("max_attempts", 1) == 1:
         yield (
             ("settings", "caps", "may_duplicate"),
--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -10,7 +10,7 @@
 
 from weldquay.config import schema
 from weldquay.config.reading import Steps
-from weldquay.config.rules.base import CheckContext, Findings, Level, Rule, add, rule
+from weldquay.config.rules.base import CheckContext, Level, Rule, Violations, register_rule, rule
 
 for _number, _title, _why, _bad, _good in (
     (
@@ -30,7 +30,7 @@
         '{"name": "a"}',
     ),
 ):
-    add(Rule(_number, Level.ALWAYS, _title, _why, _bad, _good, None))
+    register_rule(Rule(_number, Level.ALWAYS, _title, _why, _bad, _good, None))
 
 
 @rule(
@@ -41,7 +41,7 @@
     bad='{"services": [{"name": "a"}]}',
     good='{"services": [{"name": "a", "aim_ns": 250000000, ...}]}',
 )
-def _missing_key(context: CheckContext) -> Findings:
+def _missing_key(context: CheckContext) -> Violations:
     for steps, group, value in _groups(context):
         for field in msgspec.structs.fields(group):
             key = field.encode_name
@@ -62,7 +62,7 @@
     bad='"max_attempts": "5"',
     good='"max_attempts": 5',
 )
-def _invalid_value(context: CheckContext) -> Findings:
+def _invalid_value(context: CheckContext) -> Violations:
     for steps, group, value in _groups(context):
         for name, kind in schema.keys(group).items():
             value_at_key = value.get(name)
@@ -76,7 +76,7 @@
                     continue
                 if not (want is list and not value_at_key):
                     continue
-            if not fits(value_at_key, kind):
+            if not is_valid_value(value_at_key, kind):
                 yield (
                     (*steps, name),
                     f"{name} is {schema.json_text(value_at_key)}: write {schema.right(kind)}",
@@ -87,7 +87,7 @@
     return "a list of objects" if kind is list else "an object"
 
 
-def fits(value: Any, kind: Any) -> bool:
+def is_valid_value(value: Any, kind: Any) -> bool:
     """True where a value may stand for a key; a whole number may be written 5.0."""
     if isinstance(value, float) and value.is_integer() and abs(value) < 2**53 and "int" in str(kind):
         value = int(value)
@@ -106,7 +106,7 @@
     bad='"max_atempts": 3',
     good='"max_attempts": 3',
 )
-def _unknown_key(context: CheckContext) -> Findings:
+def _unknown_key(context: CheckContext) -> Violations:
     for steps, group, value in _groups(context):
         known = list(schema.keys(group))
         for name in value:
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -5,7 +5,7 @@
 import ipaddress
 from typing import Any
 
-from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
+from weldquay.config.rules.base import CheckContext, Level, Violations, format_duration, rule, to_number
 from weldquay.limits import BASE_MB, BYTES_EACH, MAX_PORT, MIN_MEMORY_MB, MIN_SOCKETS, RESERVE
 
 # Of the file descriptors; net/connection_pool.py and net/client_server.py divide them in the same way.
@@ -32,13 +32,18 @@
     bad='"fall_multiple": 10',
     good='"fall_multiple": 2.5',
 )
-def _safety(context: CheckContext) -> Findings:
+def _safety(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     for name, lax_direction, what in SAFETY:
-        maximum, value = getattr(context.catalogue.limits, name), context.number("settings", "safety", name)
+        maximum, value = (
+            getattr(context.catalogue.limits, name),
+            context.number_at("settings", "safety", name),
+        )
         if maximum is not None and value is not None and (value - maximum) * lax_direction > 1e-9 * maximum:
             shown = (
-                (seconds(value), seconds(maximum)) if name.endswith("_ns") else (f"{value:g}", f"{maximum:g}")
+                (format_duration(value), format_duration(maximum))
+                if name.endswith("_ns")
+                else (f"{value:g}", f"{maximum:g}")
             )
             yield (
                 ("settings", "safety", name),
@@ -54,7 +59,7 @@
     bad='"listen": "127.0.0.1:99999"',
     good='"listen": "127.0.0.1:8443"',
 )
-def _address(context: CheckContext) -> Findings:
+def _address(context: CheckContext) -> Violations:
     for name in ("listen", "mgmt", "discovery"):
         value = context.document.get(name)
         if isinstance(value, str) and ":" in value and _port(value) > MAX_PORT:
@@ -69,7 +74,7 @@
     bad='{"listen": "127.0.0.1:8443", "mgmt": "127.0.0.1:8443"}',
     good='{"listen": "127.0.0.1:8443", "mgmt": "127.0.0.1:8444"}',
 )
-def _address_clash(context: CheckContext) -> Findings:
+def _address_clash(context: CheckContext) -> Violations:
     names = [name for name in ("listen", "mgmt", "discovery") if isinstance(context.document.get(name), str)]
     for number, name in enumerate(names):
         for other in names[:number]:
@@ -87,7 +92,7 @@
     bad='"listen": "10.0.0.4:8443"',
     good='"listen": "127.0.0.1:8443"',
 )
-def _sidecar_off_loopback(context: CheckContext) -> Findings:
+def _sidecar_off_loopback(context: CheckContext) -> Violations:
     for name in ("listen", "mgmt") if context.sidecar else ():
         value = context.document.get(name)
         if isinstance(value, str) and ":" in value and not _is_loopback(_host(value)):
@@ -103,7 +108,7 @@
     bad='"discovery": "192.0.2.1:8500"',
     good='"discovery": "10.2.0.1:8500"',
 )
-def _outside_networks(context: CheckContext) -> Findings:
+def _outside_networks(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     allowed = [ipaddress.ip_network(entry) for entry in context.catalogue.networks]
     for name in ("listen", "mgmt", "discovery") if allowed else ():
@@ -124,9 +129,9 @@
     bad='{"sockets": 64, "memory_mb": 8}',
     good='{"sockets": 256, "memory_mb": 64}',
 )
-def _below_minimum(context: CheckContext) -> Findings:
+def _below_minimum(context: CheckContext) -> Violations:
     for name, minimum in (("sockets", MIN_SOCKETS), ("memory_mb", MIN_MEMORY_MB)):
-        value = context.number("limits", name)
+        value = context.number_at("limits", name)
         if value is not None and value < minimum:
             yield ("limits", name), f"limits.{name} is {value:g}: the program needs {minimum} at least"
 
@@ -140,14 +145,14 @@
     bad='{"max_open": 100000, "sockets": 256}',
     good='{"max_open": 130, "sockets": 256}',
 )
-def _max_open_beyond_limits(context: CheckContext) -> Findings:
-    limits = context.group("limits")
-    sockets = figure(limits.get("sockets"), 1024.0) or 1024.0
-    memory = figure(limits.get("memory_mb"), 192.0) or 192.0
+def _max_open_beyond_limits(context: CheckContext) -> Violations:
+    limits = context.object_at("limits")
+    sockets = to_number(limits.get("sockets"), 1024.0) or 1024.0
+    memory = to_number(limits.get("memory_mb"), 192.0) or 192.0
     capacity = int(
         min(sockets * (1 - WORKER_DESCRIPTOR_FRACTION) - RESERVE, (memory - BASE_MB) * 2**20 / BYTES_EACH)
     )
-    value = context.number("settings", "caps", "max_open")
+    value = context.number_at("settings", "caps", "max_open")
     if value is not None and value > capacity and sockets >= MIN_SOCKETS and memory >= MIN_MEMORY_MB:
         yield (
             ("settings", "caps", "max_open"),
@@ -166,9 +171,9 @@
     bad='"clients": ["10.0.0.0/40"]',
     good='"clients": ["10.0.0.0/8", "!10.1.0.0/16"]',
 )
-def _invalid_network(context: CheckContext) -> Findings:
+def _invalid_network(context: CheckContext) -> Violations:
     for name in ("clients", "callbacks", "operators"):
-        entries = context.group("access").get(name)
+        entries = context.object_at("access").get(name)
         for number, entry in enumerate(entries if isinstance(entries, list) else []):
             try:
                 ipaddress.ip_network(str(entry).removeprefix("!"))
@@ -184,9 +189,9 @@
     bad='"clients": ["!10.1.0.0/16"]',
     good='"clients": ["10.0.0.0/8", "!10.1.0.0/16"]',
 )
-def _exceptions_only(context: CheckContext) -> Findings:
+def _exceptions_only(context: CheckContext) -> Violations:
     for name in ("clients", "callbacks", "operators"):
-        entries = context.group("access").get(name)
+        entries = context.object_at("access").get(name)
         if isinstance(entries, list) and entries and all(str(entry).startswith("!") for entry in entries):
             yield (
                 ("access", name),
@@ -202,8 +207,8 @@
     bad='"access": {"clients": ["10.0.0.0/8"]}',
     good="no access, and addresses that others cannot reach",
 )
-def _access_not_enforced(context: CheckContext) -> Findings:
-    if any(context.group("access").values()):
+def _access_not_enforced(context: CheckContext) -> Violations:
+    if any(context.object_at("access").values()):
         yield ("access",), "access is not enforced by this version: leave it out"
 
 
--- a/weldquay/config/rules/times.py
+++ b/weldquay/config/rules/times.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule, seconds
+from weldquay.config.rules.base import CheckContext, Level, Violations, format_duration, rule, to_number
 
 
 @rule(
@@ -13,15 +13,15 @@
     bad='{"aim_ns": 9000000000, "give_up_ns": 5000000000}',
     good='{"aim_ns": 250000000, "give_up_ns": 5000000000}',
 )
-def _objective_after_timeout(context: CheckContext) -> Findings:
-    for number, row in context.rows("services"):
-        aim, give_up = figure(row.get("aim_ns")), figure(row.get("give_up_ns"))
+def _objective_after_timeout(context: CheckContext) -> Violations:
+    for number, row in context.entries("services"):
+        aim, give_up = to_number(row.get("aim_ns")), to_number(row.get("give_up_ns"))
         if aim is not None and give_up is not None and aim > give_up:
             yield (
                 ("settings", "services", number, "aim_ns"),
                 (
-                    f"the aim of {row.get('name')} is {seconds(aim)}, but its clients give up after "
-                    f"{seconds(give_up)}: write an aim below that"
+                    f"the aim of {row.get('name')} is {format_duration(aim)}, but its clients give up after "
+                    f"{format_duration(give_up)}: write an aim below that"
                 ),
             )
 
@@ -35,15 +35,15 @@
     bad='{"name": "exact-lookup", "give_up_ns": 20000000000}',
     good='{"name": "exact-lookup", "give_up_ns": 5000000000}',
 )
-def _timeout_beyond_clients(context: CheckContext) -> Findings:
-    for number, row, kind in context.jobs():
-        value = figure(row.get("give_up_ns"))
+def _timeout_beyond_clients(context: CheckContext) -> Violations:
+    for number, row, kind in context.known_classes():
+        value = to_number(row.get("give_up_ns"))
         if value is not None and value > kind.give_up_ns:
             yield (
                 ("settings", "services", number, "give_up_ns"),
                 (
-                    f"{row['name']} would be waited for {seconds(value)}, but its clients give up after "
-                    f"{seconds(kind.give_up_ns)}: write at most {kind.give_up_ns}"
+                    f"{row['name']} would be waited for {format_duration(value)}, but its clients give up "
+                    f"after {format_duration(kind.give_up_ns)}: write at most {kind.give_up_ns}"
                 ),
             )
 
@@ -57,13 +57,16 @@
     bad='{"name": "exact-lookup", "aim_ns": 100000000}',
     good='{"name": "exact-lookup", "aim_ns": 250000000}',
 )
-def _objective_of_site(context: CheckContext) -> Findings:
-    for number, row, kind in context.jobs():
-        value = figure(row.get("aim_ns"))
+def _objective_of_site(context: CheckContext) -> Violations:
+    for number, row, kind in context.known_classes():
+        value = to_number(row.get("aim_ns"))
         if kind.aim_ns is not None and value not in (None, float(kind.aim_ns)):
             yield (
                 ("settings", "services", number, "aim_ns"),
-                (f"the site wants {row['name']} within {seconds(kind.aim_ns)}, not {seconds(value or 0)}"),
+                (
+                    f"the site wants {row['name']} within {format_duration(kind.aim_ns)}, "
+                    f"not {format_duration(value or 0)}"
+                ),
             )
 
 
@@ -75,15 +78,15 @@
     bad='"connect_timeout_ns": 8000000000',
     good='"connect_timeout_ns": 250000000',
 )
-def _connect_timeout(context: CheckContext) -> Findings:
-    value = context.number("settings", "caps", "connect_timeout_ns", default=250_000_000)
-    minimum = min(context.figures("services", "give_up_ns"), default=None)
+def _connect_timeout(context: CheckContext) -> Violations:
+    value = context.number_at("settings", "caps", "connect_timeout_ns", default=250_000_000)
+    minimum = min(context.numbers("services", "give_up_ns"), default=None)
     if value is not None and minimum is not None and value >= minimum:
         yield (
             ("settings", "caps", "connect_timeout_ns"),
             (
-                f"connecting may take {seconds(value)}, but a client gives up after {seconds(minimum)}: "
-                "write a small part of that"
+                f"connecting may take {format_duration(value)}, but a client gives up after "
+                f"{format_duration(minimum)}: write a small part of that"
             ),
         )
 
@@ -96,13 +99,16 @@
     bad='"max_retry_after_ns": 60000000000',
     good='"max_retry_after_ns": 2000000000',
 )
-def _retry_after(context: CheckContext) -> Findings:
-    value = context.number("settings", "caps", "max_retry_after_ns", default=0.0) or 0.0
-    maximum = max(context.figures("services", "give_up_ns"), default=None)
+def _retry_after(context: CheckContext) -> Violations:
+    value = context.number_at("settings", "caps", "max_retry_after_ns", default=0.0) or 0.0
+    maximum = max(context.numbers("services", "give_up_ns"), default=None)
     if maximum is not None and value > maximum:
         yield (
             ("settings", "caps", "max_retry_after_ns"),
-            (f"clients may be told to wait {seconds(value)}, but none waits longer than {seconds(maximum)}"),
+            (
+                f"clients may be told to wait {format_duration(value)}, but none waits "
+                f"longer than {format_duration(maximum)}"
+            ),
         )
 
 
@@ -115,15 +121,18 @@
     bad='"conn_idle_ns": 600000000000',
     good='"conn_idle_ns": 60000000000',
 )
-def _idle_connections(context: CheckContext) -> Findings:
+def _idle_connections(context: CheckContext) -> Violations:
     assert context.catalogue is not None
-    maximum, value = context.catalogue.limits.conn_idle_ns, context.number("settings", "caps", "conn_idle_ns")
+    maximum, value = (
+        context.catalogue.limits.conn_idle_ns,
+        context.number_at("settings", "caps", "conn_idle_ns"),
+    )
     if maximum is not None and value is not None and value > maximum:
         yield (
             ("settings", "caps", "conn_idle_ns"),
             (
-                f"idle connections are kept {seconds(value)}, the site closes them after {seconds(maximum)}: "
-                f"write at most {maximum}"
+                f"idle connections are kept {format_duration(value)}, the site closes them after "
+                f"{format_duration(maximum)}: write at most {maximum}"
             ),
         )
 
@@ -136,12 +145,12 @@
     bad='{"aim_stretch": 2, "class_stretch": [2]}',
     good='{"class_stretch": [2]}',
 )
-def _runtime_allowance_twice(context: CheckContext) -> Findings:
-    listed = context.group("settings", "family_info").get("class_stretch")
+def _runtime_allowance_twice(context: CheckContext) -> Violations:
+    listed = context.object_at("settings", "family_info").get("class_stretch")
     listed = listed if isinstance(listed, list) else []
-    for number, row in context.rows("services"):
-        own = figure(row.get("aim_stretch"), 0.0) or 0.0
-        other = figure(listed[number], 0.0) or 0.0 if number < len(listed) else 0.0
+    for number, row in context.entries("services"):
+        own = to_number(row.get("aim_stretch"), 0.0) or 0.0
+        other = to_number(listed[number], 0.0) or 0.0 if number < len(listed) else 0.0
         if own and other:
             yield (
                 ("settings", "services", number, "aim_stretch"),
--- a/weldquay/config/rules/whole.py
+++ b/weldquay/config/rules/whole.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules.base import CheckContext, Findings, Level, figure, rule
+from weldquay.config.rules.base import CheckContext, Level, Violations, rule, to_number
 
 REPORT_FIELDS = (
     "busy_reqs",
@@ -30,12 +30,12 @@
     bad='{"zone": 2, "zones": ["a", "b"]}',
     good='{"zone": 1, "zones": ["a", "b"]}',
 )
-def _index_out_of_range(context: CheckContext) -> Findings:
-    zones, zone = context.settings.get("zones"), context.number("settings", "zone", default=0.0) or 0.0
+def _index_out_of_range(context: CheckContext) -> Violations:
+    zones, zone = context.settings.get("zones"), context.number_at("settings", "zone", default=0.0) or 0.0
     if isinstance(zones, list) and zones and zone >= len(zones):
         yield ("settings", "zone"), f"zone is {zone:g}, but zones names {len(zones)}, counted from 0"
-    group = context.number("settings", "group_size", default=1.0) or 1.0
-    dispatcher_index = context.number("settings", "me", default=0.0) or 0.0
+    group = context.number_at("settings", "group_size", default=1.0) or 1.0
+    dispatcher_index = context.number_at("settings", "me", default=0.0) or 0.0
     if dispatcher_index >= group:
         yield ("settings", "me"), f"me is {dispatcher_index:g}, but group_size is {group:g}, counted from 0"
 
@@ -48,8 +48,8 @@
     bad='{"services": [{...}, {...}], "class_stretch": [2.0, 2.0, 1.75]}',
     good='{"services": [{...}, {...}], "class_stretch": [2.0, 1.75]}',
 )
-def _length_of_lists(context: CheckContext) -> Findings:
-    count, family = len(context.rows("services")), context.group("settings", "family_info")
+def _length_of_lists(context: CheckContext) -> Violations:
+    count, family = len(context.entries("services")), context.object_at("settings", "family_info")
     for name in ("class_stretch", "class_kind", "class_priority"):
         value = family.get(name)
         if isinstance(value, list) and value and len(value) != count:
@@ -64,10 +64,13 @@
     bad='{"shapes": ["fast"], "class_kind": [3]}',
     good='{"shapes": ["fast"], "class_kind": [0]}',
 )
-def _unknown_worker_kind(context: CheckContext) -> Findings:
-    shapes, kinds = context.settings.get("shapes"), context.group("settings", "family_info").get("class_kind")
+def _unknown_worker_kind(context: CheckContext) -> Violations:
+    shapes, kinds = (
+        context.settings.get("shapes"),
+        context.object_at("settings", "family_info").get("class_kind"),
+    )
     for number, kind in enumerate(kinds if isinstance(kinds, list) else []):
-        value = figure(kind, -1.0)
+        value = to_number(kind, -1.0)
         if isinstance(shapes, list) and value is not None and value >= max(1, len(shapes)):
             yield (
                 ("settings", "family_info", "class_kind", number),
@@ -83,8 +86,8 @@
     bad='{"via": "inline", "fields": []}',
     good='{"via": "inline", "fields": ["pending", "x0", "x1"]}',
 )
-def _reports_without_load(context: CheckContext) -> Findings:
-    info = context.group("settings", "load_info")
+def _reports_without_load(context: CheckContext) -> Violations:
+    info = context.object_at("settings", "load_info")
     names = info.get("fields")
     names = names if isinstance(names, list) else []
     if info.get("via", "off") != "off" and not {"x0", "busy_reqs"} & set(map(str, names)):
@@ -105,9 +108,9 @@
     bad='[{"name": "a", "worth": 0}]',
     good='[{"name": "a", "worth": 1}]',
 )
-def _no_priority_weight(context: CheckContext) -> Findings:
-    rows = context.rows("services")
-    if rows and all(figure(row.get("worth"), 1.0) == 0 for _, row in rows):
+def _no_priority_weight(context: CheckContext) -> Violations:
+    rows = context.entries("services")
+    if rows and all(to_number(row.get("worth"), 1.0) == 0 for _, row in rows):
         yield ("settings", "services"), "no class is worth anything: give each its worth against the others"
 
 
@@ -119,9 +122,9 @@
     bad='{"whole": 0.9, "worst_class": 0.5}',
     good='{"whole": 0.6, "worst_class": 0.2, "worst_tenant": 0.1, "worst_window": 0.1}',
 )
-def _sum_of_goal(context: CheckContext) -> Findings:
-    value = context.group("settings", "goal")
-    total = sum(figure(value, 0.0) or 0.0 for value in value.values())
+def _sum_of_goal(context: CheckContext) -> Violations:
+    value = context.object_at("settings", "goal")
+    total = sum(to_number(value, 0.0) or 0.0 for value in value.values())
     if total > 1.001:
         yield ("settings", "goal"), f"the weights add up to {total:g}: they may be 1 together"
 
@@ -134,8 +137,8 @@
     bad='{"retry_after": true, "max_retry_after_ns": 0}',
     good='{"retry_after": true, "max_retry_after_ns": 2000000000}',
 )
-def _rejections_without_wait(context: CheckContext) -> Findings:
-    caps = context.group("settings", "caps")
+def _rejections_without_wait(context: CheckContext) -> Violations:
+    caps = context.object_at("settings", "caps")
     if caps.get("retry_after") is True and not caps.get("max_retry_after_ns"):
         yield ("settings", "caps", "max_retry_after_ns"), "retry_after is true, but the longest wait is 0"
 
@@ -148,9 +151,9 @@
     bad='{"cold_share": 0.3, "warm_after_ns": 0}',
     good='{"cold_share": 0.34, "warm_after_ns": 9000000000}',
 )
-def _slow_start_without_end(context: CheckContext) -> Findings:
-    share = context.number("settings", "safety", "cold_share", default=1.0) or 1.0
-    if share < 1 and context.number("settings", "safety", "warm_after_ns") == 0:
+def _slow_start_without_end(context: CheckContext) -> Violations:
+    share = context.number_at("settings", "safety", "cold_share", default=1.0) or 1.0
+    if share < 1 and context.number_at("settings", "safety", "warm_after_ns") == 0:
         yield (
             ("settings", "safety", "warm_after_ns"),
             (f"a worker starts at {share:g} of its capacity, but is warm after no time: write how long"),
@@ -165,6 +168,6 @@
     bad='{"listen": "127.0.0.1:8443"}',
     good='{"listen": "127.0.0.1:8443", "mgmt": "127.0.0.1:8444"}',
 )
-def _no_operators_address(context: CheckContext) -> Findings:
+def _no_operators_address(context: CheckContext) -> Violations:
     if not context.document.get("mgmt"):
         yield ("mgmt",), "there is no address for operators' calls (unless GW_MGMT gives one)"
