--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -1,4 +1,4 @@
-"""WQ2xx: what a second run of a job would do, and whether the configuration lets it happen."""
+"""WQ2xx: job classes, and whether a job that must not run twice could be executed again."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 @rule(
     "WQ201",
     Level.SITE,
-    "A job that must never run twice is told to be repeatable",
+    "A job that must never run twice is marked as retryable",
     needs_catalogue=True,
-    why="The dispatcher sends a retryable or dedup job again after a time-out, an error or a reset, and a "
-    "second copy while the first runs. A second segment-commit writes its segment twice.",
+    why="The dispatcher retries a retryable or dedup job after a timeout, an error or a reset, and may send "
+    "a hedged request while the first attempt runs. A second segment-commit writes its segment twice.",
     bad='{"name": "segment-commit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _repeatable(context: CheckContext) -> Violations:
-    for number, row, kind in context.known_classes():
-        if kind.never_twice and row.get("effect") in ("retryable", "dedup"):
+def _unsafe_retries(context: CheckContext) -> Violations:
+    for index, entry, kind in context.known_classes():
+        if kind.never_twice and entry.get("effect") in ("retryable", "dedup"):
             yield (
-                ("settings", "services", number, "effect"),
-                (f"{row['name']} must never run twice, but its effect is {row['effect']}: write fragile"),
+                ("settings", "services", index, "effect"),
+                (f"{entry['name']} must never run twice, but its effect is {entry['effect']}: write fragile"),
             )
 
 
 @rule(
     "WQ202",
     Level.SITE,
-    "A class is nearly, but not exactly, a known kind of job",
+    "The name of a class is a misspelling of a known kind of job",
     needs_catalogue=True,
-    why="Calls name their class in the path. Another spelling is another class: its rules do not hold for "
-    "the calls that were meant, and a job that must not run twice may slip through.",
+    why="Requests name their class in the path, and another spelling is another class: its settings do not "
+    "apply to the requests that were meant, so that a job that must not run twice may be executed again.",
     bad='{"name": "segment_comit", "effect": "retryable"}',
     good='{"name": "segment-commit", "effect": "fragile"}',
 )
-def _misspelt_kind(context: CheckContext) -> Violations:
+def _misspelled_kind(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [kind.name for kind in context.catalogue.kinds]
-    for number, name, other in context.misspelled_names("services", known):
+    for index, name, correction in context.misspelled_names("services", known):
         yield (
-            ("settings", "services", number, "name"),
+            ("settings", "services", index, "name"),
             (
-                f"{name} is not {other}: calls for {other} would not find it; write {other}, or a name "
-                "that nobody takes for it"
+                f"{name} is not {correction}: requests for {correction} would not match it; write "
+                f"{correction}, or a name that cannot be confused with it"
             ),
         )
 
@@ -52,60 +52,60 @@
     "WQ203",
     Level.ALWAYS,
     "Two classes have the same name",
-    why="Which of the two rules holds would be chance; one of them may allow a second run.",
+    why="Which of the two applies would be undefined, and one of them may allow a second execution.",
     bad='[{"name": "a", "effect": "fragile"}, {"name": "a", "effect": "retryable"}]',
     good='[{"name": "a", "effect": "fragile"}, {"name": "b", "effect": "retryable"}]',
 )
 def _duplicate_name(context: CheckContext) -> Violations:
     seen: dict[str, int] = {}
-    for number, name in context.entry_names("services"):
+    for index, name in context.entry_names("services"):
         if name in seen:
             yield (
-                ("settings", "services", number, "name"),
-                (f"{name} is the name of class {seen[name]} as well: give each class one name"),
+                ("settings", "services", index, "name"),
+                (f"{name} is also the name of class {seen[name]}: give each class its own name"),
             )
-        seen.setdefault(name, number)
+        seen.setdefault(name, index)
 
 
 @rule(
     "WQ204",
     Level.SITE,
-    "Two classes differ only in spelling",
-    why="`Segment_Commit` beside `segment-commit` is an alias: one may run again, the other not.",
+    "The names of two classes differ only in spelling",
+    why="`Segment_Commit` beside `segment-commit` is an alias: one may be retried, the other not.",
     bad='["segment-commit", "Segment_Commit"]',
     good='["segment-commit"]',
 )
 def _alias(context: CheckContext) -> Violations:
     seen: dict[str, str] = {}
-    for number, name in context.entry_names("services"):
+    for index, name in context.entry_names("services"):
         other = seen.setdefault(fold(name), name)
         if other != name:
             yield (
-                ("settings", "services", number, "name"),
-                (f"{name} and {other} are the same name in two spellings: keep one"),
+                ("settings", "services", index, "name"),
+                (f"{name} and {other} are two spellings of the same name: keep one of them"),
             )
 
 
 @rule(
     "WQ205",
     Level.ADVICE,
-    "A class that the catalogue does not know",
+    "A class is not in the catalogue",
     needs_catalogue=True,
-    why="Nothing says whether it may run twice, nor how long its clients wait.",
+    why="Whether its jobs may run twice, and how long its clients wait, cannot be checked.",
     bad='{"name": "mystery", "effect": "retryable"}',
-    good="enter it in the catalogue",
+    good="add it to the catalogue",
 )
 def _unknown_kind(context: CheckContext) -> Violations:
     assert context.catalogue is not None
     known = [kind.name for kind in context.catalogue.kinds]
-    for number, row in context.entries("services"):
-        name = str(row.get("name", ""))
+    for index, entry in context.entries("services"):
+        name = str(entry.get("name", ""))
         if name and context.catalogue.kind(name) is None and not near(name, known):
             yield (
-                ("settings", "services", number, "name"),
+                ("settings", "services", index, "name"),
                 (
                     f"the catalogue of {context.catalogue.site} has no kind {name}: "
-                    f"it knows {', '.join(known)}"
+                    f"it contains {', '.join(known)}"
                 ),
             )
 
@@ -113,44 +113,51 @@
 @rule(
     "WQ206",
     Level.SITE,
-    "Clients are told to repeat jobs that must never run twice",
-    why="The dispatcher cannot know a client's repeat under a new id from another job.",
+    "Clients retry jobs that must never run twice",
+    why="A client's retry has a new id, so the dispatcher cannot distinguish it from another job.",
     bad='"clients": {"retries_fragile": true}',
     good='"clients": {"retries_fragile": false}',
 )
 def _client_retries(context: CheckContext) -> Violations:
-    rows = [row for _, row in context.entries("services")]
-    fragile = [str(row.get("name")) for row in rows if row.get("effect") == "fragile"]
+    entries = [entry for _, entry in context.entries("services")]
+    fragile = [str(entry.get("name")) for entry in entries if entry.get("effect") == "fragile"]
     if context.object_at("settings", "clients").get("retries_fragile") is True and fragile:
         yield (
             ("settings", "clients", "retries_fragile"),
-            (f"clients would send {', '.join(fragile)} again after a failure, for a second run: write false"),
+            (
+                f"clients would retry {', '.join(fragile)} after a failure, so that it may run twice: "
+                "write false"
+            ),
         )
 
 
 @rule(
     "WQ207",
     Level.SITE,
-    "Repeats are dropped for no time",
-    why="A dedup class is repeated within window_ns; at 0 it never is, and nobody sees why.",
+    "The deduplication window is 0",
+    why="Jobs of a dedup class are retried only within window_ns: with 0 there is never a retry, and "
+    "nothing reports that.",
     bad='{"effect": "dedup"}',
     good='{"effect": "dedup", "window_ns": 5000000000}',
 )
 def _deduplication_window(context: CheckContext) -> Violations:
-    for number, row in context.entries("services"):
-        if row.get("effect") == "dedup" and not row.get("window_ns"):
+    for index, entry in context.entries("services"):
+        if entry.get("effect") == "dedup" and not entry.get("window_ns"):
             yield (
-                ("settings", "services", number, "window_ns"),
-                (f"{row.get('name')} is dedup with a window of 0: write for how long workers drop repeats"),
+                ("settings", "services", index, "window_ns"),
+                (
+                    f"{entry.get('name')} is dedup with a window of 0: write for how long workers drop "
+                    "duplicates"
+                ),
             )
 
 
 @rule(
     "WQ208",
     Level.SITE,
-    "More attempts than the platform allows",
+    "max_attempts exceeds the platform's limit",
     needs_catalogue=True,
-    why="Attempts beyond the limit end without having been sent, and their calls fail.",
+    why="Attempts beyond the limit end without having been sent, and their requests fail.",
     bad='"max_attempts": 9',
     good='"max_attempts": 5',
 )
@@ -170,9 +177,9 @@
 @rule(
     "WQ209",
     Level.SITE,
-    "Second copies that the platform forbids",
+    "Hedged requests are enabled, but the platform forbids them",
     needs_catalogue=True,
-    why="Two attempts of a request at once break its rules there.",
+    why="Two concurrent attempts of a request violate the platform's rules.",
     bad='"may_duplicate": true',
     good='"may_duplicate": false',
 )
@@ -181,14 +188,14 @@
     if context.catalogue.limits.may_duplicate is False and (
         context.object_at("settings", "caps").get("may_duplicate") is True
     ):
-        yield ("settings", "caps", "may_duplicate"), "the platform allows no second copies: write false"
+        yield ("settings", "caps", "may_duplicate"), "the platform forbids hedged requests: write false"
 
 
 @rule(
     "WQ210",
     Level.ADVICE,
-    "Second copies without a second attempt",
-    why="A second copy is an attempt: with max_attempts 1 there is none, whatever may_duplicate says.",
+    "Hedged requests are enabled, but only one attempt is allowed",
+    why="A hedged request is a second attempt: with max_attempts 1 none is sent, whatever may_duplicate is.",
     bad='{"may_duplicate": true, "max_attempts": 1}',
     good='{"may_duplicate": true, "max_attempts": 2}',
 )
@@ -197,5 +204,8 @@
     if caps.get("may_duplicate") is True and caps.get("max_attempts", 1) == 1:
         yield (
             ("settings", "caps", "may_duplicate"),
-            ("may_duplicate is true, but max_attempts 1 leaves no second copy: write false, or 2 attempts"),
+            (
+                "may_duplicate is true, but max_attempts 1 allows no hedged request: write false, or "
+                "max_attempts 2"
+            ),
         )
