--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -1,4 +1,4 @@
-"""WQ0xx: the file as such.  WQ1xx: keys, their types and ranges, from the definition."""
+"""WQ0xx: reading of the file.  WQ1xx: keys, their types and ranges, as `schema.py` defines them."""
 
 from __future__ import annotations
 
@@ -12,87 +12,89 @@
 from weldquay.config.reading import Steps
 from weldquay.config.rules.base import CheckContext, Level, Rule, Violations, register_rule, rule
 
-for _number, _title, _why, _bad, _good in (
+for _rule_id, _title, _why, _bad, _good in (
     (
         "WQ001",
         "The file cannot be read",
-        "It is absent, a folder, a FIFO, too large, or not permitted.",
-        "a folder",
+        "It does not exist, is a directory or FIFO, is too large, or permission is denied.",
+        "a directory",
         "a regular file of at most 16 MiB",
     ),
     (
         "WQ002",
-        "The file is not one JSON object",
-        "A reader that guesses would run with half of a file: text "
-        "cut short, text behind the end, a key twice, NaN, bytes that are no UTF-8, nesting beyond 64 "
-        "levels.",
+        "The file is not a single JSON object",
+        "A lenient parser would run with part of the file. Rejected are truncated text, text after the end, "
+        "duplicate keys, NaN and infinities, bytes that are not UTF-8, and nesting beyond 64 levels.",
         '{"name": "a", "name": "b"}',
         '{"name": "a"}',
     ),
 ):
-    register_rule(Rule(_number, Level.ALWAYS, _title, _why, _bad, _good, None))
+    register_rule(Rule(_rule_id, Level.ALWAYS, _title, _why, _bad, _good, None))
 
 
 @rule(
     "WQ101",
     Level.ALWAYS,
-    "A key is missing",
-    why="The program cannot guess it; half of a configuration would run with wrong figures.",
+    "A required key is missing",
+    why="There is no default for it: the program would run with values that nobody chose.",
     bad='{"services": [{"name": "a"}]}',
     good='{"services": [{"name": "a", "aim_ns": 250000000, ...}]}',
 )
 def _missing_key(context: CheckContext) -> Violations:
-    for steps, group, value in _groups(context):
-        for field in msgspec.structs.fields(group):
+    for steps, struct, values in _objects(context):
+        for field in msgspec.structs.fields(struct):
             key = field.encode_name
-            if field.required and value.get(key) is None and not _from_variable(steps, key):
+            if field.required and values.get(key) is None and not _from_variable(steps, key):
                 yield (*steps, key), f"{key} is missing: write {schema.right(field.type)}"
 
 
-def _from_variable(steps: Steps, name: str) -> bool:
-    """True for keys that a GW_* variable may give in place of the file: the program looks there."""
-    return not steps and name in ("name", "listen", "discovery")
+def _from_variable(steps: Steps, key: str) -> bool:
+    """True for keys that may be absent from the file because a GW_* variable can provide them."""
+    return not steps and key in ("name", "listen", "discovery")
 
 
 @rule(
     "WQ102",
     Level.ALWAYS,
-    "A value is of the wrong type or out of range",
-    why="A figure that the program cannot use stops its start, or would make it break a rule later.",
+    "A value has the wrong type or is out of range",
+    why="A value that the program cannot use prevents its start, or would make it violate a rule later.",
     bad='"max_attempts": "5"',
     good='"max_attempts": 5',
 )
 def _invalid_value(context: CheckContext) -> Violations:
-    for steps, group, value in _groups(context):
-        for name, kind in schema.keys(group).items():
-            value_at_key = value.get(name)
-            if value_at_key is None or name in ("known", "origin"):
+    for steps, struct, values in _objects(context):
+        for key, annotation in schema.keys(struct).items():
+            value = values.get(key)
+            if value is None or key in ("known", "origin"):
                 continue
-            if schema.struct_of(kind) is not None:
-                want: type = list if "list" in str(kind) else dict
-                rows = value_at_key if isinstance(value_at_key, list) else []
-                if not isinstance(value_at_key, want) or any(not isinstance(row, dict) for row in rows):
-                    yield (*steps, name), f"{name} is {schema.json_text(value_at_key)}: write {_shape(want)}"
+            if schema.struct_of(annotation) is not None:
+                container: type = list if "list" in str(annotation) else dict
+                entries = value if isinstance(value, list) else []
+                if not isinstance(value, container) or any(not isinstance(entry, dict) for entry in entries):
+                    yield (
+                        (*steps, key),
+                        f"{key} is {schema.json_text(value)}: write {_describe_container(container)}",
+                    )
                     continue
-                if not (want is list and not value_at_key):
+                if not (container is list and not value):
                     continue
-            if not is_valid_value(value_at_key, kind):
+            if not is_valid_value(value, annotation):
                 yield (
-                    (*steps, name),
-                    f"{name} is {schema.json_text(value_at_key)}: write {schema.right(kind)}",
+                    (*steps, key),
+                    f"{key} is {schema.json_text(value)}: write {schema.right(annotation)}",
                 )
 
 
-def _shape(kind: type) -> str:
-    return "a list of objects" if kind is list else "an object"
+def _describe_container(container: type) -> str:
+    return "a list of objects" if container is list else "an object"
 
 
-def is_valid_value(value: Any, kind: Any) -> bool:
-    """True where a value may stand for a key; a whole number may be written 5.0."""
-    if isinstance(value, float) and value.is_integer() and abs(value) < 2**53 and "int" in str(kind):
+def is_valid_value(value: Any, annotation: Any) -> bool:
+    """True if the value is valid for a key of this type; integers may be written as 5.0."""
+    if isinstance(value, float) and value.is_integer() and abs(value) < 2**53 and "int" in str(annotation):
         value = int(value)
     try:
-        msgspec.convert(value, kind)
+        msgspec.convert(value, annotation)
     except msgspec.ValidationError:
         return False
     return True
@@ -102,41 +104,42 @@
     "WQ103",
     Level.ADVICE,
     "An unknown key",
-    why="The program disregards it. If it is a slip of the pen, the default holds in its place.",
+    why="The program ignores it. If it is misspelled, the default of the intended key applies.",
     bad='"max_atempts": 3',
     good='"max_attempts": 3',
 )
 def _unknown_key(context: CheckContext) -> Violations:
-    for steps, group, value in _groups(context):
-        known = list(schema.keys(group))
-        for name in value:
-            if name not in known:
-                similar = difflib.get_close_matches(name, known, 1, 0.6)
+    for steps, struct, values in _objects(context):
+        known = list(schema.keys(struct))
+        for key in values:
+            if key not in known:
+                similar = difflib.get_close_matches(key, known, 1, 0.6)
                 hint = f"; did you mean {similar[0]}?" if similar else ""
-                yield (*steps, name), f"{name} is no key here{hint}"
+                yield (*steps, key), f"{key} is not a known key here{hint}"
 
 
-def _groups(context: CheckContext) -> list[tuple[Steps, type[Struct], dict[str, Any]]]:
-    """All objects of a document that the definition knows, with their places."""
-    groups: list[tuple[Steps, type[Struct], dict[str, Any]]] = []
-    _collect((), schema.Document, context.document, groups)
-    return groups
+def _objects(context: CheckContext) -> list[tuple[Steps, type[Struct], dict[str, Any]]]:
+    """Return all objects of a document that the schema defines, with their paths and types."""
+    objects: list[tuple[Steps, type[Struct], dict[str, Any]]] = []
+    _collect((), schema.Document, context.document, objects)
+    return objects
 
 
 def _collect(
     steps: Steps,
-    group: type[Struct],
-    value: dict[str, Any],
-    groups: list[tuple[Steps, type[Struct], dict[str, Any]]],
+    struct: type[Struct],
+    values: dict[str, Any],
+    objects: list[tuple[Steps, type[Struct], dict[str, Any]]],
 ) -> None:
-    groups.append((steps, group, value))
-    for name, kind in schema.keys(group).items():
-        inner, below = schema.struct_of(kind), value.get(name)
-        if inner is None:
+    """Append an object and, recursively, the objects in it."""
+    objects.append((steps, struct, values))
+    for key, annotation in schema.keys(struct).items():
+        inner_struct, inner = schema.struct_of(annotation), values.get(key)
+        if inner_struct is None:
             continue
-        if isinstance(below, dict):
-            _collect((*steps, name), inner, below, groups)
-        elif isinstance(below, list):
-            for number, row in enumerate(below):
-                if isinstance(row, dict):
-                    _collect((*steps, name, number), inner, row, groups)
+        if isinstance(inner, dict):
+            _collect((*steps, key), inner_struct, inner, objects)
+        elif isinstance(inner, list):
+            for index, entry in enumerate(inner):
+                if isinstance(entry, dict):
+                    _collect((*steps, key, index), inner_struct, entry, objects)
