--- a/weldquay/config/rules/keys.py
+++ b/weldquay/config/rules/keys.py
@@ -103,7 +103,7 @@
 @rule(
     "WQ103",
     Level.ADVICE,
-    "An unknown key",
+    "A key is unknown",
     why="The program ignores it. If it is misspelled, the default of the intended key applies.",
     bad='"max_atempts": 3',
     good='"max_attempts": 3',
