--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -86,7 +86,7 @@
     # times
     (f"{CLASS}0__aim_ns", 9 * S, "WQ301", "its clients give up after 5 s"),
     (f"{CLASS}0__give_up_ns", 20 * S, "WQ302", "its clients give up after 5 s"),
-    (f"{CLASS}2__give_up_ns", 16 * S, "WQ302", "batch-import would be waited for 16 s"),
+    (f"{CLASS}2__give_up_ns", 16 * S, "WQ302", "the timeout of batch-import is 16 s"),
     (f"{CLASS}3__give_up_ns", 8 * S, "WQ302", "segment-commit"),
     ("settings__caps__connect_timeout_ns", 6 * S, "WQ304", "a client gives up after 5 s"),
     ("settings__caps__conn_idle_ns", 600 * S, "WQ306", "the site closes them after 60 s"),
@@ -110,7 +110,12 @@
     ("settings__safety__overload_for_ns", S // 2, "WQ501", "too short a time"),
     ("settings__safety__stop_sending_within_ns", S, "WQ501", "after the allowed delay"),
     ("settings__safety__ask_within_ns", 60 * S, "WQ501", "too seldom"),
-    ("settings__safety__warm_after_ns", 0, "WQ708", "warm after no time"),
+    (
+        "settings__safety__warm_after_ns",
+        0,
+        "WQ708",
+        "starts with 0.34 of its capacity, but warm_after_ns is 0",
+    ),
     # addresses and room
     ("listen", "127.0.0.1:99999", "WQ601", "at most 65535"),
     ("listen", "here", "WQ102", "HOST:PORT"),
@@ -143,10 +148,10 @@
     ("settings__load_info__via", "pigeon", "WQ102", "inline, on_probe or off"),
     ("room", {"slip": -1}, "WQ102", "slip is -1"),
     # contradictory as a whole
-    ("settings__zone", 2, "WQ701", "zones names 1"),
+    ("settings__zone", 2, "WQ701", "zones has length 1"),
     ("settings__me", 3, "WQ701", "group_size is 3"),
-    ("settings__family_info__class_stretch", [2.0, 2.0], "WQ702", "2 figures for 4 classes"),
-    ("settings__family_info__class_kind", [0, 0, 0, 7], "WQ703", "shapes names 3"),
+    ("settings__family_info__class_stretch", [2.0, 2.0], "WQ702", "2 entries for 4 classes"),
+    ("settings__family_info__class_kind", [0, 0, 0, 7], "WQ703", "shapes has length 3"),
     ("settings__goal", {"whole": 0.9, "worst_class": 0.5}, "WQ706", "add up to"),
 ]
 
