--- a/weldquay/config/rules/__init__.py
+++ b/weldquay/config/rules/__init__.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from weldquay.config.rules import customers, jobs, keys, limits, times, whole
+from weldquay.config.rules import consistency, customers, jobs, keys, limits, times
 from weldquay.config.rules.base import RULES, CheckContext, Finding, Level, Rule
 
 __all__ = [
@@ -16,10 +16,10 @@
     "Finding",
     "Level",
     "Rule",
+    "consistency",
     "customers",
     "jobs",
     "keys",
     "limits",
     "times",
-    "whole",
 ]
