--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules for a request's attempts and its answer, each on real sockets."""
+"""Attempts, retries, cancellation and the response of a request, between real sockets."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 def test_request_reaches_worker_unchanged_and_returns_its_result() -> None:
-    """Method, path, query, body and id reach the worker; its result is the response's body."""
+    """Method, path, query, body and id reach the worker; the body of the response is its result."""
 
     async def scenario() -> None:
         async with site() as here:
-            answer = await here.post("id-7")
-            assert (answer.start.split()[1], answer.body) == ("200", b"TEXT")
+            response = await here.post("id-7")
+            assert (response.start.split()[1], response.body) == ("200", b"TEXT")
             (seen,) = [message for message in here.workers[0].seen if message.method == "POST"]
             assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
@@ -70,20 +70,20 @@
         ("/lookup", send_no_response, 200, "503"),
     ],
 )
-def test_silent_worker_does_not_delay_answer_past_deadline(
+def test_silent_worker_does_not_delay_response_past_deadline(
     path: str, script: Script, left_ms: int, status: str
 ) -> None:
-    """There is one answer by the deadline; a non-idempotent job that may have run fails, others are rejected.
+    """One response is sent by the deadline: a failure if a non-idempotent job may have run, or a rejection.
 
-    The worker gets a DELETE, even before its 202: that may be under way, and closing the connection alone
-    would leave the job running.
+    The worker gets a DELETE even if no 202 has arrived: the 202 may be in flight, and closing the connection
+    alone would leave the job running.
     """
 
     async def scenario() -> None:
         async with site() as here:
             here.workers[0].script = script
-            answer = await here.post(path=path, left_ms=left_ms)  # site() checks that it was not overdue
-            assert answer.start.split()[1] == status
+            response = await here.post(path=path, left_ms=left_ms)  # site() asserts that it was not late
+            assert response.start.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
     play(scenario())
@@ -100,20 +100,23 @@
     ],
 )
 def test_only_safe_retries_are_sent(path: str, script: Script, posts: int) -> None:
-    """After a reset the job may have run; after an overload it has not; an invalid job is not retried."""
+    """A non-idempotent job is retried only if it has not run.
+
+    Before a reset it may have run, before an overload response it has not.  An invalid job is never retried.
+    """
 
     async def scenario() -> None:
         async with site(workers=2) as here:
 
-            async def once(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def fail_once(message: Message, writer: asyncio.StreamWriter) -> None:
                 for worker in here.workers:
                     worker.script = None
                 await script(message, writer)
 
             for worker in here.workers:
-                worker.script = once
-            answer = await here.post(path=path)
-            assert answer.start.split()[1] == ("200" if posts == 2 else "502")
+                worker.script = fail_once
+            response = await here.post(path=path)
+            assert response.start.split()[1] == ("200" if posts == 2 else "502")
             assert sum(worker.methods().count("POST") for worker in here.workers) == posts
 
     play(scenario())
@@ -126,17 +129,17 @@
 
 @contextmanager
 def unreachable_address() -> Iterator[str]:
-    """The address of an unreachable machine: connections to it neither succeed nor fail."""
+    """Yield the address of an unreachable machine: connections to it neither succeed nor fail."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
-        sock.listen(0)  # one connection fills its queue; the system leaves further ones unanswered
+        sock.listen(0)  # one connection fills the backlog; the kernel does not respond to further ones
         with socket.create_connection(sock.getsockname()):
             yield "{}:{}".format(*sock.getsockname())
 
 
-@pytest.mark.parametrize("caps", [{}, {"connect_timeout_ns": 50_000_000}], ids=["refused", "cut off"])
+@pytest.mark.parametrize("caps", [{}, {"connect_timeout_ns": 50_000_000}], ids=["refused", "timed out"])
 def test_failed_connection_counts_as_not_executed(caps: dict[str, int]) -> None:
-    """A non-idempotent job is retried at another worker after a refused connection and a connect timeout."""
+    """A non-idempotent job is retried on another worker after a refused connection or a connect timeout."""
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, **caps}) as here:
@@ -147,8 +150,8 @@
                     await until(lambda: here.program.discovery.revision == here.discovery.revision)
                 else:
                     here.workers[0].stop()
-                answers = [await here.post(f"c{number}", "/import") for number in range(4)]
-            assert {answer.start.split()[1] for answer in answers} == {"200"}
+                responses = [await here.post(f"c{number}", "/import") for number in range(4)]
+            assert {response.start.split()[1] for response in responses} == {"200"}
             assert here.workers[1].methods() == ["POST"] * 4
             assert here.program.counters.counts["worker_connections_failed"] >= 1
 
@@ -156,37 +159,37 @@
 
 
 def test_rejection_has_retry_after() -> None:
-    """If all workers are full, the 503 has a Retry-After within the limit that clients honour."""
+    """If all workers are overloaded, the 503 has a Retry-After within the limit that clients honour."""
 
     async def scenario() -> None:
         async with site() as here:
             here.workers[0].script = reject_as_overloaded
-            answer = await here.post(left_ms=300)
-            assert answer.start.split()[1] == "503"
-            assert 0 < float(answer.headers["retry-after"]) <= 2
+            response = await here.post(left_ms=300)
+            assert response.start.split()[1] == "503"
+            assert 0 < float(response.headers["retry-after"]) <= 2
 
     play(scenario())
 
 
-def test_callback_counts_once_and_only_from_worker_of_attempt() -> None:
-    """They may precede the 202, repeat, and come from anyone: each has a response, one ends the attempt."""
+def test_attempt_is_ended_by_first_callback_of_its_worker() -> None:
+    """Callbacks may precede the 202, be repeated, and come from any sender; each gets a response."""
 
     async def scenario() -> None:
         async with site() as here:
-            worker, reported = here.workers[0], asyncio.Event()
-
-            async def early(message: Message, writer: asyncio.StreamWriter) -> None:
-                stranger = Scripted("stranger", here.address)
-                for sender, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
-                    call = message.headers["x-correlation-id"]
-                    answer = await sender.tell(call, state="done", result=result)
-                    assert answer.start.split()[1] == "204"
+            worker, accepted = here.workers[0], asyncio.Event()
+
+            async def report_before_accepting(message: Message, writer: asyncio.StreamWriter) -> None:
+                unrelated_worker = Scripted("stranger", here.address)
+                for sender, result in ((unrelated_worker, "forged"), (worker, "mine"), (worker, "mine")):
+                    request_id = message.headers["x-correlation-id"]
+                    response = await sender.tell(request_id, state="done", result=result)
+                    assert response.start.split()[1] == "204"
                 writer.write(ACCEPTED)
-                reported.set()
+                accepted.set()
 
-            worker.script = early
+            worker.script = report_before_accepting
             assert (await here.post()).body == b"mine"
-            await reported.wait()
+            await accepted.wait()
             assert here.program.counters.counts["attempts_ok"] == 1
             assert here.program.counters.counts["callbacks_unmatched"] == 2
 
@@ -194,7 +197,7 @@
 
 
 def test_client_disconnection_cancels_attempts() -> None:
-    """The worker gets a DELETE."""
+    """After the client has disconnected, the worker of its request gets a DELETE."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -210,55 +213,56 @@
     play(scenario())
 
 
-@pytest.mark.parametrize("begun", [False, True])
+@pytest.mark.parametrize("has_started", [False, True])
 def test_silent_connection_does_not_block_idempotent_job(
-    begun: bool, monkeypatch: pytest.MonkeyPatch
+    has_started: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An idempotent job is retried before its deadline, unless the worker has reported its start."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
-            first: list[Scripted] = []
+            silent_workers: list[Scripted] = []
 
-            async def silent(message: Message, _writer: asyncio.StreamWriter) -> None:
+            async def stop_responding(message: Message, _writer: asyncio.StreamWriter) -> None:
                 worker = next(candidate for candidate in here.workers if message in candidate.seen)
-                first.append(worker)
+                silent_workers.append(worker)
                 for other in here.workers:
                     other.script = None
-                call = message.headers["x-correlation-id"]
-                if begun:
-                    await worker.tell(call, state="started")
+                request_id = message.headers["x-correlation-id"]
+                if has_started:
+                    await worker.tell(request_id, state="started")
                     await until(lambda: here.program.counters.counts["worker_responses_missing"])
-                    await worker.tell(call, state="done", result="late")
+                    await worker.tell(request_id, state="done", result="late")
                 await asyncio.sleep(3600)
 
             for worker in here.workers:
-                worker.script = silent
-            assert (await here.post()).body == (b"late" if begun else b"TEXT")
-            reported = ["POST"] if begun else ["POST", "DELETE"]
-            await until(lambda: first[0].methods()[:2] == reported)  # it may be drawn again
+                worker.script = stop_responding
+            assert (await here.post()).body == (b"late" if has_started else b"TEXT")
+            expected = ["POST"] if has_started else ["POST", "DELETE"]
+            # The retry may be sent to the same worker.
+            await until(lambda: silent_workers[0].methods()[:2] == expected)
 
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
     play(scenario())
 
 
-def test_after_stall_decision_step_answers_before_overdue_timer() -> None:
-    """Both timers are due in one turn of the event loop: the decision step must run first."""
+def test_after_stall_decision_step_runs_before_overdue_timer() -> None:
+    """Both timers are due in the same iteration of the event loop: the decision step must run first."""
 
     async def scenario() -> None:
         async with site() as here:
             here.workers[0].script = here.workers[0].accept
-            answer = asyncio.create_task(here.post(left_ms=300))
+            response = asyncio.create_task(here.post(left_ms=300))
             await here.workers[0].until("POST")
             stall(0.5)
-            assert (await answer).start.split()[1] == "503"
+            assert (await response).start.split()[1] == "503"
             assert not here.program.counters.counts["requests_past_deadline"]
 
     play(scenario())
 
 
 def test_draining_worker_gets_no_new_attempts() -> None:
-    """From the watch event of its drain on."""
+    """Once the watch event of its drain has arrived, a worker gets no attempts."""
 
     async def scenario() -> None:
         async with site(workers=2) as here:
@@ -273,44 +277,46 @@
 
 @pytest.mark.parametrize("phase", ["DRAINING", None])
 def test_no_attempt_starts_on_connection_established_after_drain(phase: str | None) -> None:
-    """The worker's state counts at the first byte, not at the decision.
+    """The worker's state is checked when the first byte is sent, not only at the decision.
 
-    phase None: a complete list that does not contain the worker.
+    With phase None, a complete list without the worker arrives instead of its drain.
     """
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as here:
-            connections, gate = here.program.workers.connections, asyncio.Event()
-            connect, first = connections.connect, here.workers[0]
+            connections, list_received = here.program.workers.connections, asyncio.Event()
+            connect, departing_worker = connections.connect, here.workers[0]
 
-            async def slow(worker: WorkerEndpoint) -> WorkerConnection:
-                if worker.endpoint.id == first.name:
-                    await gate.wait()
+            async def connect_after_list(worker: WorkerEndpoint) -> WorkerConnection:
+                if worker.endpoint.id == departing_worker.name:
+                    await list_received.wait()
                 return await connect(worker)
 
-            connections.connect = slow  # type: ignore[method-assign]
-            answers = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
+            connections.connect = connect_after_list  # type: ignore[method-assign]
+            responses = [asyncio.create_task(here.post(f"c{number}", "/import")) for number in range(8)]
             attempts = here.program.coordinator.attempts
-            await until(lambda: any(worker_id == first.name for _, worker_id in attempts.by_worker))
+            await until(
+                lambda: any(worker_id == departing_worker.name for _, worker_id in attempts.by_worker)
+            )
             if phase is None:
-                del here.discovery.members[first.name]
+                del here.discovery.members[departing_worker.name]
                 await here.discovery.tell()
             else:
-                await here.discovery.change(first, phase)
+                await here.discovery.change(departing_worker, phase)
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
-            gate.set()
-            assert {(await answer).start.split()[1] for answer in answers} == {"200"}
-            assert first.methods() == []
+            list_received.set()
+            assert {(await response).start.split()[1] for response in responses} == {"200"}
+            assert departing_worker.methods() == []
 
     play(scenario())
 
 
 def test_departed_workers_are_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Beyond a limit, departed workers without jobs are discarded everywhere; bans stay."""
+    """Beyond a limit, departed workers without jobs are removed from all tables; their bans are kept."""
 
     async def scenario() -> None:
         async with site() as here:
-            coordinator, first = here.program.coordinator, here.workers[0]
+            coordinator, remaining_worker = here.program.coordinator, here.workers[0]
             await until(lambda: coordinator.is_endpoint_list_confirmed)
             for number in range(30):
                 here.discovery.members[f"old{number}"] = {
@@ -318,16 +324,16 @@
                     "id": f"old{number}",
                     "phase": "SERVING",
                 }
-                await here.discovery.change(first, "SERVING")
+                await here.discovery.change(remaining_worker, "SERVING")
                 await until(lambda: here.program.discovery.revision == here.discovery.revision)
                 if number == 0:
                     assert await here.operate("match-workers/old0/offline") == 200
                 del here.discovery.members[f"old{number}"]
-            await here.discovery.change(first, "SERVING")
+            await here.discovery.change(remaining_worker, "SERVING")
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
             numbers = coordinator.endpoint_list.worker_numbers
-            known = here.program.workers.workers, numbers, coordinator.dispatcher.workers
-            assert all(len(table) <= 8 for table in known) and coordinator.is_known_worker("old0")
+            tables = here.program.workers.workers, numbers, coordinator.dispatcher.workers
+            assert all(len(table) <= 8 for table in tables) and coordinator.is_known_worker("old0")
             assert (await here.post()).body == b"TEXT"
 
     monkeypatch.setattr(worker_table, "MAX_DEPARTED", 2)
@@ -336,7 +342,7 @@
 
 
 def test_connection_closed_by_worker_is_not_reused() -> None:
-    """A job written to it would count as possibly executed."""
+    """A job that is written to a closed connection would count as possibly executed."""
 
     async def scenario() -> None:
         async with site() as here:
@@ -351,22 +357,22 @@
 
 
 def test_non_idempotent_job_uses_new_connection() -> None:
-    """An idle connection may be reset by the next request, and whether that ran is unknown."""
+    """An idle connection may be reset by the next request, and whether its job ran is then unknown."""
 
     async def scenario() -> None:
         async with site() as here:
             worker = here.workers[0]
-            used = set[asyncio.StreamWriter]()
+            used_writers = set[asyncio.StreamWriter]()
 
-            async def once(message: Message, writer: asyncio.StreamWriter) -> None:
-                if writer in used:
+            async def reset_reused_connection(message: Message, writer: asyncio.StreamWriter) -> None:
+                if writer in used_writers:
                     writer.transport.abort()
                     return
-                used.add(writer)
+                used_writers.add(writer)
                 writer.write(ACCEPTED)
                 await worker.tell(message.headers["x-correlation-id"], state="done", result="ok")
 
-            worker.script = once
+            worker.script = reset_reused_connection
             for number in range(6):
                 assert (await here.post(f"c{number}", "/import")).body == b"ok"
             assert (
@@ -376,18 +382,18 @@
     play(scenario())
 
 
-def test_worker_has_one_attempt_of_request_at_a_time() -> None:
-    """After a reset the first attempt is cancelled before the second is sent to the same worker."""
+def test_worker_has_at_most_one_attempt_of_request_at_a_time() -> None:
+    """After a reset, the first attempt is cancelled before a retry is sent to the same worker."""
 
     async def scenario() -> None:
         async with site() as here:
             worker = here.workers[0]
 
-            async def broken(_message: Message, writer: asyncio.StreamWriter) -> None:
+            async def reset_once(_message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 writer.transport.abort()
 
-            worker.script = broken
+            worker.script = reset_once
             assert (await here.post()).body == b"TEXT"
             assert worker.methods() == ["POST", "DELETE", "POST"]
 
