--- a/weldquay/config/rules/consistency.py
+++ b/weldquay/config/rules/consistency.py
@@ -150,7 +150,7 @@
 @rule(
     "WQ707",
     Level.ADVICE,
-    "Rejections have a Retry-After of 0",
+    "Rejections have no Retry-After, although it is enabled",
     why="Clients that are not told how long to wait retry at once, and are rejected again.",
     bad='{"retry_after": true, "max_retry_after_ns": 0}',
     good='{"retry_after": true, "max_retry_after_ns": 2000000000}',
