--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -336,7 +336,7 @@
 
 def format_rule(rule: Rule) -> str:
     """Format the explanation of a rule."""
-    needs = "\nThe rule needs a catalogue (--catalogue)." if rule.facts else ""
+    needs = "\nThe rule needs a catalogue (--catalogue)." if rule.needs_catalogue else ""
     return (
         f"{rule.id}: {rule.title}\n\n{rule.why}\n\nIt is {LEVEL_DESCRIPTIONS[rule.level]}.{needs}\n\n"
         f"Bad:   {rule.bad}\nGood:  {rule.good}"
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -55,12 +55,12 @@
 
 def applicable_rules(catalogue: Catalogue | None) -> list[Rule]:
     """Return the rules that apply with this catalogue, or without one, ordered by id."""
-    return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.facts]
+    return [rule for _, rule in sorted(RULES.items()) if catalogue is not None or not rule.needs_catalogue]
 
 
 def skipped_rules(catalogue: Catalogue | None) -> list[Rule]:
     """Return the rules that are skipped because they need a catalogue."""
-    return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.facts]
+    return [rule for _, rule in sorted(RULES.items()) if catalogue is None and rule.needs_catalogue]
 
 
 def _type_name(value: object) -> str:
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -19,7 +19,7 @@
 
 from weldquay.config import catalogue, schema
 from weldquay.config.catalogue import Catalogue, find_similar_name, normalize_name
-from weldquay.config.rules.limits import WORKERS_FRACTION
+from weldquay.config.rules.limits import WORKER_DESCRIPTOR_FRACTION
 from weldquay.errors import OperatorError
 from weldquay.limits import BASE_MEMORY_MB, CONNECTION_BYTES, RESERVED_DESCRIPTORS
 
@@ -224,7 +224,9 @@
     """Return the limits for the requests open at the expected rate, and the number of those requests."""
     duration_s = min(MAX_REQUEST_DURATION_S, max(entry["give_up_ns"] for entry in services) / NS_PER_S)
     open_requests = max(32, math.ceil(description.calls_per_s * duration_s * HEADROOM))
-    sockets = max(MIN_SOCKETS, math.ceil((open_requests + RESERVED_DESCRIPTORS) / (1 - WORKERS_FRACTION)) + 1)
+    sockets = max(
+        MIN_SOCKETS, math.ceil((open_requests + RESERVED_DESCRIPTORS) / (1 - WORKER_DESCRIPTOR_FRACTION)) + 1
+    )
     memory = max(MIN_MEMORY_MB, math.ceil(BASE_MEMORY_MB + open_requests * CONNECTION_BYTES / 2**20) + 1)
     reason = f"{description.calls_per_s:g} calls a second that stay {duration_s:g} s, {HEADROOM:g} times over"
     origin["limits"] = origin["settings.caps.max_open"] = reason
