--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from weldquay.lab.scale.counts import Tally, side_of
+from weldquay.lab.scale.counts import MessageCounter, peer_side
 from weldquay.lab.scale.discovery import ChangingDiscovery
 from weldquay.lab.scale.hollow import HollowDispatcher
 from weldquay.lab.scale.points import Point
@@ -46,13 +46,13 @@
     """All stand-in workers."""
 
     def __init__(self) -> None:
-        self.tally, self.callers = Tally(), list[str]()
+        self.counter, self.callers = MessageCounter(), list[str]()
         self.fleet: list[CountingWorker] = []
 
     async def start(self, told: dict[str, Any]) -> dict[str, Any]:
         """Listen; the addresses by name."""
         names = [f"w-{number}" for number in range(told["workers"])]
-        self.fleet = [CountingWorker(name, self.callers, told["real"], self.tally) for name in names]
+        self.fleet = [CountingWorker(name, self.callers, told["real"], self.counter) for name in names]
         for worker in self.fleet:
             await worker.start()
         return {"workers": {worker.spec.name: worker.address for worker in self.fleet}}
@@ -64,9 +64,9 @@
 
     def count(self) -> dict[str, Any]:
         """Counts, and the connections that are open now."""
-        held = Counter(side_of(writer) for worker in self.fleet for writer in worker.writers)
+        held = Counter(peer_side(writer) for worker in self.fleet for writer in worker.writers)
         unheard = sum(worker.unanswered_callbacks for worker in self.fleet)
-        return {**self.tally, "open_real": held["real"], "open_hollow": held["hollow"], "unheard": unheard}
+        return {**self.counter, "open_real": held["real"], "open_hollow": held["hollow"], "unheard": unheard}
 
     async def stop(self) -> None:
         """Close all."""
@@ -78,8 +78,8 @@
     """Discovery with its changes."""
 
     def __init__(self) -> None:
-        self.tally = Tally()
-        self.discovery = ChangingDiscovery(self.tally)
+        self.counter = MessageCounter()
+        self.discovery = ChangingDiscovery(self.counter)
         self.changing: asyncio.Task[None] | None = None
 
     async def start(self, told: dict[str, Any]) -> dict[str, Any]:
@@ -92,13 +92,13 @@
     async def go(self, told: dict[str, Any]) -> dict[str, Any]:
         """Begin to change the list."""
         if told["point"]["changes"]:
-            work = self.discovery.play(told["point"]["changes"], told["point"]["seed"])
+            work = self.discovery.run_changes(told["point"]["changes"], told["point"]["seed"])
             self.changing = asyncio.get_running_loop().create_task(work)
         return {}
 
     def count(self) -> dict[str, Any]:
         """Counts, and the watches that are open now."""
-        return {**self.tally, "open": len(self.discovery.writers)}
+        return {**self.counter, "open": len(self.discovery.writers)}
 
     async def stop(self) -> None:
         """Close all."""
@@ -111,14 +111,14 @@
     """The hollow dispatchers."""
 
     def __init__(self) -> None:
-        self.tally = Tally()
+        self.counter = MessageCounter()
         self.fleet: list[HollowDispatcher] = []
 
     async def start(self, told: dict[str, Any]) -> dict[str, Any]:
         """Listen and watch; the addresses for callbacks."""
         point = msgspec.convert(told["point"], Point)
         for number in range(point.real, point.dispatchers):
-            one = HollowDispatcher(number, point, told["discovery"], self.tally)
+            one = HollowDispatcher(number, point, told["discovery"], self.counter)
             await one.start()
             one.run(one.watch())
             self.fleet.append(one)
@@ -133,7 +133,7 @@
 
     def count(self) -> dict[str, Any]:
         """Counts."""
-        return {**self.tally, "listed": sum(bool(one.revision) for one in self.fleet)}
+        return {**self.counter, "listed": sum(bool(one.revision) for one in self.fleet)}
 
     async def stop(self) -> None:
         """Close all."""
@@ -163,7 +163,7 @@
         """Counts, and how long each served request took since the count before."""
         assert self.real is not None
         took, self.real.took_ms = self.real.took_ms, []
-        return {**self.real.tally, "took_ms": took}
+        return {**self.real.counter, "took_ms": took}
 
     async def stop(self) -> None:
         """End the processes in order."""
--- a/weldquay/lab/scale/discovery.py
+++ b/weldquay/lab/scale/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as a load target: one list, changes a second, and what it sends to each side."""
+"""Stand-in discovery under load: changes the list at a fixed rate, counts the bytes sent to each side."""
 
 from __future__ import annotations
 
@@ -9,64 +9,75 @@
 from typing import Any
 
 from weldquay.lab.http import Message, write_line
-from weldquay.lab.scale.counts import Tally, side_of, size_of
+from weldquay.lab.scale.counts import MessageCounter, message_size, peer_side
 from weldquay.lab.servers import HEARTBEAT_S, Discovery
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class ChangingDiscovery(Discovery):
-    """A watch tells the whole list first, then the lines that changed, or an empty line every 2 s."""
+    """Discovery whose watch sends the list, then each change.
 
-    def __init__(self, tally: Tally) -> None:
+    A watch begins with the whole list, or with the changes since the reader's revision where these are known.
+    Without a change it sends an empty line every 2 s as a heartbeat.
+    """
+
+    def __init__(self, counter: MessageCounter) -> None:
         super().__init__()
-        self.tally = tally
-        self.log: list[tuple[int, bytes]] = []  # revision and its line
-        self.full: tuple[int, bytes] = (0, b"")  # the whole list as last encoded
+        self.counter = counter
+        self.change_log: list[tuple[int, bytes]] = []  # each revision with its encoded line
+        self.encoded_list: tuple[int, bytes] = (0, b"")  # a revision and the whole list encoded at it
 
-    def change(self, worker_id: str) -> None:
-        """Have a worker leave, or come back."""
+    def toggle_draining(self, worker_id: str) -> None:
+        """Mark a serving worker as draining, or a draining one as serving, and notify all watches."""
         member = self.members[worker_id]
         member["phase"] = "DRAINING" if member["phase"] == "SERVING" else "SERVING"
         self.revision += 1
-        told: dict[str, Any] = {"revision": self.revision, "complete": False, "members": [member]}
-        self.log.append((self.revision, json.dumps(told).encode()))
+        update: dict[str, Any] = {"revision": self.revision, "complete": False, "members": [member]}
+        self.change_log.append((self.revision, json.dumps(update).encode()))
         before, self.changed = self.changed, asyncio.Event()
         before.set()
 
-    async def play(self, rate: float, seed: int) -> None:
-        """Change the list so many times a second; a worker that left comes back with the next change."""
-        draw, names = random.Random(seed), sorted(self.members)
-        loop, away = asyncio.get_running_loop(), ""
-        begun = loop.time()
+    async def run_changes(self, rate: float, seed: int) -> None:
+        """Make `rate` changes to the list per second, until cancelled.
+
+        Each second change returns to service the worker that the change before it drained.
+        """
+        rng, names = random.Random(seed), sorted(self.members)
+        loop, draining = asyncio.get_running_loop(), ""
+        start_s = loop.time()
         for number in itertools.count(1):
-            await asyncio.sleep(max(0.0, begun + number / rate - loop.time()))
-            away, chosen = ("", away) if away else (draw.choice(names),) * 2
-            self.change(chosen)
-            self.tally["discovery.changes"] += 1
+            await asyncio.sleep(max(0.0, start_s + number / rate - loop.time()))
+            draining, chosen = ("", draining) if draining else (rng.choice(names),) * 2
+            self.toggle_draining(chosen)
+            self.counter["discovery.changes"] += 1
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """A watch from a revision on."""
-        side = side_of(writer)
-        self.tally.note(side, "asks", size_of(message) + len(HEAD))
-        writer.write(HEAD)
+        """Serve a watch that starts after the revision in its query."""
+        side = peer_side(writer)
+        self.counter.count_message(side, "asks", message_size(message) + len(RESPONSE_HEAD))
+        writer.write(RESPONSE_HEAD)
         since = int(message.target.rpartition("since=")[2] or 0)
-        if not self.log or since < self.log[0][0] - 1:
-            if self.full[0] != self.revision:
-                self.full = self.revision, json.dumps(self.told()).encode()
-            since = self._line(side, "lists", writer, self.full)
+        if not self.change_log or since < self.change_log[0][0] - 1:
+            if self.encoded_list[0] != self.revision:
+                self.encoded_list = self.revision, json.dumps(self.told()).encode()
+            since = self._send_line(side, "lists", writer, self.encoded_list)
         while not writer.is_closing():
             changed = self.changed
-            for entry in self.log[len(self.log) - (self.revision - since) :]:
-                since = self._line(side, "changes", writer, entry)
+            for revision_line in self.change_log[len(self.change_log) - (self.revision - since) :]:
+                since = self._send_line(side, "changes", writer, revision_line)
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
                     await changed.wait()
             except TimeoutError:
-                self._line(side, "beats", writer, (since, b""))
+                self._send_line(side, "beats", writer, (since, b""))
 
-    def _line(self, side: str, name: str, writer: asyncio.StreamWriter, entry: tuple[int, bytes]) -> int:
-        """Write one line; the revision that its reader then has."""
-        write_line(writer, entry[1])
-        self.tally.note(side, name, len(entry[1]) + len(f"{len(entry[1]) + 1:x}") + 5)
-        return entry[0]
+    def _send_line(
+        self, side: str, name: str, writer: asyncio.StreamWriter, revision_line: tuple[int, bytes]
+    ) -> int:
+        """Write one line, count it, and return the revision that its reader then has."""
+        write_line(writer, revision_line[1])
+        self.counter.count_message(
+            side, name, len(revision_line[1]) + len(f"{len(revision_line[1]) + 1:x}") + 5
+        )
+        return revision_line[0]
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -20,7 +20,7 @@
 from weldquay.fleet.subset import subset
 from weldquay.interface import DiscoveryFailure
 from weldquay.lab.http import Message, Server
-from weldquay.lab.scale.counts import CountingPool, Tally, hollow_address
+from weldquay.lab.scale.counts import CountingPool, MessageCounter, hollow_address
 from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body
 from weldquay.net.discovery_client import HEARTBEAT_GRACE_S, HEARTBEAT_S, RESPONSE_TIMEOUT_S
 from weldquay.net.messages import JobPayload, job_headers, watch_target
@@ -49,10 +49,10 @@
 class HollowDispatcher(Server):
     """One of many; its number is its place among the dispatchers of the settings too."""
 
-    def __init__(self, number: int, point: Point, discovery: str, tally: Tally) -> None:
+    def __init__(self, number: int, point: Point, discovery: str, counter: MessageCounter) -> None:
         super().__init__()
         self.number, self.group = number, point.group_size
-        self.source, self.discovery, self.tally = hollow_address(number), discovery, tally
+        self.source, self.discovery, self.counter = hollow_address(number), discovery, counter
         self.draw = random.Random(number)
         self.backoff = Backoff(self.draw, self.group)
         self.revision = 0
@@ -94,7 +94,7 @@
                 pass
             now_ns = time.monotonic_ns()
             wait_ns = self.backoff.retry_delay_ns(now_ns, ASK_WITHIN_NS, now_ns - self.whole_ns, failure)
-            self.tally["watches_ended"] += 1
+            self.counter["watches_ended"] += 1
             await asyncio.sleep(wait_ns / 1e9)
 
     async def _follow(self) -> None:
@@ -135,7 +135,7 @@
 
     def _pool(self, address: str) -> CountingPool:
         if address not in self.pools:
-            self.pools[address] = CountingPool(address, self.tally, "hollow", self.source)
+            self.pools[address] = CountingPool(address, self.counter, "hollow", self.source)
         return self.pools[address]
 
     def _fresh(self) -> list[str]:
@@ -163,7 +163,7 @@
             )
             self._hear(name, json.loads(answer.body))
         except (OSError, asyncio.IncompleteReadError):
-            self.tally["probes_failed"] += 1
+            self.counter["probes_failed"] += 1
 
     # --- requests ---
 
@@ -178,7 +178,7 @@
 
     async def _request(self, call: str) -> None:
         """One request, from its coming to its end."""
-        self.tally["requests"] += 1
+        self.counter["requests"] += 1
         begun_ns = time.monotonic_ns()
         ended = self.waiting[call] = asyncio.get_running_loop().create_future()
         try:
@@ -186,13 +186,13 @@
                 for _ in range(MAX_ATTEMPTS):
                     if await self._attempt(call, begun_ns):
                         await ended
-                        self.tally["served"] += 1
+                        self.counter["served"] += 1
                         return
         except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
             pass
         finally:
             del self.waiting[call]
-        self.tally["failed"] += 1
+        self.counter["failed"] += 1
 
     async def _attempt(self, call: str, begun_ns: int) -> bool:
         """Send it to a worker with room; True where that took it."""
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -25,7 +25,7 @@
         folder = Path(self.held.enter_context(tempfile.TemporaryDirectory(prefix="weldquay-scale-")))
         self.nodes: list[Node] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.tally: Counter[str] = Counter()
+        self.counter: Counter[str] = Counter()
         self.took_ms: list[float] = []
         for number in range(point.real):
             sock, address = reserve()
@@ -71,7 +71,7 @@
             self.run(self._request(number, f"{number}-{count}"))
 
     async def _request(self, number: int, call: str) -> None:
-        self.tally["requests"] += 1
+        self.counter["requests"] += 1
         begun = time.monotonic()
         figures = (f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}")
         data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
@@ -79,9 +79,9 @@
             async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
                 answer = await self.pools[number].ask(data)
         except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
-            self.tally["lost"] += 1
+            self.counter["lost"] += 1
             return
-        self.tally["served" if answer.status == 200 else "failed"] += 1
+        self.counter["served" if answer.status == 200 else "failed"] += 1
         if answer.status == 200:
             self.took_ms.append((time.monotonic() - begun) * 1000)
 
--- a/weldquay/lab/scale/workers.py
+++ b/weldquay/lab/scale/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in workers, all in one process, as all dispatchers see them."""
+"""The stand-in workers of a scale run, all in one process and shared by all dispatchers."""
 
 from __future__ import annotations
 
@@ -7,40 +7,47 @@
 
 from weldquay.lab import model
 from weldquay.lab.http import Message, Pool
-from weldquay.lab.scale.counts import Answer, CountingPool, Tally, side_of, size_of
+from weldquay.lab.scale.counts import CountingPool, CountingWriter, MessageCounter, message_size, peer_side
 from weldquay.lab.servers import MatchWorker
 
-NAMES = {"POST": "attempts", "GET": "probes", "DELETE": "deletes"}
+MESSAGE_NAMES = {"POST": "attempts", "GET": "probes", "DELETE": "deletes"}
 SLOTS = 32  # enough for the many short jobs of a run, which does not measure overload
 QUEUE_LIMIT = 64
 
 
 class CountingWorker(MatchWorker):
-    """A model worker with one listener for all dispatchers; a call's id says whom to call back."""
+    """Model worker with one listener for all dispatchers.
 
-    def __init__(self, name: str, callers: list[str], real: int, tally: Tally) -> None:
+    The id of a request tells which dispatcher gets the callback.
+    """
+
+    def __init__(
+        self, name: str, dispatcher_addresses: list[str], real_dispatchers: int, counter: MessageCounter
+    ) -> None:
         super().__init__(model.WorkerSpec(name, slots=SLOTS, cores=SLOTS, queue_limit=QUEUE_LIMIT), ())
-        self.addresses, self.real, self.tally = callers, real, tally
-        self.by_caller: dict[int, CountingPool] = {}
+        self.addresses, self.real_dispatchers, self.counter = dispatcher_addresses, real_dispatchers, counter
+        self.callback_pools: dict[int, CountingPool] = {}
 
     def pool(self, caller: int) -> Pool:
-        """The connections to a dispatcher, from the first callback on."""
-        if caller not in self.by_caller:
-            side = "real" if caller < self.real else "hollow"
-            self.by_caller[caller] = CountingPool(self.addresses[caller], self.tally, f"to_{side}")
-            self.pools.append(self.by_caller[caller])
-        return self.by_caller[caller]
+        """Return the connections to a dispatcher, created for its first callback."""
+        if caller not in self.callback_pools:
+            side = "real" if caller < self.real_dispatchers else "hollow"
+            self.callback_pools[caller] = CountingPool(self.addresses[caller], self.counter, f"to_{side}")
+            self.pools.append(self.callback_pools[caller])
+        return self.callback_pools[caller]
 
     def caller(self, writer: asyncio.StreamWriter) -> int:
-        """The dispatcher that a job is for."""
-        return int(cast(Answer, writer).message.headers["x-correlation-id"].partition("-")[0])
+        """Return the number of the dispatcher that sent a job."""
+        return int(cast(CountingWriter, writer).message.headers["x-correlation-id"].partition("-")[0])
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Count a message with its answer."""
-        told = Answer(writer, message)
-        await super().answer(message, told.as_writer())
-        self.tally.note(side_of(writer), NAMES[message.method], size_of(message) + told.size)
+        """Respond to a message; count both."""
+        response = CountingWriter(writer, message)
+        await super().answer(message, response.as_stream_writer())
+        self.counter.count_message(
+            peer_side(writer), MESSAGE_NAMES[message.method], message_size(message) + response.size
+        )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.tally[f"{side_of(writer)}.connections"] += 1
+        self.counter[f"{peer_side(writer)}.connections"] += 1
         await super()._serve(reader, writer)
