--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -151,19 +151,19 @@
         """Start them; their addresses and processes."""
         self.real = RealDispatchers(msgspec.convert(told["point"], Point), told["discovery"])
         await self.real.start()
-        return {"callers": [node.address for node in self.real.nodes], "pids": self.real.pids()}
+        return {"callers": [node.address for node in self.real.nodes], "pids": self.real.process_ids()}
 
     async def go(self, told: dict[str, Any]) -> dict[str, Any]:  # noqa: ARG002  # as in `Role`
         """Begin the requests."""
         assert self.real is not None
-        self.real.load()
+        self.real.start_clients()
         return {}
 
     def count(self) -> dict[str, Any]:
         """Counts, and how long each served request took since the count before."""
         assert self.real is not None
-        took, self.real.took_ms = self.real.took_ms, []
-        return {**self.real.counter, "took_ms": took}
+        response_times_ms, self.real.response_times_ms = self.real.response_times_ms, []
+        return {**self.real.counter, "took_ms": response_times_ms}
 
     async def stop(self) -> None:
         """End the processes in order."""
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -142,7 +142,7 @@
         counts = await asyncio.gather(*(self.role[name].ask("count") for name in names))
         pids = {name: [self.role[name].process.pid] for name in names}
         usage = {
-            name: [proc.usage(pid) for pid in group]
+            name: [proc.read_usage(pid) for pid in group]
             for name, group in {**pids, "dispatcher": self.pids, "parent": [os.getpid()]}.items()
         }
         return Moment(time.monotonic(), dict(zip(names, counts, strict=True)), usage)
@@ -152,7 +152,7 @@
         return [
             pid
             for pid in (*self.pids, *(child.process.pid for child in self.role.values()))
-            if proc.alive(pid)
+            if proc.is_running(pid)
         ]
 
 
@@ -213,7 +213,7 @@
 
 def _bound(before: Moment, after: Moment) -> None:
     """End a run that takes too much of the machine."""
-    most_mb = proc.machine()["memory_gb"] * 1024 * MEMORY_PART
+    most_mb = proc.machine_resources()["memory_gb"] * 1024 * MEMORY_PART
     if (memory := _memory(after)) > most_mb:
         raise TooLarge(f"all processes hold {memory:.0f} MB, of {most_mb:.0f} allowed")
     if (cores := _cores(before, after)) > MAX_CORES:
--- a/weldquay/lab/scale/points.py
+++ b/weldquay/lab/scale/points.py
@@ -1,4 +1,4 @@
-"""What is measured: the points of a run, its axes, and the settings that all dispatchers are given."""
+"""The measured points of a run, grouped by axis, and the settings that every dispatcher gets."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from weldquay.lab import load as loads
 from weldquay.lab.model import MS, SECOND
 
-# One idempotent class.  Its jobs are short, so that few of them run when a point ends.
+# One idempotent job class with short jobs, so that few of them are running when a point ends.
 MEAN_WORK_NS = 20 * MS
 CLIENT_TIMEOUT_NS = 2 * SECOND
 JOB_CLASSES = (loads.JobClass("lookup", 1.0, MEAN_WORK_NS, 500 * MS, CLIENT_TIMEOUT_NS),)
-USERS_DISPATCHERS = 410  # the users' count, for the settings' group_size
+USERS_DISPATCHERS = 410  # number of dispatchers of the users' fleet, for group_size in the settings
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One fleet that is built, loaded and measured.
+    """One fleet that is started, loaded and measured.
 
-    group: how many dispatchers the settings name (they set subsets and waits); 0: as many as there are.
-    real_rate, hollow_rate: requests a second at each dispatcher.
-    windows: how often it is measured, seconds each, after a warm-up of as many seconds as one window.
+    group: the number of dispatchers in the settings, which sets subsets and backoff; 0: as many as there are.
+    real_rate, hollow_rate: requests per second at each dispatcher.
+    windows: how many times it is measured, `seconds` each, after a warm-up as long as one window.
     """
 
     axis: str
@@ -38,16 +38,17 @@
 
     @property
     def dispatchers(self) -> int:
-        """Real and hollow ones."""
+        """Return the number of dispatchers, real and hollow."""
         return self.real + self.hollow
 
     @property
     def group_size(self) -> int:
-        """The dispatchers that the settings name."""
+        """Return the number of dispatchers in the settings."""
         return self.group or self.dispatchers
 
 
-# Hollow ones are slow where there are many, so that the stand-ins stay under a core each.
+# Where there are many hollow dispatchers, each has a low request rate, so that the stand-ins need less than
+# one core each.
 SWEEPS: tuple[Point, ...] = (
     *(Point("dispatchers", hollow=n - 1, hollow_rate=1.0, group=410) for n in (10, 100, 200, 410)),
     *(Point("workers", real=2, hollow=8, workers=n, real_rate=20.0, group=410) for n in (10, 100, 400, 1400)),
@@ -69,7 +70,7 @@
 
 
 def settings(dispatchers: int, dispatcher_index: int) -> dict[str, Any]:
-    """Return the settings' document of one dispatcher."""
+    """Return the settings document of one dispatcher."""
     return loads.settings(dispatchers, JOB_CLASSES, dispatcher_index)
 
 
--- a/weldquay/lab/scale/proc.py
+++ b/weldquay/lab/scale/proc.py
@@ -1,4 +1,4 @@
-"""What a process uses, from /proc: processor time, memory, descriptors."""
+"""Resource use of a process from /proc: processor time, memory, file descriptors."""
 
 from __future__ import annotations
 
@@ -6,37 +6,45 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """One process at a moment; cpu_s: since its start."""
+    """The resource use of one process at one time; cpu_s counts from the start of the process."""
 
     cpu_s: float
     memory_mb: float
     descriptors: int
 
 
-def usage(pid: int, folder: Path = Path("/proc")) -> Usage:
-    """Read a process; OSError where it has ended.
+def read_usage(pid: int, folder: Path = Path("/proc")) -> Usage:
+    """Read the resource use of a process.
 
-    schedstat counts nanoseconds on a core for each thread; the ticks of stat (10 ms) are too coarse here.
+    It sums schedstat, which counts the nanoseconds that each thread ran: the ticks of stat (10 ms) are too
+    coarse here.
+
+    Raises:
+        OSError: the process has ended.
     """
-    here = folder / str(pid)
-    spent = [int((task / "schedstat").read_text().split()[0]) for task in (here / "task").iterdir()]
-    resident = int((here / "statm").read_text().split()[1]) * PAGE
-    return Usage(sum(spent) / 1e9, resident / 2**20, len(list((here / "fd").iterdir())))
+    process_folder = folder / str(pid)
+    cpu_times_ns = [
+        int((task / "schedstat").read_text().split()[0]) for task in (process_folder / "task").iterdir()
+    ]
+    resident_bytes = int((process_folder / "statm").read_text().split()[1]) * PAGE_BYTES
+    return Usage(
+        sum(cpu_times_ns) / 1e9, resident_bytes / 2**20, len(list((process_folder / "fd").iterdir()))
+    )
 
 
-def machine() -> dict[str, float]:
-    """Cores and memory of this machine; nothing that names it."""
-    memory = os.sysconf("SC_PHYS_PAGES") * PAGE
-    return {"cores": os.cpu_count() or 1, "memory_gb": round(memory / 2**30, 1)}
+def machine_resources() -> dict[str, float]:
+    """Return the number of cores and the memory of this machine, but nothing that identifies it."""
+    memory_bytes = os.sysconf("SC_PHYS_PAGES") * PAGE_BYTES
+    return {"cores": os.cpu_count() or 1, "memory_gb": round(memory_bytes / 2**30, 1)}
 
 
-def alive(pid: int) -> bool:
-    """True while a process runs; one that has ended and waits to be reaped does not."""
+def is_running(pid: int) -> bool:
+    """Return True while a process runs, False once it has ended, also while it waits to be reaped."""
     try:
         state = (Path("/proc") / str(pid) / "stat").read_text().rpartition(") ")[2][0]
     except OSError:
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -1,4 +1,4 @@
-"""The real dispatchers of a point, and the clients that bring them requests."""
+"""The real dispatchers of a point, and the clients that send them requests."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class RealDispatchers:
-    """Processes of `python -m weldquay`; clients ask each at moments drawn from a seed."""
+    """Processes of `python -m weldquay`, with clients that send requests at random times from a seed."""
 
     def __init__(self, point: Point, discovery: str) -> None:
-        self.point, self.held = point, contextlib.ExitStack()
-        folder = Path(self.held.enter_context(tempfile.TemporaryDirectory(prefix="weldquay-scale-")))
+        self.point, self.resources = point, contextlib.ExitStack()
+        folder = Path(self.resources.enter_context(tempfile.TemporaryDirectory(prefix="weldquay-scale-")))
         self.nodes: list[Node] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.counter: Counter[str] = Counter()
-        self.took_ms: list[float] = []
+        self.response_times_ms: list[float] = []
         for number in range(point.real):
             sock, address = reserve()
-            self.held.enter_context(sock)
+            self.resources.enter_context(sock)
             document = {
                 "name": f"r{number}",
                 "listen": address,
@@ -43,38 +43,41 @@
         self.pools = [Pool(node.address) for node in self.nodes]
 
     async def start(self) -> None:
-        """Start all, until they take clients."""
+        """Start all processes and wait until they accept clients."""
         await asyncio.gather(*(node.start() for node in self.nodes))
 
-    def pids(self) -> list[int]:
-        """Their processes."""
+    def process_ids(self) -> list[int]:
+        """Return the process id of each dispatcher that was started."""
         return [node.process.pid for node in self.nodes if node.process is not None]
 
-    def run(self, work: Coroutine[Any, Any, None]) -> None:
-        """Start a task that ends with the dispatchers at the latest."""
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Start a task that is cancelled when the dispatchers stop, if it has not ended before."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def load(self) -> None:
-        """Begin to bring requests."""
+    def start_clients(self) -> None:
+        """Begin to send requests to each dispatcher."""
         if self.point.real_rate:
             for number in range(len(self.nodes)):
-                self.run(self._clients(number))
+                self.start_task(self._send_requests(number))
 
-    async def _clients(self, number: int) -> None:
-        draw, loop = random.Random(self.point.seed * 1000 + number), asyncio.get_running_loop()
-        due, count = loop.time(), 0
+    async def _send_requests(self, number: int) -> None:
+        rng, loop = random.Random(self.point.seed * 1000 + number), asyncio.get_running_loop()
+        due_s, count = loop.time(), 0
         while True:
-            due, count = due + draw.expovariate(self.point.real_rate), count + 1
-            await asyncio.sleep(max(0.0, due - loop.time()))
-            self.run(self._request(number, f"{number}-{count}"))
+            due_s, count = due_s + rng.expovariate(self.point.real_rate), count + 1
+            await asyncio.sleep(max(0.0, due_s - loop.time()))
+            self.start_task(self._send_request(number, f"{number}-{count}"))
 
-    async def _request(self, number: int, call: str) -> None:
+    async def _send_request(self, number: int, request_id: str) -> None:
         self.counter["requests"] += 1
-        begun = time.monotonic()
-        figures = (f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}")
-        data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
+        start_s = time.monotonic()
+        header_lines = (
+            f"X-Correlation-Id: {request_id}",
+            f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}",
+        )
+        data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *header_lines)
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
                 answer = await self.pools[number].ask(data)
@@ -83,13 +86,13 @@
             return
         self.counter["served" if answer.status == 200 else "failed"] += 1
         if answer.status == 200:
-            self.took_ms.append((time.monotonic() - begun) * 1000)
+            self.response_times_ms.append((time.monotonic() - start_s) * 1000)
 
     async def stop(self) -> None:
-        """End the clients, then the processes in order."""
+        """Cancel the clients, then shut the processes down gracefully."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*(node.stop() for node in self.nodes))
         for pool in self.pools:
             pool.close()
-        self.held.close()
+        self.resources.close()
--- a/weldquay/lab/scale/results.py
+++ b/weldquay/lab/scale/results.py
@@ -39,7 +39,7 @@
 
 def stamp(command: str) -> Stamp:
     """The stamp of a run that begins now."""
-    machine = proc.machine()
+    machine = proc.machine_resources()
     return Stamp(
         command,
         commit(),
