--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 
 from weldquay.lab.scale import check, page
 from weldquay.lab.scale.decisions import measure
-from weldquay.lab.scale.fleet import ChildFailed, Fleet, Measurement, Window, play
+from weldquay.lab.scale.fleet import ChildProcessFailed, Fleet, Measurement, Window, measure_point
 from weldquay.lab.scale.points import Point
 from weldquay.lab.scale.projections import crossing
 from weldquay.lab.scale.results import Result, Slope, spread
@@ -31,7 +31,9 @@
     """
     left: list[tuple[Fleet, list[int]]] = []
     for _ in range(TRIES):
-        measurement = asyncio.run(play(TINY, lambda fleet: left.append((fleet, fleet.left()))))
+        measurement = asyncio.run(
+            measure_point(TINY, lambda fleet: left.append((fleet, fleet.running_pids())))
+        )
         if check.steady(measurement):
             break
     return measurement, left[-1][0], [pid for _, pids in left for pid in pids]
@@ -40,7 +42,7 @@
 def test_nothing_is_left(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """Four processes of the run and the real dispatchers have ended."""
     _, fleet, left = tiny
-    assert len(fleet.pids) == 2 and len(fleet.role) == 4 and left == []
+    assert len(fleet.pids) == 2 and len(fleet.children) == 4 and left == []
 
 
 @pytest.mark.parametrize("name", [*check.BY_REQUEST, *check.BY_SECOND])
@@ -66,12 +68,12 @@
 
     async def broken(self: Fleet) -> None:
         fleets.append(self)
-        await self.role["workers"].ask("start", workers="many", real=1)
+        await self.children["workers"].send_command("start", workers="many", real=1)
 
     monkeypatch.setattr(Fleet, "start", broken)
-    with pytest.raises(ChildFailed) as told:
-        asyncio.run(play(TINY))
-    assert "workers" in told.value.advice() and fleets[0].left() == []
+    with pytest.raises(ChildProcessFailed) as told:
+        asyncio.run(measure_point(TINY))
+    assert "workers" in told.value.advice() and fleets[0].running_pids() == []
 
 
 def test_a_window_that_stood_still_is_no_measurement(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
--- a/weldquay/lab/scale/__main__.py
+++ b/weldquay/lab/scale/__main__.py
@@ -15,7 +15,7 @@
 from weldquay.lab.scale import page as pages
 from weldquay.lab.scale import plot as plots
 from weldquay.lab.scale import results
-from weldquay.lab.scale.fleet import Measurement, play
+from weldquay.lab.scale.fleet import Measurement, measure_point
 from weldquay.lab.scale.points import CHECK, SWEEPS, Point
 
 RUN_S = 240.0  # all points of a run; what is not played by then is left out and named
@@ -38,7 +38,7 @@
 
 def _one(point: Point) -> Measurement:
     try:
-        return asyncio.run(play(point))
+        return asyncio.run(measure_point(point))
     except OperatorError as error:
         raise click.ClickException(error.advice()) from None
 
--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -1,7 +1,8 @@
-"""A process of a scale run: `python -m weldquay.lab.scale.child ROLE`, one JSON object a line each way.
+"""A child process of a scale run: `python -m weldquay.lab.scale.child ROLE`.
 
-It answers each line of standard input with a line on standard output.  It ends, with all that it started, at
-the end of its input, so also where the process that started it has died, and in any case after LIMIT_S.
+Each line of standard input is a command, a JSON object; the response is one line on standard output.  The
+process stops, with everything it started, at the end of its input, and so also when its parent has died; it
+runs for MAX_LIFETIME_S at most.
 """
 
 from __future__ import annotations
@@ -21,154 +22,164 @@
 from weldquay.lab.scale.real import RealDispatchers
 from weldquay.lab.scale.workers import CountingWorker
 
-LIMIT_S = 120.0  # no point takes so long
-TICK_S = 0.25
-LINE = 2**24  # bytes of one line; 1,400 workers' addresses take a hundredth of it
+MAX_LIFETIME_S = 120.0  # longer than any point takes
+LOOP_CHECK_PERIOD_S = 0.25
+MAX_LINE_BYTES = 2**24  # of one command or response; the addresses of 1,400 workers need 1% of it
 
 
 class Role(Protocol):
-    """What a child is."""
+    """The work of a child process."""
 
-    async def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Begin; what the others have to know."""
+    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Start the servers or processes, and return what other roles need to reach them."""
 
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Begin the load."""
+    async def start_load(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Begin to generate the load."""
 
-    def count(self) -> dict[str, Any]:
-        """What was counted so far."""
+    def read_counters(self) -> dict[str, Any]:
+        """Return the counters."""
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop everything that was started."""
 
 
 class WorkersRole:
     """All stand-in workers."""
 
     def __init__(self) -> None:
-        self.counter, self.callers = MessageCounter(), list[str]()
-        self.fleet: list[CountingWorker] = []
-
-    async def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Listen; the addresses by name."""
-        names = [f"w-{number}" for number in range(told["workers"])]
-        self.fleet = [CountingWorker(name, self.callers, told["real"], self.counter) for name in names]
-        for worker in self.fleet:
+        self.counter, self.dispatcher_addresses = MessageCounter(), list[str]()
+        self.workers: list[CountingWorker] = []
+
+    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Start the workers and return their addresses by name."""
+        names = [f"w-{number}" for number in range(command["workers"])]
+        self.workers = [
+            CountingWorker(name, self.dispatcher_addresses, command["real"], self.counter) for name in names
+        ]
+        for worker in self.workers:
             await worker.start()
-        return {"workers": {worker.spec.name: worker.address for worker in self.fleet}}
+        return {"workers": {worker.spec.name: worker.address for worker in self.workers}}
 
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Take in whom to call back."""
-        self.callers.extend(told["callers"])
+    async def start_load(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Set the addresses of the dispatchers, to which callbacks go."""
+        self.dispatcher_addresses.extend(command["callers"])
         return {}
 
-    def count(self) -> dict[str, Any]:
-        """Counts, and the connections that are open now."""
-        held = Counter(peer_side(writer) for worker in self.fleet for writer in worker.writers)
-        unheard = sum(worker.unanswered_callbacks for worker in self.fleet)
-        return {**self.counter, "open_real": held["real"], "open_hollow": held["hollow"], "unheard": unheard}
+    def read_counters(self) -> dict[str, Any]:
+        """Return the counters, and the number of open connections by side."""
+        open_connections = Counter(peer_side(writer) for worker in self.workers for writer in worker.writers)
+        unanswered = sum(worker.unanswered_callbacks for worker in self.workers)
+        return {
+            **self.counter,
+            "open_real": open_connections["real"],
+            "open_hollow": open_connections["hollow"],
+            "unheard": unanswered,
+        }
 
     async def stop(self) -> None:
-        """Close all."""
-        for worker in self.fleet:
+        """Close all listeners and connections."""
+        for worker in self.workers:
             worker.stop()
 
 
 class DiscoveryRole:
-    """Discovery with its changes."""
+    """The stand-in discovery and its changes."""
 
     def __init__(self) -> None:
         self.counter = MessageCounter()
         self.discovery = ChangingDiscovery(self.counter)
-        self.changing: asyncio.Task[None] | None = None
+        self.change_task: asyncio.Task[None] | None = None
 
-    async def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """List the workers and listen."""
-        for name, address in told["workers"].items():
+    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """List the workers and start to listen."""
+        for name, address in command["workers"].items():
             self.discovery.put(name, [address], kind="standard")
         await self.discovery.start()
         return {"discovery": self.discovery.address}
 
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:
+    async def start_load(self, command: dict[str, Any]) -> dict[str, Any]:
         """Begin to change the list."""
-        if told["point"]["changes"]:
-            work = self.discovery.run_changes(told["point"]["changes"], told["point"]["seed"])
-            self.changing = asyncio.get_running_loop().create_task(work)
+        if command["point"]["changes"]:
+            work = self.discovery.run_changes(command["point"]["changes"], command["point"]["seed"])
+            self.change_task = asyncio.get_running_loop().create_task(work)
         return {}
 
-    def count(self) -> dict[str, Any]:
-        """Counts, and the watches that are open now."""
+    def read_counters(self) -> dict[str, Any]:
+        """Return the counters, and the number of open watches."""
         return {**self.counter, "open": len(self.discovery.writers)}
 
     async def stop(self) -> None:
-        """Close all."""
-        if self.changing is not None:
-            self.changing.cancel()
+        """Stop the changes; close the listener and all watches."""
+        if self.change_task is not None:
+            self.change_task.cancel()
         self.discovery.stop()
 
 
 class HollowRole:
-    """The hollow dispatchers."""
+    """All hollow dispatchers."""
 
     def __init__(self) -> None:
         self.counter = MessageCounter()
-        self.fleet: list[HollowDispatcher] = []
+        self.dispatchers: list[HollowDispatcher] = []
 
-    async def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Listen and watch; the addresses for callbacks."""
-        point = msgspec.convert(told["point"], Point)
+    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Start the dispatchers and their watches, and return the addresses for callbacks."""
+        point = msgspec.convert(command["point"], Point)
         for number in range(point.real, point.dispatchers):
-            one = HollowDispatcher(number, point, told["discovery"], self.counter)
-            await one.start()
-            one.run(one.watch())
-            self.fleet.append(one)
-        return {"callers": [one.address for one in self.fleet]}
+            dispatcher = HollowDispatcher(number, point, command["discovery"], self.counter)
+            await dispatcher.start()
+            dispatcher.run(dispatcher.watch())
+            self.dispatchers.append(dispatcher)
+        return {"callers": [dispatcher.address for dispatcher in self.dispatchers]}
 
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:
+    async def start_load(self, command: dict[str, Any]) -> dict[str, Any]:
         """Begin the requests."""
-        point = msgspec.convert(told["point"], Point)
-        for one in self.fleet if point.hollow_rate else ():
-            one.run(one.load(point.hollow_rate, point.seed))
+        point = msgspec.convert(command["point"], Point)
+        for dispatcher in self.dispatchers if point.hollow_rate else ():
+            dispatcher.run(dispatcher.load(point.hollow_rate, point.seed))
         return {}
 
-    def count(self) -> dict[str, Any]:
-        """Counts."""
-        return {**self.counter, "listed": sum(bool(one.revision) for one in self.fleet)}
+    def read_counters(self) -> dict[str, Any]:
+        """Return the counters, and how many dispatchers have received the list."""
+        return {**self.counter, "listed": sum(bool(dispatcher.revision) for dispatcher in self.dispatchers)}
 
     async def stop(self) -> None:
-        """Close all."""
-        for one in self.fleet:
-            one.stop()
+        """Stop all dispatchers."""
+        for dispatcher in self.dispatchers:
+            dispatcher.stop()
 
 
 class RealRole:
-    """The real dispatchers with their clients."""
+    """The real dispatchers and their clients."""
 
     def __init__(self) -> None:
-        self.real: RealDispatchers | None = None
-
-    async def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Start them; their addresses and processes."""
-        self.real = RealDispatchers(msgspec.convert(told["point"], Point), told["discovery"])
-        await self.real.start()
-        return {"callers": [node.address for node in self.real.nodes], "pids": self.real.process_ids()}
-
-    async def go(self, told: dict[str, Any]) -> dict[str, Any]:  # noqa: ARG002  # as in `Role`
+        self.dispatchers: RealDispatchers | None = None
+
+    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Start the dispatchers and return their addresses and process ids."""
+        self.dispatchers = RealDispatchers(msgspec.convert(command["point"], Point), command["discovery"])
+        await self.dispatchers.start()
+        return {
+            "callers": [node.address for node in self.dispatchers.nodes],
+            "pids": self.dispatchers.process_ids(),
+        }
+
+    async def start_load(self, command: dict[str, Any]) -> dict[str, Any]:  # noqa: ARG002  # as in `Role`
         """Begin the requests."""
-        assert self.real is not None
-        self.real.start_clients()
+        assert self.dispatchers is not None
+        self.dispatchers.start_clients()
         return {}
 
-    def count(self) -> dict[str, Any]:
-        """Counts, and how long each served request took since the count before."""
-        assert self.real is not None
-        response_times_ms, self.real.response_times_ms = self.real.response_times_ms, []
-        return {**self.real.counter, "took_ms": response_times_ms}
+    def read_counters(self) -> dict[str, Any]:
+        """Return the counters, and the response time of each request served since the last call."""
+        assert self.dispatchers is not None
+        response_times_ms, self.dispatchers.response_times_ms = self.dispatchers.response_times_ms, []
+        return {**self.dispatchers.counter, "took_ms": response_times_ms}
 
     async def stop(self) -> None:
-        """End the processes in order."""
-        if self.real is not None:
-            await self.real.stop()
+        """Shut the processes down gracefully."""
+        if self.dispatchers is not None:
+            await self.dispatchers.stop()
 
 
 ROLES: dict[str, type[Role]] = {
@@ -179,49 +190,52 @@
 }
 
 
-class Lateness:
-    """How late this process's loop ran at the most since the last look: a machine that stands still shows."""
+class LoopDelayMonitor:
+    """Measures how late the event loop of this process runs.
+
+    A long delay shows that the machine was stalled, so that a measurement over that time is void.
+    """
 
     def __init__(self) -> None:
-        self.most_ms = 0.0
+        self.max_delay_ms = 0.0
 
-    async def watch(self) -> None:
-        """Tick until cancelled."""
+    async def run(self) -> None:
+        """Compare the planned and the actual time of a periodic wake-up, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + TICK_S
-            await asyncio.sleep(TICK_S)
-            self.most_ms = max(self.most_ms, (loop.time() - due) * 1000)
+            due_s = loop.time() + LOOP_CHECK_PERIOD_S
+            await asyncio.sleep(LOOP_CHECK_PERIOD_S)
+            self.max_delay_ms = max(self.max_delay_ms, (loop.time() - due_s) * 1000)
 
-    def take(self) -> float:
-        """The most since the last look, in milliseconds."""
-        most, self.most_ms = self.most_ms, 0.0
-        return most
+    def take_max_ms(self) -> float:
+        """Return the maximum delay since the last call, in milliseconds, and reset it."""
+        max_ms, self.max_delay_ms = self.max_delay_ms, 0.0
+        return max_ms
 
 
-async def serve(role: Role) -> None:
-    """Do what the lines of standard input say, to their end."""
-    reader = asyncio.StreamReader(limit=LINE)
+async def serve_commands(role: Role) -> None:
+    """Execute the commands on standard input until it ends."""
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    late = Lateness()
-    watching = loop.create_task(late.watch())
+    delay_monitor = LoopDelayMonitor()
+    monitor_task = loop.create_task(delay_monitor.run())
     try:
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(MAX_LIFETIME_S):
             while line := await reader.readline():
-                told = json.loads(line)
-                match told["do"]:
+                command = json.loads(line)
+                match command["do"]:
                     case "start":
-                        answer = await role.start(told)
+                        answer = await role.start(command)
                     case "go":
-                        answer = await role.go(told)
+                        answer = await role.start_load(command)
                     case _:
-                        answer = {**role.count(), "late_ms": late.take()}
+                        answer = {**role.read_counters(), "late_ms": delay_monitor.take_max_ms()}
                 print(json.dumps(answer), flush=True)
     finally:
-        watching.cancel()
+        monitor_task.cancel()
         await role.stop()
 
 
 if __name__ == "__main__":
-    asyncio.run(serve(ROLES[sys.argv[1]]()))
+    asyncio.run(serve_commands(ROLES[sys.argv[1]]()))
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""One point of a scale run: its processes are started, loaded, measured and ended."""
+"""Runs one point of a scale run: starts its processes, generates the load, measures and stops them."""
 
 from __future__ import annotations
 
@@ -18,254 +18,284 @@
 
 from weldquay.errors import OperatorError
 from weldquay.lab.scale import proc
-from weldquay.lab.scale.child import LINE
+from weldquay.lab.scale.child import MAX_LINE_BYTES
 from weldquay.lab.scale.points import Point
 from weldquay.lab.site import ended
 
-START_S, END_S = 30.0, 25.0
-MEMORY_PART = 0.5  # of the machine's memory: a run that comes to it is ended
+RESPONSE_TIMEOUT_S, EXIT_TIMEOUT_S = 30.0, 25.0
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory; a run whose processes use more is stopped
 MAX_CORES = 4.0
-POINT_S = 60.0  # a point takes no longer, its end left out
-LISTED_S = 15.0  # by then all dispatchers have the list
+POINT_TIMEOUT_S = 60.0  # for one point, without the shutdown of its processes
+WATCH_TIMEOUT_S = 15.0  # until all dispatchers watch the list
 
 
-class TooLarge(OperatorError):
-    """A point used more of the machine than a run may."""
+class ResourceLimitExceeded(OperatorError):
+    """A point used more memory or processor time than a run may."""
 
     error_code = "too-large"
-    remedy = "play a smaller point: fewer dispatchers, workers or requests a second"
+    remedy = "run a smaller point: fewer dispatchers, workers or requests per second"
 
 
-class ChildFailed(OperatorError):
-    """A process of the run ended or did not answer."""
+class ChildProcessFailed(OperatorError):
+    """A process of the run exited early, did not respond or did not stop."""
 
     error_code = "child-failed"
-    remedy = "see its last lines on standard error; play the point alone"
+    remedy = "read its last lines on standard error; run the point alone"
 
 
-class Child:
-    """A process of the run, by its role."""
+class ChildProcess:
+    """A process of the run with its role."""
 
     def __init__(self, role: str, process: asyncio.subprocess.Process) -> None:
         self.role, self.process = role, process
 
-    async def ask(self, what: str, **told: Any) -> dict[str, Any]:
-        """One line there, one line back."""
+    async def send_command(self, command: str, **arguments: Any) -> dict[str, Any]:
+        """Send a command and return the response, one line of JSON each."""
         assert self.process.stdin is not None and self.process.stdout is not None
         try:
-            self.process.stdin.write(json.dumps({"do": what, **told}).encode() + b"\n")
-            async with asyncio.timeout(START_S):
+            self.process.stdin.write(json.dumps({"do": command, **arguments}).encode() + b"\n")
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 line = await self.process.stdout.readline()
         except (OSError, ValueError) as error:  # a TimeoutError is an OSError
-            raise ChildFailed(f"{type(error).__name__} at {what}", self.role) from None
+            raise ChildProcessFailed(
+                f"{type(error).__name__} during the command {command}", self.role
+            ) from None
         if not line:
-            raise ChildFailed(f"it ended at {what}", self.role)
-        answer: dict[str, Any] = json.loads(line)
-        return answer
+            raise ChildProcessFailed(f"the process exited during the command {command}", self.role)
+        response: dict[str, Any] = json.loads(line)
+        return response
 
     async def stop(self) -> None:
-        """Have it end; by force where it does not."""
+        """End its input so that it stops; kill it after a timeout."""
         assert self.process.stdin is not None
         self.process.stdin.close()
-        await ended(self.process, END_S)
+        await ended(self.process, EXIT_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
-async def children(*roles: str) -> AsyncIterator[dict[str, Child]]:
-    """Processes by role; all have ended at the end of the block."""
-    started: dict[str, Child] = {}
+async def child_processes(*roles: str) -> AsyncIterator[dict[str, ChildProcess]]:
+    """Start a process for each role; all have exited when the block ends."""
+    started: dict[str, ChildProcess] = {}
     pipe = asyncio.subprocess.PIPE
     try:
         for role in roles:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", f"{__package__}.child", role, stdin=pipe, stdout=pipe, limit=LINE
+                sys.executable,
+                "-m",
+                f"{__package__}.child",
+                role,
+                stdin=pipe,
+                stdout=pipe,
+                limit=MAX_LINE_BYTES,
             )
-            started[role] = Child(role, process)
+            started[role] = ChildProcess(role, process)
         yield started
     finally:
         await asyncio.shield(asyncio.gather(*(child.stop() for child in started.values())))
 
 
 class Window(msgspec.Struct):
-    """What was measured in one span: rates a second and levels, by name (`figures` makes them)."""
+    """The figures of one window by name, as computed by `compute_figures`: rates per second and levels."""
 
     figures: dict[str, float]
 
 
 class Measurement(msgspec.Struct):
-    """The figures of one point; its fields are those of the stored JSON."""
+    """The figures of one point; its fields are keys of the stored JSON."""
 
     point: Point
     windows: list[Window]
-    started_lists: dict[str, float]  # bytes of the first whole list, to one dispatcher
-    cores: float  # that all processes used together, the fullest window
-    memory_mb: float  # of all together, the most
+    started_lists: dict[str, float]  # mean bytes of a whole list sent to one dispatcher at the start, by side
+    cores: float  # used by all processes together, maximum of the windows
+    memory_mb: float  # of all processes together, maximum
 
 
 @dataclass(slots=True)
-class Moment:
-    """All counts and usages at once."""
+class Snapshot:
+    """The counters and the resource use of all processes at one time."""
 
-    at: float
+    taken_s: float
     counts: dict[str, dict[str, Any]]
     usage: dict[str, list[proc.Usage]]
 
 
 @dataclass(slots=True)
 class Fleet:
-    """A point's processes."""
+    """The processes of a point."""
 
     point: Point
-    role: dict[str, Child]
+    children: dict[str, ChildProcess]  # by role
     pids: list[int] = field(default_factory=list)  # of the real dispatchers
 
     async def start(self) -> None:
-        """Start all, until each dispatcher has its list, and begin the load."""
-        told = msgspec.to_builtins(self.point)
-        listed = await self.role["workers"].ask("start", workers=self.point.workers, real=self.point.real)
-        where = await self.role["discovery"].ask("start", **listed)
-        real = await self.role["real"].ask("start", point=told, **where)
-        hollow = await self.role["hollow"].ask("start", point=told, **where)
+        """Start everything, wait until each dispatcher watches the list, then begin the load."""
+        point_fields = msgspec.to_builtins(self.point)
+        addresses = await self.children["workers"].send_command(
+            "start", workers=self.point.workers, real=self.point.real
+        )
+        discovery = await self.children["discovery"].send_command("start", **addresses)
+        real = await self.children["real"].send_command("start", point=point_fields, **discovery)
+        hollow = await self.children["hollow"].send_command("start", point=point_fields, **discovery)
         self.pids = real["pids"]
-        await self.role["workers"].ask("go", callers=[*real["callers"], *hollow["callers"]])
-        begun = time.monotonic()
-        while (await self.role["discovery"].ask("count"))["open"] < self.point.dispatchers:
-            if time.monotonic() - begun > LISTED_S:
-                raise ChildFailed("not all dispatchers watch the list", "discovery")
+        await self.children["workers"].send_command("go", callers=[*real["callers"], *hollow["callers"]])
+        start_s = time.monotonic()
+        while (await self.children["discovery"].send_command("count"))["open"] < self.point.dispatchers:
+            if time.monotonic() - start_s > WATCH_TIMEOUT_S:
+                raise ChildProcessFailed("not all dispatchers opened a watch in time", "discovery")
             await asyncio.sleep(0.1)
         for role in ("discovery", "hollow", "real"):
-            await self.role[role].ask("go", point=told)
+            await self.children[role].send_command("go", point=point_fields)
 
-    async def look(self) -> Moment:
-        """Count and measure now."""
-        names = list(self.role)
-        counts = await asyncio.gather(*(self.role[name].ask("count") for name in names))
-        pids = {name: [self.role[name].process.pid] for name in names}
+    async def take_snapshot(self) -> Snapshot:
+        """Read all counters and the resource use of all processes."""
+        names = list(self.children)
+        counts = await asyncio.gather(*(self.children[name].send_command("count") for name in names))
+        pids = {name: [self.children[name].process.pid] for name in names}
         usage = {
             name: [proc.read_usage(pid) for pid in group]
             for name, group in {**pids, "dispatcher": self.pids, "parent": [os.getpid()]}.items()
         }
-        return Moment(time.monotonic(), dict(zip(names, counts, strict=True)), usage)
+        return Snapshot(time.monotonic(), dict(zip(names, counts, strict=True)), usage)
 
-    def left(self) -> list[int]:
-        """Processes of the point that still run."""
+    def running_pids(self) -> list[int]:
+        """Return the ids of the processes of the point that still run."""
         return [
             pid
-            for pid in (*self.pids, *(child.process.pid for child in self.role.values()))
+            for pid in (*self.pids, *(child.process.pid for child in self.children.values()))
             if proc.is_running(pid)
         ]
 
 
-async def _measure(fleet: Fleet) -> list[Moment]:
-    """Start a fleet and look at it so often, within POINT_S."""
-    async with asyncio.timeout(POINT_S):
+async def _take_snapshots(fleet: Fleet) -> list[Snapshot]:
+    """Start a fleet; take a snapshot after the warm-up and after each window, within POINT_TIMEOUT_S."""
+    async with asyncio.timeout(POINT_TIMEOUT_S):
         await fleet.start()
         await asyncio.sleep(fleet.point.seconds)
-        moments = [await fleet.look()]
+        snapshots = [await fleet.take_snapshot()]
         for _ in range(fleet.point.windows):
             await asyncio.sleep(fleet.point.seconds)
-            moments.append(await fleet.look())
-            _bound(moments[-2], moments[-1])
-    return moments
+            snapshots.append(await fleet.take_snapshot())
+            _check_limits(snapshots[-2], snapshots[-1])
+    return snapshots
+
 
+async def measure_point(point: Point, on_stopped: Callable[[Fleet], None] = lambda _: None) -> Measurement:
+    """Measure one point.
 
-async def play(point: Point, check: Callable[[Fleet], None] = lambda _: None) -> Measurement:
-    """Play one point; `check` sees the fleet once all its processes have ended.
+    on_stopped: called with the fleet after its processes were stopped.
 
-    ChildFailed where a process ends early, does not answer, or is left; TooLarge where it takes too much.
+    Raises:
+        ChildProcessFailed: a process exited early, did not respond or still runs, or the point took too long.
+        ResourceLimitExceeded: the processes used too much memory or processor time.
     """
-    async with children("workers", "discovery", "hollow", "real") as role:
-        fleet = Fleet(point, role)
+    async with child_processes("workers", "discovery", "hollow", "real") as children:
+        fleet = Fleet(point, children)
         try:
-            moments = await _measure(fleet)
+            snapshots = await _take_snapshots(fleet)
         except TimeoutError:
-            raise ChildFailed(f"the point took more than {POINT_S:.0f} s") from None
-    check(fleet)
-    if left := fleet.left():
-        raise ChildFailed(f"processes are left: {left}")
-    pairs = list(itertools.pairwise(moments))
-    first = moments[0].counts["discovery"]
-    lists = {
+            raise ChildProcessFailed(f"the point took more than {POINT_TIMEOUT_S:.0f} s") from None
+    on_stopped(fleet)
+    if running_pids := fleet.running_pids():
+        raise ChildProcessFailed(f"processes still run after the point: {running_pids}")
+    pairs = list(itertools.pairwise(snapshots))
+    first = snapshots[0].counts["discovery"]
+    list_bytes = {
         side: first.get(f"{side}.lists_bytes", 0) / max(1, first.get(f"{side}.lists", 0))
         for side in ("real", "hollow")
     }
     return Measurement(
         point,
-        [Window(figures(point, *pair)) for pair in pairs],
-        lists,
-        max(_cores(*pair) for pair in pairs),
-        max(_memory(moment) for moment in moments),
+        [Window(compute_figures(point, *pair)) for pair in pairs],
+        list_bytes,
+        max(_cores_used(*pair) for pair in pairs),
+        max(_total_memory_mb(snapshot) for snapshot in snapshots),
     )
 
 
-def _cores(before: Moment, after: Moment) -> float:
-    spent = sum(
+def _cores_used(before: Snapshot, after: Snapshot) -> float:
+    cpu_s_used = sum(
         b.cpu_s - a.cpu_s
         for name in after.usage
         for a, b in zip(before.usage[name], after.usage[name], strict=True)
     )
-    return spent / (after.at - before.at)
+    return cpu_s_used / (after.taken_s - before.taken_s)
+
 
+def _total_memory_mb(snapshot: Snapshot) -> float:
+    return sum(each.memory_mb for group in snapshot.usage.values() for each in group)
 
-def _memory(moment: Moment) -> float:
-    return sum(each.memory_mb for group in moment.usage.values() for each in group)
 
+def _check_limits(before: Snapshot, after: Snapshot) -> None:
+    """Raise an error where the processes use too much of the machine."""
+    max_memory_mb = proc.machine_resources()["memory_gb"] * 1024 * MAX_MEMORY_FRACTION
+    if (memory_mb := _total_memory_mb(after)) > max_memory_mb:
+        raise ResourceLimitExceeded(
+            f"all processes together use {memory_mb:.0f} MB of memory; {max_memory_mb:.0f} MB are allowed"
+        )
+    if (cores := _cores_used(before, after)) > MAX_CORES:
+        raise ResourceLimitExceeded(
+            f"all processes together use {cores:.1f} cores; {MAX_CORES:g} are allowed"
+        )
 
-def _bound(before: Moment, after: Moment) -> None:
-    """End a run that takes too much of the machine."""
-    most_mb = proc.machine_resources()["memory_gb"] * 1024 * MEMORY_PART
-    if (memory := _memory(after)) > most_mb:
-        raise TooLarge(f"all processes hold {memory:.0f} MB, of {most_mb:.0f} allowed")
-    if (cores := _cores(before, after)) > MAX_CORES:
-        raise TooLarge(f"all processes use {cores:.1f} cores, of {MAX_CORES:g} allowed")
 
+DISCOVERY_MESSAGES = ("asks", "lists", "changes", "beats")
 
-LIST = ("asks", "lists", "changes", "beats")
 
+def compute_figures(point: Point, before: Snapshot, after: Snapshot) -> dict[str, float]:
+    """Compute the figures of one window.
 
-def figures(point: Point, before: Moment, after: Moment) -> dict[str, float]:
-    """The figures of one window.  `real.` and `hollow.`: of one dispatcher of that kind, a second."""
-    span = after.at - before.at
+    Rates are per second; `real.` and `hollow.` are the averages over the dispatchers of that kind.
+    """
+    length_s = after.taken_s - before.taken_s
 
     def rate(role: str, name: str) -> float:
-        return float(after.counts[role].get(name, 0) - before.counts[role].get(name, 0)) / span
+        return float(after.counts[role].get(name, 0) - before.counts[role].get(name, 0)) / length_s
 
-    found = {"late_ms": max(float(counts["late_ms"]) for counts in after.counts.values())}
+    values = {"late_ms": max(float(counts["late_ms"]) for counts in after.counts.values())}
     for side, count in (("real", point.real), ("hollow", point.hollow)):
         if not count:
             continue
         for name in ("connections", "probes", "probes_bytes", "attempts", "attempts_bytes", "deletes"):
-            found[f"{side}.{name}"] = rate("workers", f"{side}.{name}") / count
+            values[f"{side}.{name}"] = rate("workers", f"{side}.{name}") / count
         for name in ("callbacks", "callbacks_bytes"):
-            found[f"{side}.{name}"] = rate("workers", f"to_{side}.{name}") / count
-        found[f"{side}.open"] = after.counts["workers"].get(f"open_{side}", 0) / count
-        found[f"{side}.list_lines"] = sum(rate("discovery", f"{side}.{name}") for name in LIST) / count
-        found[f"{side}.list_bytes"] = sum(rate("discovery", f"{side}.{name}_bytes") for name in LIST) / count
-        found[f"{side}.control_bytes"] = found[f"{side}.list_bytes"] + found[f"{side}.probes_bytes"]
+            values[f"{side}.{name}"] = rate("workers", f"to_{side}.{name}") / count
+        values[f"{side}.open"] = after.counts["workers"].get(f"open_{side}", 0) / count
+        values[f"{side}.list_lines"] = (
+            sum(rate("discovery", f"{side}.{name}") for name in DISCOVERY_MESSAGES) / count
+        )
+        values[f"{side}.list_bytes"] = (
+            sum(rate("discovery", f"{side}.{name}_bytes") for name in DISCOVERY_MESSAGES) / count
+        )
+        values[f"{side}.control_bytes"] = values[f"{side}.list_bytes"] + values[f"{side}.probes_bytes"]
         role = "real" if side == "real" else "hollow"
         for name in ("requests", "served"):
-            found[f"{side}.{name}"] = rate(role, name) / count
-    took = sorted(after.counts["real"]["took_ms"])
-    if len(took) > 1:
-        found["real.p50_ms"] = statistics.median(took)
-        found["real.p95_ms"] = took[int(0.95 * (len(took) - 1))]
+            values[f"{side}.{name}"] = rate(role, name) / count
+    response_times_ms = sorted(after.counts["real"]["took_ms"])
+    if len(response_times_ms) > 1:
+        values["real.p50_ms"] = statistics.median(response_times_ms)
+        values["real.p95_ms"] = response_times_ms[int(0.95 * (len(response_times_ms) - 1))]
     for name, group in after.usage.items():
         earlier = before.usage[name]
-        found[f"{name}.cpu"] = (
-            sum(b.cpu_s - a.cpu_s for a, b in zip(earlier, group, strict=True)) / span / len(group)
+        values[f"{name}.cpu"] = (
+            sum(b.cpu_s - a.cpu_s for a, b in zip(earlier, group, strict=True)) / length_s / len(group)
         )
-        found[f"{name}.memory_mb"] = statistics.mean(each.memory_mb for each in group)
-        found[f"{name}.descriptors"] = statistics.mean(each.descriptors for each in group)
-    total = {name: sum(rate("discovery", f"{side}.{name}") for side in ("real", "hollow")) for name in LIST}
-    found["discovery.lines"] = sum(total.values())
-    found["discovery.bytes"] = sum(
-        rate("discovery", f"{side}.{name}_bytes") for side in ("real", "hollow") for name in LIST
+        values[f"{name}.memory_mb"] = statistics.mean(each.memory_mb for each in group)
+        values[f"{name}.descriptors"] = statistics.mean(each.descriptors for each in group)
+    rates = {
+        name: sum(rate("discovery", f"{side}.{name}") for side in ("real", "hollow"))
+        for name in DISCOVERY_MESSAGES
+    }
+    values["discovery.lines"] = sum(rates.values())
+    values["discovery.bytes"] = sum(
+        rate("discovery", f"{side}.{name}_bytes")
+        for side in ("real", "hollow")
+        for name in DISCOVERY_MESSAGES
     )
-    found["discovery.asks"] = total["asks"]
-    found["discovery.changes"] = rate("discovery", "discovery.changes")
-    held = sum(after.counts["workers"][f"open_{side}"] for side in ("real", "hollow"))
-    found["worker.connections"] = held / point.workers
+    values["discovery.asks"] = rates["asks"]
+    values["discovery.changes"] = rate("discovery", "discovery.changes")
+    open_connections = sum(after.counts["workers"][f"open_{side}"] for side in ("real", "hollow"))
+    values["worker.connections"] = open_connections / point.workers
     for name in ("probes", "attempts"):
-        whole = sum(rate("workers", f"{side}.{name}") for side in ("real", "hollow"))
-        found[f"worker.{name}"] = whole / point.workers
-    return found
+        fleet_rate = sum(rate("workers", f"{side}.{name}") for side in ("real", "hollow"))
+        values[f"worker.{name}"] = fleet_rate / point.workers
+    return values
