--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -34,7 +34,7 @@
         measurement = asyncio.run(
             measure_point(TINY, lambda fleet: left.append((fleet, fleet.running_pids())))
         )
-        if check.steady(measurement):
+        if check.steady_windows(measurement):
             break
     return measurement, left[-1][0], [pid for _, pids in left for pid in pids]
 
@@ -45,14 +45,14 @@
     assert len(fleet.pids) == 2 and len(fleet.children) == 4 and left == []
 
 
-@pytest.mark.parametrize("name", [*check.BY_REQUEST, *check.BY_SECOND])
+@pytest.mark.parametrize("name", [*check.PER_REQUEST_TOLERANCES, *check.PER_SECOND_TOLERANCES])
 def test_hollow_ones_speak_as_real_ones_do(name: str, tiny: tuple[Measurement, Fleet, list[int]]) -> None:
     """The same messages and bytes within twice the part that the check at its own size allows.
 
     Its span holds 25 requests of the real ones: some are counted in it by half.
     """
     row = next(row for row in check.compare(tiny[0]) if row.name.split()[0] == name)
-    assert row.real > 0 and row.differs <= max(0.2, 2 * row.allowed), row
+    assert row.real > 0 and row.relative_difference <= max(0.2, 2 * row.allowed), row
 
 
 def test_all_requests_are_served(tiny: tuple[Measurement, Fleet, list[int]]) -> None:
--- a/weldquay/lab/scale/__main__.py
+++ b/weldquay/lab/scale/__main__.py
@@ -46,7 +46,7 @@
 def _best(point: Point, until: float) -> Measurement:
     """Play a point, once more where the machine stood still and there is time; the steadier play."""
     plays = [_one(point)]
-    if len(checking.steady(plays[0])) < point.windows and time.monotonic() < until:
+    if len(checking.steady_windows(plays[0])) < point.windows and time.monotonic() < until:
         say(f"the machine stood still, again: {point.axis}")
         plays.append(_one(point))
     return min(plays, key=lambda each: max(window.figures["late_ms"] for window in each.windows))
@@ -111,7 +111,8 @@
     for row in rows:
         word = "ok" if row.passed else "DIFFERS"
         click.echo(
-            f"{row.name:28} real {row.real:10.3f}  hollow {row.hollow:10.3f}  {row.differs:.3f} {word}"
+            f"{row.name:28} real {row.real:10.3f}  hollow {row.hollow:10.3f}  "
+            f"{row.relative_difference:.3f} {word}"
         )
     if target:
         result = results.read(target)
--- a/weldquay/lab/scale/check.py
+++ b/weldquay/lab/scale/check.py
@@ -1,4 +1,4 @@
-"""Whether hollow dispatchers do on their sockets what real ones do."""
+"""Comparison of the network use of hollow dispatchers with that of real ones."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from weldquay.errors import OperatorError
 from weldquay.lab.scale.fleet import Measurement, Window
 
-# What is compared, by request where requests cause it, else by second; the part by which they may differ.
-BY_REQUEST = {
+# The compared figures and the relative difference allowed: per request where requests cause them, else per
+# second.
+PER_REQUEST_TOLERANCES = {
     "attempts": 0.05,
     "attempts_bytes": 0.05,
     "callbacks": 0.05,
@@ -16,22 +17,22 @@
     "probes": 0.25,
     "probes_bytes": 0.25,
 }
-BY_SECOND = {"list_lines": 0.02, "list_bytes": 0.02}
+PER_SECOND_TOLERANCES = {"list_lines": 0.02, "list_bytes": 0.02}
 
 
-STALLED_MS = 400.0  # a window in which a process's loop was so late is no measurement
+MAX_LOOP_DELAY_MS = 400.0  # a window in which an event loop ran this late is void
 
 
 class MachineStalled(OperatorError):
-    """In every window some process of the run stood still."""
+    """In every window a process of the run was stalled."""
 
     error_code = "machine-stalled"
-    remedy = "run it again when the machine has cores to spare"
+    remedy = "run it again when the machine has spare cores"
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
-    """One figure of both."""
+class Comparison:
+    """One figure of real and of hollow dispatchers."""
 
     name: str
     real: float
@@ -39,34 +40,40 @@
     allowed: float
 
     @property
-    def differs(self) -> float:
-        """By which part of the real one's figure."""
+    def relative_difference(self) -> float:
+        """Return the difference as a fraction of the real dispatchers' figure."""
         return abs(self.hollow - self.real) / max(1e-9, self.real)
 
     @property
     def passed(self) -> bool:
-        """True where they agree."""
-        return self.differs <= self.allowed
+        """Return True if the difference is within the tolerance."""
+        return self.relative_difference <= self.allowed
 
 
-def steady(measurement: Measurement) -> list[Window]:
-    """The windows in which no process of the run stood still."""
-    return [window for window in measurement.windows if window.figures["late_ms"] < STALLED_MS]
+def steady_windows(measurement: Measurement) -> list[Window]:
+    """Return the windows in which no process of the run was stalled."""
+    return [window for window in measurement.windows if window.figures["late_ms"] < MAX_LOOP_DELAY_MS]
 
 
-def compare(measurement: Measurement) -> list[Compared]:
-    """All figures, over the steady windows of a point; MachineStalled where there is none."""
-    if not (windows := steady(measurement)):
-        most = max(window.figures["late_ms"] for window in measurement.windows)
-        raise MachineStalled(f"a process was {most:.0f} ms late")
+def compare(measurement: Measurement) -> list[Comparison]:
+    """Compare all figures, averaged over the steady windows of a point.
 
-    def total(name: str) -> float:
+    Raises:
+        MachineStalled: there is no steady window.
+    """
+    if not (windows := steady_windows(measurement)):
+        max_delay_ms = max(window.figures["late_ms"] for window in measurement.windows)
+        raise MachineStalled(f"the event loop of a process ran {max_delay_ms:.0f} ms late")
+
+    def mean(name: str) -> float:
         return sum(window.figures[name] for window in windows) / len(windows)
 
-    found = []
-    for name, allowed in BY_REQUEST.items():
-        real, hollow = (total(f"{side}.{name}") / total(f"{side}.requests") for side in ("real", "hollow"))
-        found.append(Compared(f"{name} a request", real, hollow, allowed))
-    for name, allowed in BY_SECOND.items():
-        found.append(Compared(f"{name} a second", total(f"real.{name}"), total(f"hollow.{name}"), allowed))
-    return found
+    comparisons = []
+    for name, allowed in PER_REQUEST_TOLERANCES.items():
+        real, hollow = (mean(f"{side}.{name}") / mean(f"{side}.requests") for side in ("real", "hollow"))
+        comparisons.append(Comparison(f"{name} a request", real, hollow, allowed))
+    for name, allowed in PER_SECOND_TOLERANCES.items():
+        comparisons.append(
+            Comparison(f"{name} a second", mean(f"real.{name}"), mean(f"hollow.{name}"), allowed)
+        )
+    return comparisons
--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -128,7 +128,7 @@
         for number in range(point.real, point.dispatchers):
             dispatcher = HollowDispatcher(number, point, command["discovery"], self.counter)
             await dispatcher.start()
-            dispatcher.run(dispatcher.watch())
+            dispatcher.start_task(dispatcher.watch())
             self.dispatchers.append(dispatcher)
         return {"callers": [dispatcher.address for dispatcher in self.dispatchers]}
 
@@ -136,7 +136,7 @@
         """Begin the requests."""
         point = msgspec.convert(command["point"], Point)
         for dispatcher in self.dispatchers if point.hollow_rate else ():
-            dispatcher.run(dispatcher.load(point.hollow_rate, point.seed))
+            dispatcher.start_task(dispatcher.send_requests(point.hollow_rate, point.seed))
         return {}
 
     def read_counters(self) -> dict[str, Any]:
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -107,7 +107,7 @@
     except MachineStalled as error:
         return f"Not measured: {error}.\n"
     rows = [
-        [row.name, number(row.real), number(row.hollow), f"{row.differs:.3f}", f"{row.allowed:g}"]
+        [row.name, number(row.real), number(row.hollow), f"{row.relative_difference:.3f}", f"{row.allowed:g}"]
         for row in found
     ]
     return _table(("figure", "real", "hollow", "differ by the part", "allowed"), rows)
