--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from weldquay.lab.scale.fleet import ChildProcessFailed, Fleet, Measurement, Window, measure_point
 from weldquay.lab.scale.points import Point
 from weldquay.lab.scale.projections import crossing
-from weldquay.lab.scale.results import Result, Slope, spread
+from weldquay.lab.scale.results import Result, Slope, summarize
 
 TINY = Point(
     "check", real=2, hollow=4, workers=6, changes=4.0, real_rate=5.0, hollow_rate=5.0, windows=1, seconds=2.5
@@ -105,11 +105,11 @@
     told = result(
         "workers", [({"workers": n}, [{"y": 1.0 + 2 * n}, {"y": 1.0 + 4 * n}]) for n in (10, 20, 40)]
     )
-    found = Slope("", "workers", "point.workers", "y", "").of(told)
+    found = Slope("", "workers", "point.workers", "y", "").fit(told)
     assert found is not None
-    assert found[0].low == pytest.approx(2) and found[0].high == pytest.approx(4)
-    assert found[1].middle == pytest.approx(1)
-    assert Slope("", "changes", "point.workers", "y", "").of(told) is None
+    assert found[0].minimum == pytest.approx(2) and found[0].maximum == pytest.approx(4)
+    assert found[1].median == pytest.approx(1)
+    assert Slope("", "changes", "point.workers", "y", "").fit(told) is None
 
 
 def test_the_page_is_filled_between_its_markers() -> None:
@@ -117,9 +117,9 @@
     end = "<!-- scale:end -->\n"
     text = f"# A\n<!-- scale:check -->\nold\n{end}b\n<!-- scale:decisions -->\n{end}"
     told = Result(decisions=[measure(5, 3, 4, repeats=2)])
-    filled = page.fill(text, page.tables(told))
+    filled = page.fill(text, page.render_tables(told))
     assert "old" not in filled and "Not measured." in filled and "| 3 | 5 |" in filled and "\nb\n" in filled
-    assert page.fill(filled, page.tables(told)) == filled
+    assert page.fill(filled, page.render_tables(told)) == filled
     with pytest.raises(page.UnknownTable):
         page.fill("<!-- scale:nothing -->\n<!-- scale:end -->", {})
 
@@ -129,11 +129,11 @@
     told = result("workers", [({"workers": n}, [{"dispatcher.memory_mb": 1.0 * n}]) for n in (1, 2)])
     again = msgspec.json.decode(msgspec.json.encode(told), type=Result)
     assert again == told
-    assert "1,020 KB | 0 KB | workers | 1,020 KB" in page.tables(told, told)["slopes"]
+    assert "1,020 KB | 0 KB | workers | 1,020 KB" in page.render_tables(told, told)["slopes"]
 
 
 @pytest.mark.parametrize(("allowed", "found"), [(5.0, "5"), (15.0, "20"), (30.0, "not up to 30")])
 def test_crossings_lie_between_points(allowed: float, found: str) -> None:
     """Where a figure passes what is allowed, or that it does not."""
     assert crossing([(10, 10.0), (30, 20.0)], allowed) == found
-    assert math.isclose(spread([1.0, 3.0, 2.0]).middle, 2.0)
+    assert math.isclose(summarize([1.0, 3.0, 2.0]).median, 2.0)
--- a/weldquay/lab/scale/__main__.py
+++ b/weldquay/lab/scale/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the scale run; `--help` lists it."""
+"""The command line of scale runs; see `--help`."""
 
 from __future__ import annotations
 
@@ -18,68 +18,71 @@
 from weldquay.lab.scale.fleet import Measurement, measure_point
 from weldquay.lab.scale.points import CHECK, SWEEPS, Point
 
-RUN_S = 240.0  # all points of a run; what is not played by then is left out and named
-RESULT = click.Path(path_type=Path, dir_okay=False)
+RUN_TIMEOUT_S = 240.0  # for all points of a run; those not begun by then are skipped and reported
+FILE_PATH = click.Path(path_type=Path, dir_okay=False)
 json_option = click.option(
-    "--json", "target", type=RESULT, help="Write the figures there; others in it stay."
+    "--json", "target", type=FILE_PATH, help="Write the figures to this file; other parts of it stay."
 )
 COMMAND = "python -m weldquay.lab.scale"
 
 
-def say(text: str) -> None:
-    """Tell how far the run is."""
+def report_progress(text: str) -> None:
+    """Write a progress message to standard error."""
     click.echo(text, err=True)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Measure how a fleet's parts grow, on loopback."""
+    """Measure on loopback how the load of a fleet's parts grows with its size."""
 
 
-def _one(point: Point) -> Measurement:
+def _measure(point: Point) -> Measurement:
     try:
         return asyncio.run(measure_point(point))
     except OperatorError as error:
         raise click.ClickException(error.advice()) from None
 
 
-def _best(point: Point, until: float) -> Measurement:
-    """Play a point, once more where the machine stood still and there is time; the steadier play."""
-    plays = [_one(point)]
-    if len(checking.steady_windows(plays[0])) < point.windows and time.monotonic() < until:
-        say(f"the machine stood still, again: {point.axis}")
-        plays.append(_one(point))
-    return min(plays, key=lambda each: max(window.figures["late_ms"] for window in each.windows))
+def _measure_steadily(point: Point, deadline_s: float) -> Measurement:
+    """Measure a point, again if the machine was stalled and there is time; return the steadier result."""
+    measurements = [_measure(point)]
+    if len(checking.steady_windows(measurements[0])) < point.windows and time.monotonic() < deadline_s:
+        report_progress(f"the machine was stalled; measuring again: {point.axis}")
+        measurements.append(_measure(point))
+    return min(measurements, key=lambda each: max(window.figures["late_ms"] for window in each.windows))
 
 
 @main.command()
 @json_option
 @click.option(
-    "--plot", "picture", type=RESULT, help="Draw the figures there (.svg or .png); needs matplotlib."
+    "--plot",
+    "picture",
+    type=FILE_PATH,
+    help="Plot the figures to this file (.svg or .png); needs matplotlib.",
 )
 @click.option("--axis", "axes", multiple=True, type=click.Choice(sorted({p.axis for p in SWEEPS})))
 def run(target: Path | None, picture: Path | None, axes: tuple[str, ...]) -> None:
-    """Play all points, or those of some axes."""
-    result = results.read(target) if target else results.Result()
-    chosen = [point for point in SWEEPS if not axes or point.axis in axes]
-    told = results.stamp(" ".join([COMMAND, "run", *(f"--axis {axis}" for axis in axes)]))
-    begun, found = time.monotonic(), list[Measurement]()
-    for point in chosen:
-        if time.monotonic() - begun > RUN_S:
-            say(f"not played, {RUN_S:.0f} s are over: {point}")
+    """Measure all points, or those of some axes."""
+    result = results.read_result(target) if target else results.Result()
+    selected = [point for point in SWEEPS if not axes or point.axis in axes]
+    stamp = results.make_stamp(" ".join([COMMAND, "run", *(f"--axis {axis}" for axis in axes)]))
+    start_s, measurements = time.monotonic(), list[Measurement]()
+    for point in selected:
+        if time.monotonic() - start_s > RUN_TIMEOUT_S:
+            report_progress(f"skipped after {RUN_TIMEOUT_S:.0f} s: {point}")
             continue
-        found.append(_best(point, begun + RUN_S))
-        say(
-            f"{len(found)} of {len(chosen)}: {point.axis}: {point.dispatchers} dispatchers, {point.workers} "
-            f"workers, {point.changes:g} changes/s, {point.real_rate:g} requests/s: "
-            f"{found[-1].cores:.2f} cores, {found[-1].memory_mb:.0f} MB"
+        measurements.append(_measure_steadily(point, start_s + RUN_TIMEOUT_S))
+        report_progress(
+            f"{len(measurements)} of {len(selected)}: {point.axis}: {point.dispatchers} dispatchers, "
+            f"{point.workers} workers, {point.changes:g} changes/s, {point.real_rate:g} requests/s: "
+            f"{measurements[-1].cores:.2f} cores, {measurements[-1].memory_mb:.0f} MB"
         )
-    told.seconds = time.monotonic() - begun
-    result.points = [each for each in result.points if axes and each.point.axis not in axes] + found
-    for axis in {point.axis for point in chosen}:
-        result.stamps[axis] = told
+    stamp.seconds = time.monotonic() - start_s
+    result.points = [each for each in result.points if axes and each.point.axis not in axes] + measurements
+    for axis in {point.axis for point in selected}:
+        result.stamps[axis] = stamp
     if target:
-        results.write(target, result)
+        results.write_result(target, result)
     if picture:
         plots.draw(result, picture)
 
@@ -87,23 +90,23 @@
 @main.command()
 @json_option
 def decisions(target: Path | None) -> None:
-    """Measure what a request costs the decisions."""
-    told, begun = results.stamp(f"{COMMAND} decisions"), time.monotonic()
-    found = costs.measure_all(say=say)
-    told.seconds = time.monotonic() - begun
+    """Measure the processor time of the decisions for a request."""
+    stamp, start_s = results.make_stamp(f"{COMMAND} decisions"), time.monotonic()
+    decision_costs = costs.measure_all(report_progress=report_progress)
+    stamp.seconds = time.monotonic() - start_s
     if target:
-        result = results.read(target)
-        result.decisions, result.stamps["decisions"] = found, told
-        results.write(target, result)
+        result = results.read_result(target)
+        result.decisions, result.stamps["decisions"] = decision_costs, stamp
+        results.write_result(target, result)
 
 
 @main.command()
 @json_option
 def check(target: Path | None) -> None:
-    """Hold hollow dispatchers against real ones; status 1 where they differ by more than is allowed."""
-    told, begun = results.stamp(f"{COMMAND} check"), time.monotonic()
-    measurement = _one(CHECK)
-    told.seconds = time.monotonic() - begun
+    """Compare hollow dispatchers with real ones; exit with status 1 if they differ too much."""
+    stamp, start_s = results.make_stamp(f"{COMMAND} check"), time.monotonic()
+    measurement = _measure(CHECK)
+    stamp.seconds = time.monotonic() - start_s
     try:
         rows = checking.compare(measurement)
     except checking.MachineStalled as error:
@@ -115,32 +118,32 @@
             f"{row.relative_difference:.3f} {word}"
         )
     if target:
-        result = results.read(target)
+        result = results.read_result(target)
         result.points = [each for each in result.points if each.point.axis != CHECK.axis] + [measurement]
-        result.stamps["check"] = told
-        results.write(target, result)
+        result.stamps["check"] = stamp
+        results.write_result(target, result)
     sys.exit(not all(row.passed for row in rows))
 
 
 @main.command()
-@click.argument("result", type=RESULT)
-@click.argument("page", type=RESULT)
-@click.option("--before", type=RESULT, help="An earlier result, to show what moved.")
+@click.argument("result", type=FILE_PATH)
+@click.argument("page", type=FILE_PATH)
+@click.option("--before", type=FILE_PATH, help="An earlier result to compare with.")
 def page(result: Path, page: Path, before: Path | None) -> None:
-    """Fill the tables of a page, between its markers, from a result."""
-    told = results.read(result)
-    earlier = results.read(before) if before else None
-    page.write_text(pages.fill(page.read_text(), pages.tables(told, earlier)))
+    """Fill in the tables between the markers of a page from a result."""
+    result_after = results.read_result(result)
+    result_before = results.read_result(before) if before else None
+    page.write_text(pages.fill(page.read_text(), pages.render_tables(result_after, result_before)))
 
 
 @main.command()
-@click.argument("result", type=RESULT)
-@click.argument("picture", type=RESULT)
+@click.argument("result", type=FILE_PATH)
+@click.argument("picture", type=FILE_PATH)
 def plot(result: Path, picture: Path) -> None:
-    """Draw a result's figures."""
+    """Plot the figures of a result."""
     try:
-        plots.draw(results.read(result), picture)
-    except plots.NoPlot as error:
+        plots.draw(results.read_result(result), picture)
+    except plots.PlottingUnavailable as error:
         raise click.ClickException(error.advice()) from None
 
 
--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from weldquay.lab.scale.results import Figure, Result, level, spread
+from weldquay.lab.scale.results import Figure, Result, summarize, summarize_windows
 from weldquay.lab.scale.targets import (
     CONTROL_BYTES_PER_S,
     CONTROL_CORES,
@@ -77,8 +77,8 @@
         cpu_us = np.array([values["dispatcher.cpu"] * 1e6 for values in figures])
         solutions.append(np.linalg.lstsq(counts, cpu_us, rcond=None)[0])
     return ProcessCost(
-        spread([float(solution[0]) for solution in solutions]),
-        spread([float(solution[1]) for solution in solutions]),
+        summarize([float(solution[0]) for solution in solutions]),
+        summarize([float(solution[1]) for solution in solutions]),
     )
 
 
@@ -87,7 +87,7 @@
     small, large = (find_point(result, "workers", "workers", count) for count in (10, WORKERS))
     if small is None or large is None:
         return None
-    return spread(
+    return summarize(
         [
             1e6
             * (after.figures["dispatcher.cpu"] - before.figures["dispatcher.cpu"])
@@ -104,19 +104,19 @@
     """
     parts: list[ControlPart] = []
     if (cost := find_cost(result, workers)) is not None:
-        times, change_us = spread(cost.request_us), statistics.median(cost.change_us)
-        text = f"{REQUESTS_PER_S:.1f} requests/s x {times.middle:,.0f} us"
-        parts.append(ControlPart("decisions, played", text, times.times(REQUESTS_PER_S / 1e6)))
+        request_us, change_us = summarize(cost.request_us), statistics.median(cost.change_us)
+        text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us.median:,.0f} us"
+        parts.append(ControlPart("decisions, played", text, request_us.scaled(REQUESTS_PER_S / 1e6)))
         text = f"{LIST_CHANGES_PER_S:.4f} changes/s x {change_us:,.0f} us"
-        parts.append(ControlPart("list changes", text, spread([LIST_CHANGES_PER_S * change_us / 1e6])))
+        parts.append(ControlPart("list changes", text, summarize([LIST_CHANGES_PER_S * change_us / 1e6])))
     large, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
     if large is not None and process is not None:
-        probes = level(large, "real.probes").middle
-        text = f"{probes:.1f} probes/s x {process.probe_us.middle:,.0f} us, sockets and decisions"
-        parts.append(ControlPart("probes", text, process.probe_us.times(probes / 1e6)))
+        probes = summarize_windows(large, "real.probes").median
+        text = f"{probes:.1f} probes/s x {process.probe_us.median:,.0f} us, sockets and decisions"
+        parts.append(ControlPart("probes", text, process.probe_us.scaled(probes / 1e6)))
     if (idle := find_point(result, "requests", "real_rate", 0.0)) is not None:
         text = "a process without requests, 100 workers, 1 list change/s"
-        parts.append(ControlPart("at rest", text, level(idle, "dispatcher.cpu")))
+        parts.append(ControlPart("at rest", text, summarize_windows(idle, "dispatcher.cpu")))
     return parts
 
 
@@ -124,15 +124,15 @@
     """Return the sum of some parts; its spread is that of all minima and of all maxima."""
     figures = [part.cores for part in parts]
     return Figure(
-        sum(figure.low for figure in figures),
-        sum(figure.middle for figure in figures),
-        sum(figure.high for figure in figures),
+        sum(figure.minimum for figure in figures),
+        sum(figure.median for figure in figures),
+        sum(figure.maximum for figure in figures),
     )
 
 
 def share(cores: Figure) -> str:
     """Return a fraction of a core with its spread, as text."""
-    return f"{cores.middle:.2%} of a core ({cores.low:.2%} to {cores.high:.2%})"
+    return f"{cores.median:.2%} of a core ({cores.minimum:.2%} to {cores.maximum:.2%})"
 
 
 def control_bytes(result: Result) -> ControlTraffic | None:
@@ -140,7 +140,10 @@
     line, large = find_line(result, "list, bytes"), find_point(result, "whole", "workers", WORKERS)
     if line is None or large is None:
         return None
-    probe_bytes = level(large, "real.probes_bytes").middle / level(large, "real.requests").middle
+    probe_bytes = (
+        summarize_windows(large, "real.probes_bytes").median
+        / summarize_windows(large, "real.requests").median
+    )
     return ControlTraffic(max(0.0, line.base) + LIST_CHANGES_PER_S * line.slope, probe_bytes * REQUESTS_PER_S)
 
 
@@ -168,33 +171,33 @@
             f"processor time: {part.name}",
             f"{part.derivation} = {share(part.cores)}",
             "",
-            f"{part.cores.middle / CONTROL_CORES:.2f} of the line",
+            f"{part.cores.median / CONTROL_CORES:.2f} of the line",
         ]
         for part in parts
     ]
     if len(parts) == CONTROL_PARTS:
         cores = total(parts)
         row = ["processor time, these together", share(cores), f"{CONTROL_CORES:.1%}"]
-        rows.append([*row, verdict(cores.middle, CONTROL_CORES)])
+        rows.append([*row, verdict(cores.median, CONTROL_CORES)])
     return rows
 
 
 def _cores_row(name: str, request_us: float, cores: Figure) -> TableRow:
     text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us:,.0f} us = {share(cores)}"
-    return [name, text, f"{CONTROL_CORES:.1%}", verdict(cores.middle, CONTROL_CORES)]
+    return [name, text, f"{CONTROL_CORES:.1%}", verdict(cores.median, CONTROL_CORES)]
 
 
 def _growth_rows(result: Result) -> list[TableRow]:
     if (request_us := growth(result)) is None:
         return []
     name = f"the same in a process: what {WORKERS:,} workers cost more than 10"
-    return [_cores_row(name, request_us.middle, request_us.times(REQUESTS_PER_S / 1e6))]
+    return [_cores_row(name, request_us.median, request_us.scaled(REQUESTS_PER_S / 1e6))]
 
 
 def _all_reported_rows(result: Result) -> list[TableRow]:
     if (cost := find_cost(result)) is None:
         return []
-    cores = spread(cost.all_reported_us).times(REQUESTS_PER_S / 1e6)
+    cores = summarize(cost.all_reported_us).scaled(REQUESTS_PER_S / 1e6)
     name = "decisions, where all workers have just reported"
     return [_cores_row(name, statistics.median(cost.all_reported_us), cores)]
 
@@ -202,7 +205,7 @@
 def _memory_rows(result: Result) -> list[TableRow]:
     if (large := find_point(result, "whole", "workers", WORKERS)) is None:
         return []
-    needed_mb = level(large, "dispatcher.memory_mb").high
+    needed_mb = summarize_windows(large, "dispatcher.memory_mb").maximum
     text = f"{needed_mb:.0f} MB resident with {WORKERS:,} workers, the whole process"
     return [["memory", text, f"{MEMORY_MB:.0f} MB", verdict(needed_mb, MEMORY_MB)]]
 
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -30,7 +30,7 @@
 REQUESTS = 200  # ten seconds
 ALL_REPORTED_REQUESTS = 9
 REPEATS = 5
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class Cost(msgspec.Struct):
@@ -127,7 +127,7 @@
     for number in range(9):
         state = (api.WorkerState.DRAINING, api.WorkerState.READY)[number % 2]
         change = api.WorkerEntry(1, state, kind=1, start_id=1)
-        for times, event in zip(
+        for times_us, event in zip(
             found,
             (
                 api.EndpointListUpdate(api.EndpointListKind.DELTA, (change,)),
@@ -137,12 +137,14 @@
         ):
             before, now_ns = dispatcher.spent_s, now_ns + 1_000_000
             dispatcher.step(now_ns, [event])
-            times.append((dispatcher.spent_s - before) * 1e6)
+            times_us.append((dispatcher.spent_s - before) * 1e6)
     return statistics.median(found[0]), statistics.median(found[1])
 
 
 def measure_all(
-    workers: Sequence[int] = WORKERS, dispatchers: Sequence[int] = DISPATCHERS, say: Say = lambda _: None
+    workers: Sequence[int] = WORKERS,
+    dispatchers: Sequence[int] = DISPATCHERS,
+    report_progress: ProgressCallback = lambda _: None,
 ) -> list[Cost]:
     """Return the costs of all sizes."""
     costs = []
@@ -150,7 +152,7 @@
         for worker_count in workers:
             cost = measure(worker_count, dispatcher_count)
             costs.append(cost)
-            say(
+            report_progress(
                 f"{worker_count} workers, {dispatcher_count} dispatchers: "
                 f"{statistics.median(cost.request_us):.0f} us, "
                 f"all reported {statistics.median(cost.all_reported_us):.0f} us"
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -1,6 +1,6 @@
-"""The tables of docs/CAPACITY.md, filled from a result.
+"""The tables of docs/CAPACITY.md, filled in from a result.
 
-A table stands between `<!-- scale:NAME -->` and `<!-- scale:end -->`; what is around them is left alone.
+A table is the text between `<!-- scale:NAME -->` and `<!-- scale:end -->`; all other text stays as it is.
 """
 
 from __future__ import annotations
@@ -14,42 +14,51 @@
 from weldquay.lab.scale import roles as role_loads
 from weldquay.lab.scale.check import MachineStalled, compare
 from weldquay.lab.scale.points import CHECK
-from weldquay.lab.scale.results import SLOPES, Figure, Result, level, on_axis, spread
+from weldquay.lab.scale.results import (
+    SLOPES,
+    Figure,
+    Result,
+    measurements_on_axis,
+    summarize,
+    summarize_windows,
+)
 
-MARKED = re.compile(r"(<!-- scale:(\w+) -->\n)(.*?)(<!-- scale:end -->)", re.DOTALL)
+TABLE_PATTERN = re.compile(r"(<!-- scale:(\w+) -->\n)(.*?)(<!-- scale:end -->)", re.DOTALL)
 
 
 class UnknownTable(OperatorError):
-    """A page names a table that nobody makes."""
+    """A page has a marker for a table that does not exist."""
 
     error_code = "unknown-table"
-    remedy = "correct the marker's name, or remove it with its end"
+    remedy = "correct the name in the marker, or remove the marker and its end"
 
 
 def fill(text: str, tables: dict[str, str]) -> str:
-    """A page's text with all tables anew."""
+    """Return the text of a page with all tables replaced."""
 
-    def table(found: re.Match[str]) -> str:
-        begin, name, _, end = found.groups()
+    def replace(match: re.Match[str]) -> str:
+        begin, name, _, end = match.groups()
         if name not in tables:
             raise UnknownTable(f"there is no table {name}")
         return f"{begin}\n{tables[name]}\n{end}"
 
-    return MARKED.sub(table, text)
+    return TABLE_PATTERN.sub(replace, text)
 
 
-def tables(result: Result, before: Result | None = None) -> dict[str, str]:
-    """All tables, by name."""
+def render_tables(result: Result, before: Result | None = None) -> dict[str, str]:
+    """Return all tables by name."""
     return {
-        "stamps": stamps(result),
-        "check": check(result),
-        "slopes": slopes(result, before),
-        "workers": levels(result, "workers", "workers", "workers", WORKER_COLUMNS),
-        "requests": levels(result, "requests", "real_rate", "requests a second", REQUEST_COLUMNS),
-        "dispatchers": levels(result, "dispatchers", "dispatchers", "dispatchers", FLEET_COLUMNS),
-        "changes": levels(result, "changes", "changes", "changes a second", CHANGE_COLUMNS),
-        "whole": levels(result, "whole", "dispatchers", "dispatchers", (*WORKER_COLUMNS, *FLEET_COLUMNS)),
-        "decisions": decisions(result),
+        "stamps": stamps_table(result),
+        "check": check_table(result),
+        "slopes": slopes_table(result, before),
+        "workers": levels_table(result, "workers", "workers", "workers", WORKER_COLUMNS),
+        "requests": levels_table(result, "requests", "real_rate", "requests a second", REQUEST_COLUMNS),
+        "dispatchers": levels_table(result, "dispatchers", "dispatchers", "dispatchers", FLEET_COLUMNS),
+        "changes": levels_table(result, "changes", "changes", "changes a second", CHANGE_COLUMNS),
+        "whole": levels_table(
+            result, "whole", "dispatchers", "dispatchers", (*WORKER_COLUMNS, *FLEET_COLUMNS)
+        ),
+        "decisions": decisions_table(result),
         "roles": _table(("role", "figure", "slope x count", "at the users' size"), role_loads.roles(result)),
         "budget": _table(("line", "needed at the users' size", "allowed", "verdict"), budget.lines(result)),
         "planned": _table(("mechanism", "at most, at each dispatcher"), projections.planned(result)),
@@ -57,17 +66,19 @@
     }
 
 
-def number(value: float) -> str:
-    """Three digits, in full."""
+def format_number(value: float) -> str:
+    """Return a number with three significant digits, written in full."""
     if value == 0 or abs(value) < 0.0005:
         return "0"
     return f"{float(f'{value:.3g}'):,.10g}"
 
 
-def shown(figure: Figure) -> str:
-    """The median with the range of the repeats."""
-    low, middle, high = (number(value) for value in (figure.low, figure.middle, figure.high))
-    return middle if low == high else f"{middle} ({low} to {high})"
+def format_figure(figure: Figure) -> str:
+    """Return the median, with the range of the repeats where they differ."""
+    minimum, median, maximum = (
+        format_number(value) for value in (figure.minimum, figure.median, figure.maximum)
+    )
+    return median if minimum == maximum else f"{median} ({minimum} to {maximum})"
 
 
 def _table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
@@ -75,56 +86,64 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines) + "\n"
 
 
-def stamps(result: Result) -> str:
-    """Which command gave what, where and when."""
-    rows, seen = [], dict[str, list[str]]()
-    for name, told in sorted(result.stamps.items()):
-        seen.setdefault(
-            f"`{told.command}` | {told.commit} | {told.cores:g} cores, {told.memory_gb:g} GB, Python "
-            f"{told.python} | {told.load_before:.1f} | {told.seconds:.0f} s",
+def stamps_table(result: Result) -> str:
+    """Return the table of the commands that measured the parts, with commit, machine and duration."""
+    rows, parts_by_stamp = [], dict[str, list[str]]()
+    for name, stamp in sorted(result.stamps.items()):
+        parts_by_stamp.setdefault(
+            f"`{stamp.command}` | {stamp.commit} | {stamp.cores:g} cores, {stamp.memory_gb:g} GB, Python "
+            f"{stamp.python} | {stamp.load_before:.1f} | {stamp.seconds:.0f} s",
             [],
         ).append(name)
-    for stamp, names in seen.items():
-        rows.append([", ".join(names), stamp])
+    for row, names in parts_by_stamp.items():
+        rows.append([", ".join(names), row])
     table = _table(("part", "command", "commit", "machine", "its load before", "took"), rows)
     if not result.points:
         return table
     cores, memory = (max(getattr(each, name) for each in result.points) for name in ("cores", "memory_mb"))
-    late = [window.figures["late_ms"] for each in result.points for window in each.windows]
-    most = f"All processes of a point took {cores:.2f} cores and {memory:,.0f} MB at the most."
-    median = statistics.median(late)
-    stood = f"A stand-in was {median:.0f} ms late in the median window, {max(late):.0f} ms at the most."
-    return f"{table}\n{most} {stood}\n"
+    delays_ms = [window.figures["late_ms"] for each in result.points for window in each.windows]
+    resources_text = f"All processes of a point took {cores:.2f} cores and {memory:,.0f} MB at the most."
+    median = statistics.median(delays_ms)
+    delay_text = (
+        f"A stand-in was {median:.0f} ms late in the median window, {max(delays_ms):.0f} ms at the most."
+    )
+    return f"{table}\n{resources_text} {delay_text}\n"
 
 
-def check(result: Result) -> str:
-    """Hollow ones beside real ones."""
+def check_table(result: Result) -> str:
+    """Return the table that compares hollow with real dispatchers."""
     measurement = [each for each in result.points if each.point.axis == CHECK.axis]
     if not measurement:
         return "Not measured.\n"
     try:
-        found = compare(measurement[0])
+        comparisons = compare(measurement[0])
     except MachineStalled as error:
         return f"Not measured: {error}.\n"
     rows = [
-        [row.name, number(row.real), number(row.hollow), f"{row.relative_difference:.3f}", f"{row.allowed:g}"]
-        for row in found
+        [
+            row.name,
+            format_number(row.real),
+            format_number(row.hollow),
+            f"{row.relative_difference:.3f}",
+            f"{row.allowed:g}",
+        ]
+        for row in comparisons
     ]
     return _table(("figure", "real", "hollow", "differ by the part", "allowed"), rows)
 
 
-def slopes(result: Result, before: Result | None) -> str:
-    """Every slope with its base and spread; beside them the earlier ones, where there are any."""
+def slopes_table(result: Result, before: Result | None) -> str:
+    """Return the table of all slopes with base and range, next to earlier ones if there are any."""
     rows = []
     for slope in SLOPES:
-        found, earlier = slope.of(result), slope.of(before) if before else None
-        if found is None:
+        fit_now, fit_before = slope.fit(result), slope.fit(before) if before else None
+        if fit_now is None:
             rows.append([slope.name, "not measured", "", slope.axis] + [""] * (before is not None))
             continue
         unit = f" {slope.unit}" if slope.unit else ""
-        row = [slope.name, shown(found[0]) + unit, shown(found[1]) + unit, slope.axis]
+        row = [slope.name, format_figure(fit_now[0]) + unit, format_figure(fit_now[1]) + unit, slope.axis]
         if before is not None:
-            row.append(shown(earlier[0]) + unit if earlier else "not measured")
+            row.append(format_figure(fit_before[0]) + unit if fit_before else "not measured")
         rows.append(row)
     head = ["figure", "slope", "base", "axis"] + ["slope before"] * (before is not None)
     return _table(head, rows)
@@ -154,32 +173,35 @@
 CHANGE_COLUMNS = (CPU, ("list lines/s", "real.list_lines", 1.0), ("list, B/s", "real.list_bytes", 1.0))
 
 
-def levels(result: Result, axis: str, field: str, title: str, columns: Sequence[Column]) -> str:
-    """What was measured at each point of an axis."""
+def levels_table(result: Result, axis: str, field: str, title: str, columns: Sequence[Column]) -> str:
+    """Return the table of the figures measured at each point of an axis."""
     key: Callable[[object], float] = lambda point: float(getattr(point, field))  # noqa: E731
-    points = on_axis(result, axis, key)
+    points = measurements_on_axis(result, axis, key)
     if not points:
         return "Not measured.\n"
     rows = [
-        [number(key(each.point)), *(shown(level(each, name).times(scale)) for _, name, scale in columns)]
+        [
+            format_number(key(each.point)),
+            *(format_figure(summarize_windows(each, name).scaled(scale)) for _, name, scale in columns),
+        ]
         for each in points
     ]
     return _table([title, *(column[0] for column in columns)], rows)
 
 
-def decisions(result: Result) -> str:
-    """What a request costs the decisions."""
+def decisions_table(result: Result) -> str:
+    """Return the table of the processor time of the decisions for a request."""
     if not result.decisions:
         return "Not measured.\n"
     rows = [
         [
-            number(cost.dispatchers),
-            number(cost.workers),
-            shown(spread(cost.request_us)),
-            shown(spread(cost.all_reported_us)),
-            shown(spread(cost.change_us)),
-            shown(spread(cost.list_us)),
-            number(statistics.median(cost.probes)),
+            format_number(cost.dispatchers),
+            format_number(cost.workers),
+            format_figure(summarize(cost.request_us)),
+            format_figure(summarize(cost.all_reported_us)),
+            format_figure(summarize(cost.change_us)),
+            format_figure(summarize(cost.list_us)),
+            format_number(statistics.median(cost.probes)),
         ]
         for cost in result.decisions
     ]
--- a/weldquay/lab/scale/projections.py
+++ b/weldquay/lab/scale/projections.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from weldquay.lab.scale.budget import CONTROL_PARTS, control, control_bytes, total
-from weldquay.lab.scale.results import Figure, Result, level, spread
+from weldquay.lab.scale.results import Figure, Result, summarize, summarize_windows
 from weldquay.lab.scale.targets import (
     CONTROL_BYTES_PER_S,
     CONTROL_CORES,
@@ -34,8 +34,8 @@
     if traffic is None or large is None or len(parts) < CONTROL_PARTS:
         return []
     left_bytes = max(1.0, CONTROL_BYTES_PER_S - traffic.total)
-    left_cores = CONTROL_CORES - total(parts).middle
-    left_mb = MEMORY_MB - level(large, "dispatcher.memory_mb").high
+    left_cores = CONTROL_CORES - total(parts).median
+    left_mb = MEMORY_MB - summarize_windows(large, "dispatcher.memory_mb").maximum
     pairs, sessions = TENANTS * MODELS, SESSIONS / DISPATCHERS
     core_text = (
         f"{left_cores:.2%} of a core is left"
@@ -95,15 +95,17 @@
     controls: list[tuple[float, Figure]] = []
     all_reported: list[tuple[float, Figure]] = []
     for cost in costs:
-        all_reported.append((float(cost.workers), spread(cost.all_reported_us).times(REQUESTS_PER_S / 1e6)))
+        all_reported.append(
+            (float(cost.workers), summarize(cost.all_reported_us).scaled(REQUESTS_PER_S / 1e6))
+        )
         if len(parts := control(result, cost.workers)) == CONTROL_PARTS:
             controls.append((float(cost.workers), total(parts)))
     rows = []
     for name, points in (("control", controls), ("decisions where all have just reported", all_reported)):
         if points:
-            fewest = crossing([(workers, cores.high) for workers, cores in points], CONTROL_CORES)
-            median = crossing([(workers, cores.middle) for workers, cores in points], CONTROL_CORES)
-            most = crossing([(workers, cores.low) for workers, cores in points], CONTROL_CORES)
+            fewest = crossing([(workers, cores.maximum) for workers, cores in points], CONTROL_CORES)
+            median = crossing([(workers, cores.median) for workers, cores in points], CONTROL_CORES)
+            most = crossing([(workers, cores.minimum) for workers, cores in points], CONTROL_CORES)
             text = f"{name}: over {CONTROL_CORES:.1%} of a core at {REQUESTS_PER_S:.1f} requests/s"
             rows.append(["workers in the list", text, f"{median} workers (spread: {fewest} to {most})"])
     return rows
--- a/weldquay/lab/scale/results.py
+++ b/weldquay/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""The JSON of a scale run, and the slopes that are drawn from it."""
+"""The JSON file of a scale run, and the slopes that are computed from it."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 
 class Stamp(msgspec.Struct):
-    """Where a part of the figures comes from."""
+    """The origin of a part of the figures."""
 
     command: str
     commit: str
     cores: float
     memory_gb: float
     python: str
-    load_before: float  # the machine's load average of a minute, before the run
+    load_before: float  # the machine's load average over one minute, before the run
     seconds: float = 0.0
 
 
 class Result(msgspec.Struct):
-    """All that was measured; each part has a stamp by its name."""
+    """All measurements; each part has a stamp under its name."""
 
     stamps: dict[str, Stamp] = {}
     points: list[Measurement] = []
     decisions: list[Cost] = []
 
 
-def stamp(command: str) -> Stamp:
-    """The stamp of a run that begins now."""
+def make_stamp(command: str) -> Stamp:
+    """Return the stamp of a run that begins now."""
     machine = proc.machine_resources()
     return Stamp(
         command,
-        commit(),
+        current_commit(),
         machine["cores"],
         machine["memory_gb"],
         platform.python_version(),
@@ -50,30 +50,30 @@
     )
 
 
-def commit() -> str:
-    """The commit of this checkout, marked where files of the program differ from it."""
+def current_commit() -> str:
+    """Return the commit of this checkout, with `-dirty` where files of the package differ from it."""
     package = Path(__file__).parents[2]
-    told = []
-    for asked in (["rev-parse", "--short=7", "HEAD"], ["status", "--porcelain", "--", "."]):
+    outputs = []
+    for arguments in (["rev-parse", "--short=7", "HEAD"], ["status", "--porcelain", "--", "."]):
         try:
-            done = subprocess.run(
-                ["git", *asked], cwd=package, capture_output=True, text=True, timeout=10, check=True
+            completed = subprocess.run(
+                ["git", *arguments], cwd=package, capture_output=True, text=True, timeout=10, check=True
             )
         except (OSError, subprocess.SubprocessError):
             return "unknown"
-        told.append(done.stdout.strip())
-    return told[0] + ("-dirty" if told[1] else "")
+        outputs.append(completed.stdout.strip())
+    return outputs[0] + ("-dirty" if outputs[1] else "")
 
 
-def read(path: Path) -> Result:
-    """A result from its file; an empty one where there is none."""
+def read_result(path: Path) -> Result:
+    """Read a result from its file; return an empty one where there is no file."""
     return msgspec.json.decode(path.read_bytes(), type=Result) if path.exists() else Result()
 
 
-def write(path: Path, result: Result) -> None:
-    """Write a result; figures to six digits."""
-    told = _rounded(msgspec.to_builtins(result))
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1) + b"\n")
+def write_result(path: Path, result: Result) -> None:
+    """Write a result, its figures rounded to six significant digits."""
+    fields = _rounded(msgspec.to_builtins(result))
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(fields), indent=1) + b"\n")
 
 
 def _rounded(value: object) -> object:
@@ -88,36 +88,36 @@
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """A figure with its spread: the least, the median and the most over the repeats."""
+    """A figure over the repeats: minimum, median and maximum."""
 
-    low: float
-    middle: float
-    high: float
+    minimum: float
+    median: float
+    maximum: float
 
-    def times(self, factor: float) -> Figure:
-        """The same in another unit, or of so many."""
-        return Figure(self.low * factor, self.middle * factor, self.high * factor)
+    def scaled(self, factor: float) -> Figure:
+        """Return the figure times a factor, for another unit or a total."""
+        return Figure(self.minimum * factor, self.median * factor, self.maximum * factor)
 
 
-def spread(values: Sequence[float]) -> Figure:
-    """The figure of some repeats."""
+def summarize(values: Sequence[float]) -> Figure:
+    """Return the figure of the values of some repeats."""
     return Figure(min(values), statistics.median(values), max(values))
 
 
-def on_axis(result: Result, axis: str, key: Callable[[Point], float]) -> list[Measurement]:
-    """The points of one axis, in order."""
+def measurements_on_axis(result: Result, axis: str, key: Callable[[Point], float]) -> list[Measurement]:
+    """Return the measurements of one axis, sorted by a key of their points."""
     return sorted((each for each in result.points if each.point.axis == axis), key=lambda p: key(p.point))
 
 
-def level(measurement: Measurement, name: str) -> Figure:
-    """A figure at one point, over its windows."""
-    return spread([window.figures.get(name, 0.0) for window in measurement.windows])
+def summarize_windows(measurement: Measurement, name: str) -> Figure:
+    """Return a figure of one point over its windows."""
+    return summarize([window.figures.get(name, 0.0) for window in measurement.windows])
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """How a figure grows with another: `y` = base + slope `x`, a line through the points for each repeat.
+    """How a figure depends on another: `y` = base + slope * `x`, with a line fitted for each repeat.
 
-    x: a figure of the windows, or `point.FIELD`; scale: from the figure's unit to the one that is shown.
+    x: a figure of the windows, or `point.FIELD`; scale: factor from the unit of `y` to the unit shown.
     """
 
     name: str
@@ -127,45 +127,47 @@
     unit: str
     scale: float = 1.0
 
-    def of(self, result: Result) -> tuple[Figure, Figure] | None:
-        """Slope and base; None where the axis was not played."""
+    def fit(self, result: Result) -> tuple[Figure, Figure] | None:
+        """Return slope and base, or None where the axis was not measured."""
         points = [each for each in result.points if each.point.axis == self.axis]
         if len(points) < 2:
             return None
-        rows = []
-        for number in range(min(len(each.windows) for each in points)):
-            xs = [self._x(each, number) for each in points]
-            ys = [each.windows[number].figures.get(self.y, 0.0) * self.scale for each in points]
-            rows.append(statistics.linear_regression(xs, ys))
-        return spread([row.slope for row in rows]), spread([row.intercept for row in rows])
-
-    def _x(self, measurement: Measurement, number: int) -> float:
+        lines = []
+        for window_index in range(min(len(each.windows) for each in points)):
+            x_values = [self._x_value(each, window_index) for each in points]
+            y_values = [each.windows[window_index].figures.get(self.y, 0.0) * self.scale for each in points]
+            lines.append(statistics.linear_regression(x_values, y_values))
+        return summarize([line.slope for line in lines]), summarize([line.intercept for line in lines])
+
+    def _x_value(self, measurement: Measurement, window_index: int) -> float:
         if self.x.startswith("point."):
             return float(getattr(measurement.point, self.x.removeprefix("point.")))
-        return measurement.windows[number].figures.get(self.x, 0.0)
+        return measurement.windows[window_index].figures.get(self.x, 0.0)
 
 
-REQUESTS = ("requests", "real.requests")
-WORKERS = ("workers", "point.workers")
-CHANGES = ("changes", "discovery.changes")
-FLEET = ("dispatchers", "point.dispatchers")
+REQUESTS_AXIS = ("requests", "real.requests")
+WORKERS_AXIS = ("workers", "point.workers")
+CHANGES_AXIS = ("changes", "discovery.changes")
+DISPATCHERS_AXIS = ("dispatchers", "point.dispatchers")
 SLOPES = (
-    Slope("processor time a request, 100 workers", *REQUESTS, "dispatcher.cpu", "us", 1e6),
-    Slope("processor time a list change, 400 workers", *CHANGES, "dispatcher.cpu", "us", 1e6),
-    Slope("memory a listed worker", *WORKERS, "dispatcher.memory_mb", "KB", 1024),
-    Slope("descriptors a request a second", *REQUESTS, "dispatcher.descriptors", ""),
-    Slope("attempts a request", *REQUESTS, "real.attempts", ""),
-    Slope("attempts, bytes a request", *REQUESTS, "real.attempts_bytes", "B"),
-    Slope("callbacks a request", *REQUESTS, "real.callbacks", ""),
-    Slope("callbacks, bytes a request", *REQUESTS, "real.callbacks_bytes", "B"),
-    Slope("probes a request, to 40 a second", *REQUESTS, "real.probes", ""),
-    Slope("list, bytes a change", *CHANGES, "real.list_bytes", "B"),
-    Slope("discovery: lines a second, a dispatcher (1 change/s)", *FLEET, "discovery.lines", ""),
-    Slope("discovery: bytes a second, a dispatcher (1 change/s)", *FLEET, "discovery.bytes", "B"),
-    Slope("discovery: processor time a second, a dispatcher", *FLEET, "discovery.cpu", "us", 1e6),
-    Slope("discovery: memory a dispatcher", *FLEET, "discovery.memory_mb", "KB", 1024),
-    Slope("discovery: descriptors a dispatcher", *FLEET, "discovery.descriptors", ""),
-    Slope("a worker: connections a dispatcher (100 workers)", *FLEET, "worker.connections", ""),
-    Slope("a worker: probes a second, a dispatcher at 1 request/s", *FLEET, "worker.probes", ""),
-    Slope("a worker: attempts a second, a dispatcher at 1 request/s", *FLEET, "worker.attempts", ""),
+    Slope("processor time a request, 100 workers", *REQUESTS_AXIS, "dispatcher.cpu", "us", 1e6),
+    Slope("processor time a list change, 400 workers", *CHANGES_AXIS, "dispatcher.cpu", "us", 1e6),
+    Slope("memory a listed worker", *WORKERS_AXIS, "dispatcher.memory_mb", "KB", 1024),
+    Slope("descriptors a request a second", *REQUESTS_AXIS, "dispatcher.descriptors", ""),
+    Slope("attempts a request", *REQUESTS_AXIS, "real.attempts", ""),
+    Slope("attempts, bytes a request", *REQUESTS_AXIS, "real.attempts_bytes", "B"),
+    Slope("callbacks a request", *REQUESTS_AXIS, "real.callbacks", ""),
+    Slope("callbacks, bytes a request", *REQUESTS_AXIS, "real.callbacks_bytes", "B"),
+    Slope("probes a request, to 40 a second", *REQUESTS_AXIS, "real.probes", ""),
+    Slope("list, bytes a change", *CHANGES_AXIS, "real.list_bytes", "B"),
+    Slope("discovery: lines a second, a dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.lines", ""),
+    Slope("discovery: bytes a second, a dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.bytes", "B"),
+    Slope("discovery: processor time a second, a dispatcher", *DISPATCHERS_AXIS, "discovery.cpu", "us", 1e6),
+    Slope("discovery: memory a dispatcher", *DISPATCHERS_AXIS, "discovery.memory_mb", "KB", 1024),
+    Slope("discovery: descriptors a dispatcher", *DISPATCHERS_AXIS, "discovery.descriptors", ""),
+    Slope("a worker: connections a dispatcher (100 workers)", *DISPATCHERS_AXIS, "worker.connections", ""),
+    Slope("a worker: probes a second, a dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.probes", ""),
+    Slope(
+        "a worker: attempts a second, a dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.attempts", ""
+    ),
 )
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -6,7 +6,7 @@
 
 from weldquay.lab.scale.budget import ProcessCost, request_and_probe
 from weldquay.lab.scale.fleet import Measurement
-from weldquay.lab.scale.results import Figure, Result, level
+from weldquay.lab.scale.results import Figure, Result, summarize_windows
 from weldquay.lab.scale.targets import (
     DISPATCHERS,
     FLEET_REQUESTS_PER_S,
@@ -38,7 +38,7 @@
 
     def at_full_size(self, name: str) -> float:
         """Return the median of a figure that was measured at the full size."""
-        return level(self.full_size, name).middle
+        return summarize_windows(self.full_size, name).median
 
     @property
     def list_lines_per_s(self) -> float:
@@ -106,8 +106,8 @@
 
 
 def _cpu_row(name: str, cost_us: Figure, rate: float) -> TableRow:
-    text = f"{cost_us.middle:,.0f} us ({cost_us.low:,.0f} to {cost_us.high:,.0f}) x {rate:.1f}/s"
-    return ["", name, text, f"{cost_us.middle * rate / 1e6:.1%} of a core"]
+    text = f"{cost_us.median:,.0f} us ({cost_us.minimum:,.0f} to {cost_us.maximum:,.0f}) x {rate:.1f}/s"
+    return ["", name, text, f"{cost_us.median * rate / 1e6:.1%} of a core"]
 
 
 def _discovery_rows(loads: Loads) -> list[TableRow]:
@@ -139,7 +139,7 @@
 
 def _worker_rows(loads: Loads) -> list[TableRow]:
     probes, connections = loads.at_full_size("real.probes"), loads.at_full_size("real.open")
-    small_fleet_connections = level(loads.many_dispatchers, "worker.connections").middle
+    small_fleet_connections = summarize_windows(loads.many_dispatchers, "worker.connections").median
     return [
         [
             "a worker",
--- a/weldquay/lab/scale/targets.py
+++ b/weldquay/lab/scale/targets.py
@@ -52,5 +52,5 @@
 
 def find_line(result: Result, name_prefix: str) -> Line | None:
     """Return the line of the first slope whose name starts so, or None where it was not measured."""
-    found = next(slope for slope in SLOPES if slope.name.startswith(name_prefix)).of(result)
-    return None if found is None else Line(found[0].middle, found[1].middle)
+    found = next(slope for slope in SLOPES if slope.name.startswith(name_prefix)).fit(result)
+    return None if found is None else Line(found[0].median, found[1].median)
