--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -1,4 +1,4 @@
-"""What a dispatcher's control work needs at the users' size, compared with its budget."""
+"""The cost of a dispatcher's control work in the users' fleet, compared with its budget."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     find_point,
 )
 
-CONTROL_PARTS = 4  # that `control` returns where all of them were measured
+CONTROL_PARTS = 4  # returned by `control_parts` if all were measured
 
 
 @dataclass(frozen=True, slots=True)
 class ControlPart:
-    """One part of the control work: its name, its derivation as text, and its fraction of a core."""
+    """One part of the control work: name, how its cost is derived, and cost as a fraction of a core."""
 
     name: str
     derivation: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """Bytes a second at one dispatcher, both directions."""
+    """Control traffic of one dispatcher in bytes per second, both directions."""
 
     list_bytes: float
     probe_bytes: float
 
     @property
     def total(self) -> float:
-        """All control bytes a second."""
+        """Return all control bytes per second."""
         return self.list_bytes + self.probe_bytes
 
 
@@ -56,16 +56,17 @@
 
 
 def verdict(needed: float, allowed: float) -> str:
-    """Return whether a need fits what is allowed, and the ratio of the two."""
+    """Return as text whether a need fits the budget, with the ratio of the two."""
     if needed <= allowed:
         return f"fits: {needed / allowed:.2f} of it"
     return f"does not fit: {needed / allowed:.1f} times as much"
 
 
-def request_and_probe(result: Result) -> ProcessCost | None:
-    """Return the cost of a request and of a probe, or None where too few points were measured.
+def fit_process_cost(result: Result) -> ProcessCost | None:
+    """Return the cost of a request and of a probe, or None if fewer than three points were measured.
 
-    Least squares over the axis of requests, for each repeat: the more requests, the fewer probes each has.
+    The costs are fitted by least squares over the points of the `requests` axis, for each repeat.  Requests
+    and probes can be told apart: the higher the request rate, the fewer probes each request has.
     """
     points = [measured for measured in result.points if measured.point.axis == "requests"]
     if len(points) < 3:
@@ -82,8 +83,8 @@
     )
 
 
-def growth(result: Result) -> Figure | None:
-    """Return the microseconds a request that a process spends more at the users' workers than at ten."""
+def worker_count_cost(result: Result) -> Figure | None:
+    """Return how many microseconds more a request costs a process with the users' workers than with ten."""
     small, large = (find_point(result, "workers", "workers", count) for count in (10, WORKERS))
     if small is None or large is None:
         return None
@@ -97,10 +98,10 @@
     )
 
 
-def control(result: Result, workers: int = WORKERS) -> list[ControlPart]:
+def control_parts(result: Result, workers: int = WORKERS) -> list[ControlPart]:
     """Return the measured parts of one dispatcher's control work.
 
-    The decisions are timed alone, in a loop that does nothing else; what a process spends is more (`growth`).
+    The decisions are timed in a loop that does nothing else; a process spends more (`worker_count_cost`).
     """
     parts: list[ControlPart] = []
     if (cost := find_cost(result, workers)) is not None:
@@ -109,9 +110,9 @@
         parts.append(ControlPart("decisions, played", text, request_us.scaled(REQUESTS_PER_S / 1e6)))
         text = f"{LIST_CHANGES_PER_S:.4f} changes/s x {change_us:,.0f} us"
         parts.append(ControlPart("list changes", text, summarize([LIST_CHANGES_PER_S * change_us / 1e6])))
-    large, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
-    if large is not None and process is not None:
-        probes = summarize_windows(large, "real.probes").median
+    full_size, process = find_point(result, "whole", "workers", WORKERS), fit_process_cost(result)
+    if full_size is not None and process is not None:
+        probes = summarize_windows(full_size, "real.probes").median
         text = f"{probes:.1f} probes/s x {process.probe_us.median:,.0f} us, sockets and decisions"
         parts.append(ControlPart("probes", text, process.probe_us.scaled(probes / 1e6)))
     if (idle := find_point(result, "requests", "real_rate", 0.0)) is not None:
@@ -120,8 +121,8 @@
     return parts
 
 
-def total(parts: Sequence[ControlPart]) -> Figure:
-    """Return the sum of some parts; its spread is that of all minima and of all maxima."""
+def sum_cores(parts: Sequence[ControlPart]) -> Figure:
+    """Return the sum of some parts; its range adds up all minima and all maxima."""
     figures = [part.cores for part in parts]
     return Figure(
         sum(figure.minimum for figure in figures),
@@ -130,25 +131,25 @@
     )
 
 
-def share(cores: Figure) -> str:
-    """Return a fraction of a core with its spread, as text."""
+def format_cores(cores: Figure) -> str:
+    """Return a fraction of a core with its range, as text."""
     return f"{cores.median:.2%} of a core ({cores.minimum:.2%} to {cores.maximum:.2%})"
 
 
 def control_bytes(result: Result) -> ControlTraffic | None:
-    """Return the control traffic of one dispatcher, or None where it was not measured."""
-    line, large = find_line(result, "list, bytes"), find_point(result, "whole", "workers", WORKERS)
-    if line is None or large is None:
+    """Return the control traffic of one dispatcher, or None if it was not measured."""
+    line, full_size = find_line(result, "list, bytes"), find_point(result, "whole", "workers", WORKERS)
+    if line is None or full_size is None:
         return None
     probe_bytes = (
-        summarize_windows(large, "real.probes_bytes").median
-        / summarize_windows(large, "real.requests").median
+        summarize_windows(full_size, "real.probes_bytes").median
+        / summarize_windows(full_size, "real.requests").median
     )
     return ControlTraffic(max(0.0, line.base) + LIST_CHANGES_PER_S * line.slope, probe_bytes * REQUESTS_PER_S)
 
 
-def lines(result: Result) -> list[TableRow]:
-    """Return the rows of the budget's table."""
+def budget_rows(result: Result) -> list[TableRow]:
+    """Return the rows of the table of the budget."""
     return [
         *_control_rows(result),
         *_growth_rows(result),
@@ -165,30 +166,30 @@
 
 
 def _control_rows(result: Result) -> list[TableRow]:
-    parts = control(result)
+    parts = control_parts(result)
     rows = [
         [
             f"processor time: {part.name}",
-            f"{part.derivation} = {share(part.cores)}",
+            f"{part.derivation} = {format_cores(part.cores)}",
             "",
             f"{part.cores.median / CONTROL_CORES:.2f} of the line",
         ]
         for part in parts
     ]
     if len(parts) == CONTROL_PARTS:
-        cores = total(parts)
-        row = ["processor time, these together", share(cores), f"{CONTROL_CORES:.1%}"]
+        cores = sum_cores(parts)
+        row = ["processor time, these together", format_cores(cores), f"{CONTROL_CORES:.1%}"]
         rows.append([*row, verdict(cores.median, CONTROL_CORES)])
     return rows
 
 
 def _cores_row(name: str, request_us: float, cores: Figure) -> TableRow:
-    text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us:,.0f} us = {share(cores)}"
+    text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us:,.0f} us = {format_cores(cores)}"
     return [name, text, f"{CONTROL_CORES:.1%}", verdict(cores.median, CONTROL_CORES)]
 
 
 def _growth_rows(result: Result) -> list[TableRow]:
-    if (request_us := growth(result)) is None:
+    if (request_us := worker_count_cost(result)) is None:
         return []
     name = f"the same in a process: what {WORKERS:,} workers cost more than 10"
     return [_cores_row(name, request_us.median, request_us.scaled(REQUESTS_PER_S / 1e6))]
@@ -203,9 +204,9 @@
 
 
 def _memory_rows(result: Result) -> list[TableRow]:
-    if (large := find_point(result, "whole", "workers", WORKERS)) is None:
+    if (full_size := find_point(result, "whole", "workers", WORKERS)) is None:
         return []
-    needed_mb = summarize_windows(large, "dispatcher.memory_mb").maximum
+    needed_mb = summarize_windows(full_size, "dispatcher.memory_mb").maximum
     text = f"{needed_mb:.0f} MB resident with {WORKERS:,} workers, the whole process"
     return [["memory", text, f"{MEMORY_MB:.0f} MB", verdict(needed_mb, MEMORY_MB)]]
 
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -1,10 +1,12 @@
-"""What a request costs the decisions, by the number of workers and of dispatchers in the settings.
+"""The processor time of the decisions for a request, by the number of workers and of dispatchers.
 
-Simulated: the decision module in virtual time against model workers (`lab.virtual_time`), at the rate that a
-dispatcher has at the users' size.  Each step is timed; the sum over a run, by request, is the figure: the
-step that takes the request in, those for its probes and its end, the timers between.  Few workers have news.
+Simulated: the decision module runs in virtual time against model workers (`lab.virtual_time`), at the request
+rate of a dispatcher in the users' fleet.  The figure is the time of all steps of a run divided by the number
+of requests: the steps that receive a request, those for its probes and its end, and the timers in between.
+Few workers have fresh reports.
 
-All told: every worker has just reported, which is the most that a request can cost; the steps of one request.
+All reported: every worker has just reported its load, which is the most that a request can cost; the figure
+is the time of the steps of one request.
 """
 
 from __future__ import annotations
@@ -24,73 +26,79 @@
 from weldquay.policy.dispatcher import Dispatcher
 from weldquay.settings import FlatSettings, decode_settings
 
-RATE = 20.0  # requests a second
+REQUESTS_PER_S = 20.0
 WORKERS = (10, 100, 400, 1400)
 DISPATCHERS = (1, 410)
-REQUESTS = 200  # ten seconds
+REQUESTS = 200  # ten seconds at this rate
 ALL_REPORTED_REQUESTS = 9
 REPEATS = 5
 ProgressCallback = Callable[[str], None]
 
 
 class Cost(msgspec.Struct):
-    """The cost of one size; each list has a figure a repeat, in microseconds of processor time."""
+    """The cost at one fleet size; each list has one figure per repeat, in microseconds of processor time."""
 
     workers: int
     dispatchers: int
     requests: int  # in each repeat
-    request_us: list[float]  # all steps of a request together, played
+    request_us: list[float]  # all steps for a request, simulated
     all_reported_us: list[float] = msgspec.field(name="told_us")  # where every worker has just reported
-    change_us: list[float]  # a step that takes in a list change of one worker
-    list_us: list[float]  # a step that takes in the whole list
-    probes: list[float]  # a request
+    change_us: list[float]  # a step with a list change of one worker
+    list_us: list[float]  # a step with the whole list
+    probes: list[float]  # per request, not a time
 
 
 class TimedDispatcher:
-    """A dispatcher whose steps are timed."""
+    """A dispatcher that adds up the processor time of its steps."""
 
     def __init__(self, inner: Dispatcher) -> None:
-        self.inner, self.spent_s = inner, 0.0
+        self.inner, self.cpu_s = inner, 0.0
 
     def step(self, now_ns: int, events: list[api.Event]) -> list[api.Action]:
-        """One step of the dispatcher."""
-        begun = time.process_time()
+        """Execute one step of the dispatcher."""
+        start_s = time.process_time()
         actions = self.inner.step(now_ns, events)
-        self.spent_s += time.process_time() - begun
+        self.cpu_s += time.process_time() - start_s
         return actions
 
 
 def arrivals(requests: int, seed: int) -> list[loads.Arrival]:
-    """Jobs at one dispatcher, at moments drawn from a seed."""
-    draw, at_ns, found = random.Random(seed), 0.0, []
+    """Return the jobs of one dispatcher, at random times from a seed."""
+    rng, at_ns, drawn = random.Random(seed), 0.0, []
     for number in range(requests):
-        at_ns += draw.expovariate(RATE) * model.SECOND
-        found.append(loads.Arrival(number, int(at_ns), 0, 0, float(MEAN_WORK_NS), 1, 0.5, None))
-    return found
+        at_ns += rng.expovariate(REQUESTS_PER_S) * model.SECOND
+        drawn.append(loads.Arrival(number, int(at_ns), 0, 0, float(MEAN_WORK_NS), 1, 0.5, None))
+    return drawn
 
 
 def measure(workers: int, dispatchers: int, requests: int = REQUESTS, repeats: int = REPEATS) -> Cost:
-    """Play one size so many times."""
+    """Measure one fleet size."""
     cost = Cost(workers, dispatchers, requests, [], [], [], [], [])
-    told = decode_settings(FlatSettings.from_nested(settings(dispatchers, 0)))[0]
+    dispatcher_settings = decode_settings(FlatSettings.from_nested(settings(dispatchers, 0)))[0]
     specs = [model.WorkerSpec(f"w-{number}", slots=32, cores=32, queue_limit=64) for number in range(workers)]
     for seed in range(1, repeats + 1):
-        simulation = Simulation(Scenario(arrivals(requests, seed), specs, [told], seed, JOB_CLASSES))
+        simulation = Simulation(
+            Scenario(arrivals(requests, seed), specs, [dispatcher_settings], seed, JOB_CLASSES)
+        )
         dispatcher = TimedDispatcher(simulation.dispatchers[0])
-        simulation.dispatchers = [dispatcher]  # type: ignore[list-item]  # it has the one method that is used
+        simulation.dispatchers = [dispatcher]  # type: ignore[list-item]  # has the only method that is used
         result = simulation.run()
-        cost.request_us.append(dispatcher.spent_s / requests * 1e6)
+        cost.request_us.append(dispatcher.cpu_s / requests * 1e6)
         cost.probes.append(result.counts["probes"] / requests)
         change_us, list_us = _list_cost(dispatcher, workers, simulation.now_ns)
         cost.change_us.append(change_us)
         cost.list_us.append(list_us)
-        cost.all_reported_us.append(_all_reported_cost(told, workers, seed))
+        cost.all_reported_us.append(_all_reported_cost(dispatcher_settings, workers, seed))
     return cost
 
 
-def _all_reported_cost(told: api.Settings, workers: int, seed: int) -> float:
-    """The steps of one request where all workers have just reported: the median of some requests."""
-    dispatcher, now_ns, found = TimedDispatcher(Dispatcher(told, seed)), 1000 * model.SECOND, []
+def _all_reported_cost(dispatcher_settings: api.Settings, workers: int, seed: int) -> float:
+    """Return the median time of the steps of a request where all workers have just reported."""
+    dispatcher, now_ns, costs_us = (
+        TimedDispatcher(Dispatcher(dispatcher_settings, seed)),
+        1000 * model.SECOND,
+        [],
+    )
     dispatcher.step(now_ns, [api.EndpointListUpdate(api.EndpointListKind.FULL, _entries(workers))])
     for number in range(ALL_REPORTED_REQUESTS):
         now_ns += model.SECOND // 20
@@ -99,7 +107,7 @@
             api.ProbeEnded(worker + 1, api.Outcome.OK, model.MS, report) for worker in range(workers)
         ]
         dispatcher.step(now_ns, reports)
-        dispatcher.spent_s = 0.0
+        dispatcher.cpu_s = 0.0
         actions = dispatcher.step(now_ns, [api.RequestReceived(number, 0, 2 * model.SECOND)])
         for action in actions:
             if isinstance(action, api.Send):
@@ -109,8 +117,8 @@
                 )
                 dispatcher.step(now_ns + model.MS, [started])
                 dispatcher.step(now_ns + 20 * model.MS, [ended])
-        found.append(dispatcher.spent_s * 1e6)
-    return statistics.median(found)
+        costs_us.append(dispatcher.cpu_s * 1e6)
+    return statistics.median(costs_us)
 
 
 def _entries(workers: int) -> tuple[api.WorkerEntry, ...]:
@@ -121,24 +129,24 @@
 
 
 def _list_cost(dispatcher: TimedDispatcher, workers: int, now_ns: int) -> tuple[float, float]:
-    """A change of one worker and the whole list: the median of some steps each."""
+    """Return the median times of a list change of one worker and of a whole list."""
     entries = _entries(workers)
-    found: list[list[float]] = [[], []]
+    costs_us: list[list[float]] = [[], []]
     for number in range(9):
         state = (api.WorkerState.DRAINING, api.WorkerState.READY)[number % 2]
         change = api.WorkerEntry(1, state, kind=1, start_id=1)
         for times_us, event in zip(
-            found,
+            costs_us,
             (
                 api.EndpointListUpdate(api.EndpointListKind.DELTA, (change,)),
                 api.EndpointListUpdate(api.EndpointListKind.FULL, entries),
             ),
             strict=True,
         ):
-            before, now_ns = dispatcher.spent_s, now_ns + 1_000_000
+            cpu_s_before, now_ns = dispatcher.cpu_s, now_ns + 1_000_000
             dispatcher.step(now_ns, [event])
-            times_us.append((dispatcher.spent_s - before) * 1e6)
-    return statistics.median(found[0]), statistics.median(found[1])
+            times_us.append((dispatcher.cpu_s - cpu_s_before) * 1e6)
+    return statistics.median(costs_us[0]), statistics.median(costs_us[1])
 
 
 def measure_all(
@@ -146,7 +154,7 @@
     dispatchers: Sequence[int] = DISPATCHERS,
     report_progress: ProgressCallback = lambda _: None,
 ) -> list[Cost]:
-    """Return the costs of all sizes."""
+    """Return the costs at all fleet sizes."""
     costs = []
     for dispatcher_count in dispatchers:
         for worker_count in workers:
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -10,8 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from weldquay.errors import OperatorError
-from weldquay.lab.scale import budget, projections
-from weldquay.lab.scale import roles as role_loads
+from weldquay.lab.scale import budget, projections, roles
 from weldquay.lab.scale.check import MachineStalled, compare
 from weldquay.lab.scale.points import CHECK
 from weldquay.lab.scale.results import (
@@ -59,10 +58,12 @@
             result, "whole", "dispatchers", "dispatchers", (*WORKER_COLUMNS, *FLEET_COLUMNS)
         ),
         "decisions": decisions_table(result),
-        "roles": _table(("role", "figure", "slope x count", "at the users' size"), role_loads.roles(result)),
-        "budget": _table(("line", "needed at the users' size", "allowed", "verdict"), budget.lines(result)),
-        "planned": _table(("mechanism", "at most, at each dispatcher"), projections.planned(result)),
-        "limits": _table(("what grows", "first limit met", "at"), projections.limits(result)),
+        "roles": _table(("role", "figure", "slope x count", "at the users' size"), roles.role_rows(result)),
+        "budget": _table(
+            ("line", "needed at the users' size", "allowed", "verdict"), budget.budget_rows(result)
+        ),
+        "planned": _table(("mechanism", "at most, at each dispatcher"), projections.planned_rows(result)),
+        "limits": _table(("what grows", "first limit met", "at"), projections.limit_rows(result)),
     }
 
 
--- a/weldquay/lab/scale/projections.py
+++ b/weldquay/lab/scale/projections.py
@@ -1,10 +1,10 @@
-"""Where the measured lines meet the first limits, and what the budget leaves for planned mechanisms."""
+"""The sizes at which measured lines reach a limit, and what the budget leaves for planned mechanisms."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from weldquay.lab.scale.budget import CONTROL_PARTS, control, control_bytes, total
+from weldquay.lab.scale.budget import CONTROL_PARTS, control_bytes, control_parts, sum_cores
 from weldquay.lab.scale.results import Figure, Result, summarize, summarize_windows
 from weldquay.lab.scale.targets import (
     CONTROL_BYTES_PER_S,
@@ -27,52 +27,52 @@
 )
 
 
-def planned(result: Result) -> list[TableRow]:
-    """Return what planned mechanisms may use at most: arithmetic on what the budget leaves."""
-    traffic, large = control_bytes(result), find_point(result, "whole", "workers", WORKERS)
-    parts = control(result)
-    if traffic is None or large is None or len(parts) < CONTROL_PARTS:
+def planned_rows(result: Result) -> list[TableRow]:
+    """Return the most that planned mechanisms may use, computed from what the budget leaves."""
+    traffic, full_size = control_bytes(result), find_point(result, "whole", "workers", WORKERS)
+    parts = control_parts(result)
+    if traffic is None or full_size is None or len(parts) < CONTROL_PARTS:
         return []
-    left_bytes = max(1.0, CONTROL_BYTES_PER_S - traffic.total)
-    left_cores = CONTROL_CORES - total(parts).median
-    left_mb = MEMORY_MB - summarize_windows(large, "dispatcher.memory_mb").maximum
+    spare_bytes = max(1.0, CONTROL_BYTES_PER_S - traffic.total)
+    spare_cores = CONTROL_CORES - sum_cores(parts).median
+    spare_mb = MEMORY_MB - summarize_windows(full_size, "dispatcher.memory_mb").maximum
     pairs, sessions = TENANTS * MODELS, SESSIONS / DISPATCHERS
     core_text = (
-        f"{left_cores:.2%} of a core is left"
-        if left_cores > 0
-        else f"none is left: {-left_cores:.2%} of a core too much"
+        f"{spare_cores:.2%} of a core is left"
+        if spare_cores > 0
+        else f"none is left: {-spare_cores:.2%} of a core too much"
     )
     return [
-        ["all together", f"{left_bytes:,.0f} B/s, {left_mb:,.0f} MB; processor time: {core_text}"],
+        ["all together", f"{spare_bytes:,.0f} B/s, {spare_mb:,.0f} MB; processor time: {core_text}"],
         ["members (SWIM)", f"a fixed number of messages a period, whatever the count; {DISPATCHERS} entries"],
         [
             "shared counts",
             f"{TENANTS:,} tenants x {MODELS} models = {pairs:,} pairs: told whole at {MIN_ENTRY_BYTES} B "
-            f"each they take {pairs * MIN_ENTRY_BYTES / left_bytes:,.0f} s of all that is left, so only what "
-            f"changed: {left_bytes / MIN_ENTRY_BYTES:,.0f} a second",
+            f"each they take {pairs * MIN_ENTRY_BYTES / spare_bytes:,.0f} s of all that is left, so only "
+            f"what changed: {spare_bytes / MIN_ENTRY_BYTES:,.0f} a second",
         ],
         [
             "versioned settings",
             f"{SETTINGS_CHANGES_PER_DAY / 86400:.4f} changes/s, each here within "
-            f"{SETTINGS_DEADLINE_S:.0f} s: {left_bytes * SETTINGS_DEADLINE_S / 1024:,.1f} KB a change "
+            f"{SETTINGS_DEADLINE_S:.0f} s: {spare_bytes * SETTINGS_DEADLINE_S / 1024:,.1f} KB a change "
             f"at the rate that is left",
         ],
         [
             "leases (sessions)",
             f"{SESSIONS:,} / {DISPATCHERS} = {sessions:,.0f} a dispatcher; at {MIN_ENTRY_BYTES} B each "
-            f"renewed no more often than every {sessions * MIN_ENTRY_BYTES / left_bytes:,.0f} s; held by all "
-            f"they could take {left_mb * 2**20 / SESSIONS:,.0f} B each",
+            f"renewed no more often than every {sessions * MIN_ENTRY_BYTES / spare_bytes:,.0f} s; held by "
+            f"all they could take {spare_mb * 2**20 / SESSIONS:,.0f} B each",
         ],
         [
             "prefixes, bookings",
             f"{PREFIXES:,} prefixes at {MIN_ENTRY_BYTES} B: {PREFIXES * MIN_ENTRY_BYTES / 1024:,.0f} KB, "
-            f"told anew within {PREFIXES * MIN_ENTRY_BYTES / left_bytes:,.0f} s at the soonest",
+            f"told anew within {PREFIXES * MIN_ENTRY_BYTES / spare_bytes:,.0f} s at the soonest",
         ],
     ]
 
 
 def crossing(points: Sequence[tuple[float, float]], allowed: float) -> str:
-    """Return at which x a figure exceeds what is allowed, interpolated between (x, figure) points."""
+    """Return the x at which a figure exceeds its limit, interpolated between (x, figure) points."""
     previous_x, previous_value = 0.0, 0.0
     for x, value in points:
         if value > allowed:
@@ -82,37 +82,40 @@
     return f"not up to {points[-1][0]:,.0f}"
 
 
-def limits(result: Result) -> list[TableRow]:
-    """Return the rows of the first limits met, by what grows."""
+def limit_rows(result: Result) -> list[TableRow]:
+    """Return the rows of the table of limits: what grows, and the first limit it reaches."""
     return [*_decision_limits(result), *_line_limits(result), *_discovery_restart(result)]
 
 
 def _decision_limits(result: Result) -> list[TableRow]:
-    """Return the numbers of workers at which decisions exceed the processor budget."""
+    """Return the numbers of workers at which decisions exceed the budget of processor time."""
     costs = sorted(
         (cost for cost in result.decisions if cost.dispatchers == DISPATCHERS), key=lambda cost: cost.workers
     )
-    controls: list[tuple[float, Figure]] = []
-    all_reported: list[tuple[float, Figure]] = []
+    control_points: list[tuple[float, Figure]] = []
+    all_reported_points: list[tuple[float, Figure]] = []
     for cost in costs:
-        all_reported.append(
+        all_reported_points.append(
             (float(cost.workers), summarize(cost.all_reported_us).scaled(REQUESTS_PER_S / 1e6))
         )
-        if len(parts := control(result, cost.workers)) == CONTROL_PARTS:
-            controls.append((float(cost.workers), total(parts)))
+        if len(parts := control_parts(result, cost.workers)) == CONTROL_PARTS:
+            control_points.append((float(cost.workers), sum_cores(parts)))
     rows = []
-    for name, points in (("control", controls), ("decisions where all have just reported", all_reported)):
+    for name, points in (
+        ("control", control_points),
+        ("decisions where all have just reported", all_reported_points),
+    ):
         if points:
-            fewest = crossing([(workers, cores.maximum) for workers, cores in points], CONTROL_CORES)
+            lowest = crossing([(workers, cores.maximum) for workers, cores in points], CONTROL_CORES)
             median = crossing([(workers, cores.median) for workers, cores in points], CONTROL_CORES)
-            most = crossing([(workers, cores.minimum) for workers, cores in points], CONTROL_CORES)
+            highest = crossing([(workers, cores.minimum) for workers, cores in points], CONTROL_CORES)
             text = f"{name}: over {CONTROL_CORES:.1%} of a core at {REQUESTS_PER_S:.1f} requests/s"
-            rows.append(["workers in the list", text, f"{median} workers (spread: {fewest} to {most})"])
+            rows.append(["workers in the list", text, f"{median} workers (spread: {lowest} to {highest})"])
     return rows
 
 
 def _line_limits(result: Result) -> list[TableRow]:
-    """Return where a measured line meets a limit."""
+    """Return where a measured line reaches a limit."""
     rows = []
     if line := find_line(result, "processor time a request"):
         limit = (1e6 - line.base) / line.slope
@@ -133,10 +136,10 @@
 
 
 def _discovery_restart(result: Result) -> list[TableRow]:
-    """Return the traffic after a restart of discovery, when all dispatchers ask for the whole list."""
-    if (large := find_point(result, "whole", "workers", WORKERS)) is None:
+    """Return the traffic after discovery restarts, when all dispatchers poll for the whole list."""
+    if (full_size := find_point(result, "whole", "workers", WORKERS)) is None:
         return []
-    list_bytes = large.started_lists["real"]
+    list_bytes = full_size.started_lists["real"]
     text = (
         f"a whole list is {list_bytes / 1024:,.0f} KB; "
         f"all {DISPATCHERS} ask within the list's {LIST_DEADLINE_S:.0f} s"
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -1,10 +1,10 @@
-"""The load of each role at the users' size: a measured slope or level times a count."""
+"""The load of each role in the users' fleet: a measured slope or level times a count."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from weldquay.lab.scale.budget import ProcessCost, request_and_probe
+from weldquay.lab.scale.budget import ProcessCost, fit_process_cost
 from weldquay.lab.scale.fleet import Measurement
 from weldquay.lab.scale.results import Figure, Result, summarize_windows
 from weldquay.lab.scale.targets import (
@@ -25,36 +25,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Loads:
-    """What the rows are made of; slopes are per request, per listed worker, per change or per dispatcher."""
+    """The loads that the rows are computed from; slopes per request, listed worker, change or dispatcher."""
 
     full_size: Measurement  # all dispatchers and workers
     many_dispatchers: Measurement  # all dispatchers, 100 workers
     process: ProcessCost
-    attempts: float  # a request
-    callbacks: float  # a request
+    attempts: float  # per request
+    callbacks: float  # per request
     memory_kb: Line
     change_bytes: float
     discovery_us: float
 
     def at_full_size(self, name: str) -> float:
-        """Return the median of a figure that was measured at the full size."""
+        """Return the median of a figure measured at the size of the users' fleet."""
         return summarize_windows(self.full_size, name).median
 
     @property
     def list_lines_per_s(self) -> float:
-        """Lines of the list that a dispatcher receives in a second."""
+        """Return the lines of the list that a dispatcher receives per second."""
         return HEARTBEATS_PER_S + LIST_CHANGES_PER_S
 
 
-def roles(result: Result) -> list[TableRow]:
-    """Return the rows of all roles, or none where a part was not measured."""
+def role_rows(result: Result) -> list[TableRow]:
+    """Return the rows of all roles, or none if a part was not measured."""
     if (loads := _find_loads(result)) is None:
         return []
     return [*_dispatcher_rows(loads), *_discovery_rows(loads), *_worker_rows(loads)]
 
 
 def _find_loads(result: Result) -> Loads | None:
-    full_size, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
+    full_size, process = find_point(result, "whole", "workers", WORKERS), fit_process_cost(result)
     many_dispatchers = find_point(result, "dispatchers", "dispatchers", DISPATCHERS)
     changes = find_line(result, "list, bytes")
     if full_size is None or process is None or many_dispatchers is None or changes is None:
--- a/weldquay/lab/scale/targets.py
+++ b/weldquay/lab/scale/targets.py
@@ -1,4 +1,4 @@
-"""The users' fleet, the budget of a dispatcher's control work, and a result's values at that size."""
+"""The users' fleet, the budget for a dispatcher's control work, and a result's values at that fleet size."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 WORKERS = 1400
 FLEET_REQUESTS_PER_S = 8100.0
 REQUESTS_PER_S = FLEET_REQUESTS_PER_S / DISPATCHERS  # of one dispatcher
-# Failures and restarts of workers a day; each takes a line when the worker leaves and one when it is back.
+# Failures and restarts of workers per day; each is a change when the worker leaves and one when it is back.
 LIST_CHANGES_PER_S = 2 * (16 + 520) / 86400
 
-CONTROL_CORES = 0.016  # budget of one dispatcher for control, as are the next two
+CONTROL_CORES = 0.016  # these three limits are one dispatcher's budget for control
 MEMORY_MB = 256.0
 CONTROL_BYTES_PER_S = 2000.0
 
@@ -24,9 +24,9 @@
 SESSIONS = 1_300_000
 PREFIXES = 15_000
 SETTINGS_CHANGES_PER_DAY = 700
-SETTINGS_DEADLINE_S = 5.0  # from a change of the settings until it is in force at every dispatcher
-MIN_ENTRY_BYTES = 16  # of a planned mechanism: an id and a figure
-LIST_DEADLINE_S = 6.0  # from a change of the list until the dispatchers have to know it
+SETTINGS_DEADLINE_S = 5.0  # from a change of the settings until it takes effect at every dispatcher
+MIN_ENTRY_BYTES = 16  # of an entry of a planned mechanism: an id and a figure
+LIST_DEADLINE_S = 6.0  # from a change of the list until all dispatchers must have it
 
 TableRow = list[str]
 
@@ -39,18 +39,18 @@
 
 
 def find_cost(result: Result, workers: int = WORKERS) -> Cost | None:
-    """Return the measured cost of decisions in a fleet of the users' dispatchers, or None."""
+    """Return the measured cost of decisions with the dispatchers of the users' fleet, or None."""
     size = (workers, DISPATCHERS)
     return next((cost for cost in result.decisions if (cost.workers, cost.dispatchers) == size), None)
 
 
 def find_point(result: Result, axis: str, field: str, value: float) -> Measurement | None:
-    """Return the measured point of an axis at which a field has this value, or None."""
+    """Return the measurement of an axis whose point has this value in a field, or None."""
     on_axis = (measured for measured in result.points if measured.point.axis == axis)
     return next((measured for measured in on_axis if getattr(measured.point, field) == value), None)
 
 
 def find_line(result: Result, name_prefix: str) -> Line | None:
-    """Return the line of the first slope whose name starts so, or None where it was not measured."""
+    """Return the line of the first slope whose name starts with a prefix, or None if it was not measured."""
     found = next(slope for slope in SLOPES if slope.name.startswith(name_prefix)).fit(result)
     return None if found is None else Line(found[0].median, found[1].median)
