--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -58,8 +58,8 @@
 def verdict(needed: float, allowed: float) -> str:
     """Return as text whether a need fits the budget, with the ratio of the two."""
     if needed <= allowed:
-        return f"fits: {needed / allowed:.2f} of it"
-    return f"does not fit: {needed / allowed:.1f} times as much"
+        return f"fits: {needed / allowed:.2f} of the budget"
+    return f"does not fit: {needed / allowed:.1f} times the budget"
 
 
 def fit_process_cost(result: Result) -> ProcessCost | None:
@@ -107,7 +107,7 @@
     if (cost := find_cost(result, workers)) is not None:
         request_us, change_us = summarize(cost.request_us), statistics.median(cost.change_us)
         text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us.median:,.0f} us"
-        parts.append(ControlPart("decisions, played", text, request_us.scaled(REQUESTS_PER_S / 1e6)))
+        parts.append(ControlPart("decisions, simulated", text, request_us.scaled(REQUESTS_PER_S / 1e6)))
         text = f"{LIST_CHANGES_PER_S:.4f} changes/s x {change_us:,.0f} us"
         parts.append(ControlPart("list changes", text, summarize([LIST_CHANGES_PER_S * change_us / 1e6])))
     full_size, process = find_point(result, "whole", "workers", WORKERS), fit_process_cost(result)
@@ -117,7 +117,7 @@
         parts.append(ControlPart("probes", text, process.probe_us.scaled(probes / 1e6)))
     if (idle := find_point(result, "requests", "real_rate", 0.0)) is not None:
         text = "a process without requests, 100 workers, 1 list change/s"
-        parts.append(ControlPart("at rest", text, summarize_windows(idle, "dispatcher.cpu")))
+        parts.append(ControlPart("idle", text, summarize_windows(idle, "dispatcher.cpu")))
     return parts
 
 
@@ -157,10 +157,10 @@
         *_memory_rows(result),
         *_traffic_rows(result),
         [
-            "machines set aside",
-            "0 for what is built: dispatchers agree by settings alone; discovery is the site's",
+            "dedicated machines",
+            "0 so far: dispatchers coordinate through settings alone; discovery belongs to the site",
             "25",
-            "fits; members, shared counts, settings' versions, leases, bookings are planned: not measured",
+            "fits; members, shared counts, versioned settings, leases and bookings are planned, not measured",
         ],
     ]
 
@@ -172,13 +172,13 @@
             f"processor time: {part.name}",
             f"{part.derivation} = {format_cores(part.cores)}",
             "",
-            f"{part.cores.median / CONTROL_CORES:.2f} of the line",
+            f"{part.cores.median / CONTROL_CORES:.2f} of the budget",
         ]
         for part in parts
     ]
     if len(parts) == CONTROL_PARTS:
         cores = sum_cores(parts)
-        row = ["processor time, these together", format_cores(cores), f"{CONTROL_CORES:.1%}"]
+        row = ["processor time, sum of these", format_cores(cores), f"{CONTROL_CORES:.1%}"]
         rows.append([*row, verdict(cores.median, CONTROL_CORES)])
     return rows
 
@@ -191,7 +191,7 @@
 def _growth_rows(result: Result) -> list[TableRow]:
     if (request_us := worker_count_cost(result)) is None:
         return []
-    name = f"the same in a process: what {WORKERS:,} workers cost more than 10"
+    name = f"the same in a process: extra cost of {WORKERS:,} workers over 10"
     return [_cores_row(name, request_us.median, request_us.scaled(REQUESTS_PER_S / 1e6))]
 
 
@@ -199,7 +199,7 @@
     if (cost := find_cost(result)) is None:
         return []
     cores = summarize(cost.all_reported_us).scaled(REQUESTS_PER_S / 1e6)
-    name = "decisions, where all workers have just reported"
+    name = "decisions where all workers have just reported"
     return [_cores_row(name, statistics.median(cost.all_reported_us), cores)]
 
 
@@ -218,4 +218,4 @@
         f"list {traffic.list_bytes:.0f} B/s, probes {traffic.probe_bytes:,.0f} B/s: {traffic.total:,.0f} B/s"
     )
     allowed = f"{CONTROL_BYTES_PER_S:,.0f} B/s"
-    return [["bytes a second, both ways", text, allowed, verdict(traffic.total, CONTROL_BYTES_PER_S)]]
+    return [["bytes per second, both directions", text, allowed, verdict(traffic.total, CONTROL_BYTES_PER_S)]]
--- a/weldquay/lab/scale/check.py
+++ b/weldquay/lab/scale/check.py
@@ -71,9 +71,9 @@
     comparisons = []
     for name, allowed in PER_REQUEST_TOLERANCES.items():
         real, hollow = (mean(f"{side}.{name}") / mean(f"{side}.requests") for side in ("real", "hollow"))
-        comparisons.append(Comparison(f"{name} a request", real, hollow, allowed))
+        comparisons.append(Comparison(f"{name} per request", real, hollow, allowed))
     for name, allowed in PER_SECOND_TOLERANCES.items():
         comparisons.append(
-            Comparison(f"{name} a second", mean(f"real.{name}"), mean(f"hollow.{name}"), allowed)
+            Comparison(f"{name} per second", mean(f"real.{name}"), mean(f"hollow.{name}"), allowed)
         )
     return comparisons
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -51,19 +51,19 @@
         "check": check_table(result),
         "slopes": slopes_table(result, before),
         "workers": levels_table(result, "workers", "workers", "workers", WORKER_COLUMNS),
-        "requests": levels_table(result, "requests", "real_rate", "requests a second", REQUEST_COLUMNS),
+        "requests": levels_table(result, "requests", "real_rate", "requests per second", REQUEST_COLUMNS),
         "dispatchers": levels_table(result, "dispatchers", "dispatchers", "dispatchers", FLEET_COLUMNS),
-        "changes": levels_table(result, "changes", "changes", "changes a second", CHANGE_COLUMNS),
+        "changes": levels_table(result, "changes", "changes", "changes per second", CHANGE_COLUMNS),
         "whole": levels_table(
             result, "whole", "dispatchers", "dispatchers", (*WORKER_COLUMNS, *FLEET_COLUMNS)
         ),
         "decisions": decisions_table(result),
-        "roles": _table(("role", "figure", "slope x count", "at the users' size"), roles.role_rows(result)),
+        "roles": _table(("role", "figure", "slope x count", "in the users' fleet"), roles.role_rows(result)),
         "budget": _table(
-            ("line", "needed at the users' size", "allowed", "verdict"), budget.budget_rows(result)
+            ("item", "needed in the users' fleet", "budget", "verdict"), budget.budget_rows(result)
         ),
-        "planned": _table(("mechanism", "at most, at each dispatcher"), projections.planned_rows(result)),
-        "limits": _table(("what grows", "first limit met", "at"), projections.limit_rows(result)),
+        "planned": _table(("mechanism", "upper limit per dispatcher"), projections.planned_rows(result)),
+        "limits": _table(("what grows", "first limit reached", "at"), projections.limit_rows(result)),
     }
 
 
@@ -98,15 +98,15 @@
         ).append(name)
     for row, names in parts_by_stamp.items():
         rows.append([", ".join(names), row])
-    table = _table(("part", "command", "commit", "machine", "its load before", "took"), rows)
+    table = _table(("part", "command", "commit", "machine", "load average before", "duration"), rows)
     if not result.points:
         return table
     cores, memory = (max(getattr(each, name) for each in result.points) for name in ("cores", "memory_mb"))
     delays_ms = [window.figures["late_ms"] for each in result.points for window in each.windows]
-    resources_text = f"All processes of a point took {cores:.2f} cores and {memory:,.0f} MB at the most."
+    resources_text = f"All processes of a point together used at most {cores:.2f} cores and {memory:,.0f} MB."
     median = statistics.median(delays_ms)
     delay_text = (
-        f"A stand-in was {median:.0f} ms late in the median window, {max(delays_ms):.0f} ms at the most."
+        f"The event loops ran {median:.0f} ms late in the median window, at most {max(delays_ms):.0f} ms."
     )
     return f"{table}\n{resources_text} {delay_text}\n"
 
@@ -130,7 +130,7 @@
         ]
         for row in comparisons
     ]
-    return _table(("figure", "real", "hollow", "differ by the part", "allowed"), rows)
+    return _table(("figure", "real", "hollow", "relative difference", "allowed"), rows)
 
 
 def slopes_table(result: Result, before: Result | None) -> str:
@@ -151,7 +151,7 @@
 
 
 Column = tuple[str, str, float]
-CPU: Column = ("part of a core", "dispatcher.cpu", 1.0)
+CPU: Column = ("fraction of a core", "dispatcher.cpu", 1.0)
 MEMORY: Column = ("MB", "dispatcher.memory_mb", 1.0)
 FILES: Column = ("descriptors", "dispatcher.descriptors", 1.0)
 PROBES: Column = ("probes/s", "real.probes", 1.0)
@@ -164,12 +164,12 @@
 FLEET_COLUMNS = (
     ("discovery, lines/s", "discovery.lines", 1.0),
     ("discovery, KB/s", "discovery.bytes", 1 / 1024),
-    ("discovery, part of a core", "discovery.cpu", 1.0),
+    ("discovery, fraction of a core", "discovery.cpu", 1.0),
     ("discovery, MB", "discovery.memory_mb", 1.0),
     ("discovery, descriptors", "discovery.descriptors", 1.0),
-    ("connections a worker", "worker.connections", 1.0),
-    ("probes/s a worker", "worker.probes", 1.0),
-    ("attempts/s a worker", "worker.attempts", 1.0),
+    ("connections per worker", "worker.connections", 1.0),
+    ("probes/s per worker", "worker.probes", 1.0),
+    ("attempts/s per worker", "worker.attempts", 1.0),
 )
 CHANGE_COLUMNS = (CPU, ("list lines/s", "real.list_lines", 1.0), ("list, B/s", "real.list_bytes", 1.0))
 
@@ -209,10 +209,10 @@
     head = (
         "dispatchers in the settings",
         "workers",
-        "a request, us",
-        "a request where all have just reported, us",
-        "a list change, us",
-        "a whole list, us",
-        "probes a request",
+        "per request, us",
+        "per request where all workers have just reported, us",
+        "per list change, us",
+        "per whole list, us",
+        "probes per request",
     )
     return _table(head, rows)
--- a/weldquay/lab/scale/plot.py
+++ b/weldquay/lab/scale/plot.py
@@ -13,11 +13,11 @@
 from weldquay.lab.scale.results import Result, measurements_on_axis, summarize_windows
 
 PANELS = (
-    ("workers", "workers", "dispatcher.cpu", "dispatcher, part of a core", 1.0),
-    ("requests", "real_rate", "dispatcher.cpu", "dispatcher, part of a core", 1.0),
+    ("workers", "workers", "dispatcher.cpu", "dispatcher, fraction of a core", 1.0),
+    ("requests", "real_rate", "dispatcher.cpu", "dispatcher, fraction of a core", 1.0),
     ("workers", "workers", "dispatcher.memory_mb", "dispatcher, MB", 1.0),
-    ("dispatchers", "dispatchers", "discovery.bytes", "discovery, KB a second", 1 / 1024),
-    ("dispatchers", "dispatchers", "worker.connections", "connections a worker", 1.0),
+    ("dispatchers", "dispatchers", "discovery.bytes", "discovery, KB/s", 1 / 1024),
+    ("dispatchers", "dispatchers", "worker.connections", "connections per worker", 1.0),
 )
 
 
@@ -53,18 +53,18 @@
         ]
         subplot.errorbar(x_values, medians, yerr=errors, marker="o", capsize=3)
         subplot.set(
-            xlabel=f"{axis}" + (" a second" if axis == "requests" else ""), ylabel=label, ylim=(0, None)
+            xlabel=f"{axis}" + (" per second" if axis == "requests" else ""), ylabel=label, ylim=(0, None)
         )
     subplot = axes.flat[-1]
     for count in sorted({cost.dispatchers for cost in result.decisions}):
         rows = [cost for cost in result.decisions if cost.dispatchers == count]
         for kind, style in (("request_us", "-"), ("all_reported_us", "--")):
             times_us = [statistics.median(getattr(cost, kind)) for cost in rows]
-            word = "played" if kind == "request_us" else "all reported"
+            word = "simulated" if kind == "request_us" else "all reported"
             subplot.plot(
                 [cost.workers for cost in rows], times_us, style, marker="o", label=f"{count}, {word}"
             )
-    subplot.set(xscale="log", yscale="log", xlabel="workers", ylabel="decisions, us a request")
+    subplot.set(xscale="log", yscale="log", xlabel="workers", ylabel="decisions, us per request")
     if result.decisions:
         subplot.legend(fontsize=7, title="dispatchers in settings", title_fontsize=7)
     figure.savefig(path, metadata={"Date": None} if path.suffix == ".svg" else None)
--- a/weldquay/lab/scale/projections.py
+++ b/weldquay/lab/scale/projections.py
@@ -40,33 +40,36 @@
     core_text = (
         f"{spare_cores:.2%} of a core is left"
         if spare_cores > 0
-        else f"none is left: {-spare_cores:.2%} of a core too much"
+        else f"none is left, {-spare_cores:.2%} of a core over the budget"
     )
     return [
         ["all together", f"{spare_bytes:,.0f} B/s, {spare_mb:,.0f} MB; processor time: {core_text}"],
-        ["members (SWIM)", f"a fixed number of messages a period, whatever the count; {DISPATCHERS} entries"],
+        [
+            "members (SWIM)",
+            f"a fixed number of messages per period, whatever the number of members; {DISPATCHERS} entries",
+        ],
         [
             "shared counts",
-            f"{TENANTS:,} tenants x {MODELS} models = {pairs:,} pairs: told whole at {MIN_ENTRY_BYTES} B "
-            f"each they take {pairs * MIN_ENTRY_BYTES / spare_bytes:,.0f} s of all that is left, so only "
-            f"what changed: {spare_bytes / MIN_ENTRY_BYTES:,.0f} a second",
+            f"{TENANTS:,} tenants x {MODELS} models = {pairs:,} pairs: at {MIN_ENTRY_BYTES} B each a full "
+            f"transfer takes {pairs * MIN_ENTRY_BYTES / spare_bytes:,.0f} s of the whole remaining rate, so "
+            f"only changes are sent: {spare_bytes / MIN_ENTRY_BYTES:,.0f} per second",
         ],
         [
             "versioned settings",
-            f"{SETTINGS_CHANGES_PER_DAY / 86400:.4f} changes/s, each here within "
-            f"{SETTINGS_DEADLINE_S:.0f} s: {spare_bytes * SETTINGS_DEADLINE_S / 1024:,.1f} KB a change "
-            f"at the rate that is left",
+            f"{SETTINGS_CHANGES_PER_DAY / 86400:.4f} changes/s, each to arrive within "
+            f"{SETTINGS_DEADLINE_S:.0f} s: {spare_bytes * SETTINGS_DEADLINE_S / 1024:,.1f} KB per change "
+            f"at the remaining rate",
         ],
         [
             "leases (sessions)",
-            f"{SESSIONS:,} / {DISPATCHERS} = {sessions:,.0f} a dispatcher; at {MIN_ENTRY_BYTES} B each "
-            f"renewed no more often than every {sessions * MIN_ENTRY_BYTES / spare_bytes:,.0f} s; held by "
-            f"all they could take {spare_mb * 2**20 / SESSIONS:,.0f} B each",
+            f"{SESSIONS:,} / {DISPATCHERS} = {sessions:,.0f} per dispatcher; at {MIN_ENTRY_BYTES} B each "
+            f"renewed at most once every {sessions * MIN_ENTRY_BYTES / spare_bytes:,.0f} s; if every "
+            f"dispatcher holds all of them, at most {spare_mb * 2**20 / SESSIONS:,.0f} B each",
         ],
         [
             "prefixes, bookings",
             f"{PREFIXES:,} prefixes at {MIN_ENTRY_BYTES} B: {PREFIXES * MIN_ENTRY_BYTES / 1024:,.0f} KB, "
-            f"told anew within {PREFIXES * MIN_ENTRY_BYTES / spare_bytes:,.0f} s at the soonest",
+            f"sent in full in {PREFIXES * MIN_ENTRY_BYTES / spare_bytes:,.0f} s at the soonest",
         ],
     ]
 
@@ -103,34 +106,40 @@
     rows = []
     for name, points in (
         ("control", control_points),
-        ("decisions where all have just reported", all_reported_points),
+        ("decisions where all workers have just reported", all_reported_points),
     ):
         if points:
             lowest = crossing([(workers, cores.maximum) for workers, cores in points], CONTROL_CORES)
             median = crossing([(workers, cores.median) for workers, cores in points], CONTROL_CORES)
             highest = crossing([(workers, cores.minimum) for workers, cores in points], CONTROL_CORES)
             text = f"{name}: over {CONTROL_CORES:.1%} of a core at {REQUESTS_PER_S:.1f} requests/s"
-            rows.append(["workers in the list", text, f"{median} workers (spread: {lowest} to {highest})"])
+            rows.append(["workers in the list", text, f"{median} workers (range: {lowest} to {highest})"])
     return rows
 
 
 def _line_limits(result: Result) -> list[TableRow]:
     """Return where a measured line reaches a limit."""
     rows = []
-    if line := find_line(result, "processor time a request"):
+    if line := find_line(result, "processor time per request"):
         limit = (1e6 - line.base) / line.slope
-        text = "a dispatcher's one core is full (100 workers, 410 in the settings)"
-        rows.append(["requests a second at a dispatcher", text, f"{limit:,.0f} requests/s"])
-    if line := find_line(result, "memory a listed"):
+        text = "one core of a dispatcher is fully used (100 workers, 410 in the settings)"
+        rows.append(["requests/s at a dispatcher", text, f"{limit:,.0f} requests/s"])
+    if line := find_line(result, "memory per listed"):
         limit = (MEMORY_MB * 1024 - line.base) / line.slope
-        rows.append(["workers in the list", f"a dispatcher over {MEMORY_MB:.0f} MB", f"{limit:,.0f} workers"])
+        rows.append(
+            [
+                "workers in the list",
+                f"a dispatcher uses more than {MEMORY_MB:.0f} MB",
+                f"{limit:,.0f} workers",
+            ]
+        )
     if line := find_line(result, "list, bytes"):
         limit = (CONTROL_BYTES_PER_S - line.base) / line.slope
-        text = f"the list alone over {CONTROL_BYTES_PER_S:,.0f} B/s a dispatcher"
-        rows.append(["list changes", text, f"{limit:,.1f} a second"])
+        text = f"the list alone takes more than {CONTROL_BYTES_PER_S:,.0f} B/s per dispatcher"
+        rows.append(["list changes", text, f"{limit:,.1f} per second"])
     if line := find_line(result, "discovery: processor"):
         limit = (1e6 - line.base) / line.slope
-        text = "one core of the discovery stand-in is full at 1 change/s (lines alone, not asks)"
+        text = "one core of the discovery stand-in is fully used at 1 change/s (lines alone, without polls)"
         rows.append(["dispatchers", text, f"{limit:,.0f} dispatchers"])
     return rows
 
@@ -142,7 +151,7 @@
     list_bytes = full_size.started_lists["real"]
     text = (
         f"a whole list is {list_bytes / 1024:,.0f} KB; "
-        f"all {DISPATCHERS} ask within the list's {LIST_DEADLINE_S:.0f} s"
+        f"all {DISPATCHERS} fetch it within the deadline of {LIST_DEADLINE_S:.0f} s"
     )
     rate = list_bytes * DISPATCHERS / LIST_DEADLINE_S / 2**20
-    return [["discovery starts anew", text, f"{rate:,.1f} MB/s for {LIST_DEADLINE_S:.0f} s"]]
+    return [["discovery restarts", text, f"{rate:,.1f} MB/s for {LIST_DEADLINE_S:.0f} s"]]
--- a/weldquay/lab/scale/results.py
+++ b/weldquay/lab/scale/results.py
@@ -150,24 +150,24 @@
 CHANGES_AXIS = ("changes", "discovery.changes")
 DISPATCHERS_AXIS = ("dispatchers", "point.dispatchers")
 SLOPES = (
-    Slope("processor time a request, 100 workers", *REQUESTS_AXIS, "dispatcher.cpu", "us", 1e6),
-    Slope("processor time a list change, 400 workers", *CHANGES_AXIS, "dispatcher.cpu", "us", 1e6),
-    Slope("memory a listed worker", *WORKERS_AXIS, "dispatcher.memory_mb", "KB", 1024),
-    Slope("descriptors a request a second", *REQUESTS_AXIS, "dispatcher.descriptors", ""),
-    Slope("attempts a request", *REQUESTS_AXIS, "real.attempts", ""),
-    Slope("attempts, bytes a request", *REQUESTS_AXIS, "real.attempts_bytes", "B"),
-    Slope("callbacks a request", *REQUESTS_AXIS, "real.callbacks", ""),
-    Slope("callbacks, bytes a request", *REQUESTS_AXIS, "real.callbacks_bytes", "B"),
-    Slope("probes a request, to 40 a second", *REQUESTS_AXIS, "real.probes", ""),
-    Slope("list, bytes a change", *CHANGES_AXIS, "real.list_bytes", "B"),
-    Slope("discovery: lines a second, a dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.lines", ""),
-    Slope("discovery: bytes a second, a dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.bytes", "B"),
-    Slope("discovery: processor time a second, a dispatcher", *DISPATCHERS_AXIS, "discovery.cpu", "us", 1e6),
-    Slope("discovery: memory a dispatcher", *DISPATCHERS_AXIS, "discovery.memory_mb", "KB", 1024),
-    Slope("discovery: descriptors a dispatcher", *DISPATCHERS_AXIS, "discovery.descriptors", ""),
-    Slope("a worker: connections a dispatcher (100 workers)", *DISPATCHERS_AXIS, "worker.connections", ""),
-    Slope("a worker: probes a second, a dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.probes", ""),
+    Slope("processor time per request, 100 workers", *REQUESTS_AXIS, "dispatcher.cpu", "us", 1e6),
+    Slope("processor time per list change, 400 workers", *CHANGES_AXIS, "dispatcher.cpu", "us", 1e6),
+    Slope("memory per listed worker", *WORKERS_AXIS, "dispatcher.memory_mb", "KB", 1024),
+    Slope("descriptors per request/s", *REQUESTS_AXIS, "dispatcher.descriptors", ""),
+    Slope("attempts per request", *REQUESTS_AXIS, "real.attempts", ""),
+    Slope("attempts, bytes per request", *REQUESTS_AXIS, "real.attempts_bytes", "B"),
+    Slope("callbacks per request", *REQUESTS_AXIS, "real.callbacks", ""),
+    Slope("callbacks, bytes per request", *REQUESTS_AXIS, "real.callbacks_bytes", "B"),
+    Slope("probes per request, up to 40 requests/s", *REQUESTS_AXIS, "real.probes", ""),
+    Slope("list, bytes per change", *CHANGES_AXIS, "real.list_bytes", "B"),
+    Slope("discovery: lines/s per dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.lines", ""),
+    Slope("discovery: bytes/s per dispatcher (1 change/s)", *DISPATCHERS_AXIS, "discovery.bytes", "B"),
     Slope(
-        "a worker: attempts a second, a dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.attempts", ""
+        "discovery: processor time per second and dispatcher", *DISPATCHERS_AXIS, "discovery.cpu", "us", 1e6
     ),
+    Slope("discovery: memory per dispatcher", *DISPATCHERS_AXIS, "discovery.memory_mb", "KB", 1024),
+    Slope("discovery: descriptors per dispatcher", *DISPATCHERS_AXIS, "discovery.descriptors", ""),
+    Slope("worker: connections per dispatcher (100 workers)", *DISPATCHERS_AXIS, "worker.connections", ""),
+    Slope("worker: probes/s per dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.probes", ""),
+    Slope("worker: attempts/s per dispatcher at 1 request/s", *DISPATCHERS_AXIS, "worker.attempts", ""),
 )
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -59,8 +59,8 @@
     changes = find_line(result, "list, bytes")
     if full_size is None or process is None or many_dispatchers is None or changes is None:
         return None
-    attempts, callbacks = (find_line(result, f"{name}s a request") for name in ("attempt", "callback"))
-    memory_kb, discovery = find_line(result, "memory a listed"), find_line(result, "discovery: processor")
+    attempts, callbacks = (find_line(result, f"{name}s per request") for name in ("attempt", "callback"))
+    memory_kb, discovery = find_line(result, "memory per listed"), find_line(result, "discovery: processor")
     assert memory_kb is not None and discovery is not None
     return Loads(
         full_size,
@@ -77,7 +77,7 @@
 def _dispatcher_rows(loads: Loads) -> list[TableRow]:
     probes = loads.at_full_size("real.probes")
     memory = loads.memory_kb
-    rate = f"a request x {REQUESTS_PER_S:.1f}/s"
+    rate = f"per request x {REQUESTS_PER_S:.1f}/s"
     return [
         [
             "dispatcher",
@@ -93,7 +93,7 @@
             f"{HEARTBEATS_PER_S:g} empty lines/s + {LIST_CHANGES_PER_S:.4f} changes/s",
             f"{loads.list_lines_per_s:.2f} lines/s",
         ],
-        _cpu_row("processor time, all of a request but probes", loads.process.request_us, REQUESTS_PER_S),
+        _cpu_row("processor time, requests without their probes", loads.process.request_us, REQUESTS_PER_S),
         _cpu_row("processor time, probes", loads.process.probe_us, probes),
         [
             "",
@@ -124,7 +124,7 @@
         ],
         [
             "",
-            "bytes, all ask anew",
+            "bytes, all dispatchers fetch the whole list",
             f"{list_bytes / WORKERS:.0f} B x {WORKERS:,} workers x {DISPATCHERS}",
             f"{list_bytes * DISPATCHERS / 2**20:.0f} MB",
         ],
@@ -142,7 +142,7 @@
     small_fleet_connections = summarize_windows(loads.many_dispatchers, "worker.connections").median
     return [
         [
-            "a worker",
+            "worker",
             "attempts",
             f"{FLEET_REQUESTS_PER_S:,.0f}/s / {WORKERS:,}",
             f"{FLEET_REQUESTS_PER_S * loads.attempts / WORKERS:.1f}/s",
@@ -162,12 +162,12 @@
         [
             "",
             "connections from dispatchers",
-            f"{connections:.1f} a dispatcher x {DISPATCHERS} / {WORKERS:,}",
+            f"{connections:.1f} per dispatcher x {DISPATCHERS} / {WORKERS:,}",
             f"{connections * DISPATCHERS / WORKERS:.1f}",
         ],
         [
             "",
-            "the same with 100 workers, 1 request/s a dispatcher",
+            "the same with 100 workers, 1 request/s per dispatcher",
             f"measured at {DISPATCHERS} dispatchers",
             f"{small_fleet_connections:.1f}",
         ],
