--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -1,4 +1,4 @@
-"""The processor time of the decisions for a request, by the number of workers and of dispatchers.
+"""The processor time of the decisions for a request, by the number of workers and of dispatchers in settings.
 
 Simulated: the decision module runs in virtual time against model workers (`lab.virtual_time`), at the request
 rate of a dispatcher in the users' fleet.  The figure is the time of all steps of a run divided by the number
@@ -64,11 +64,11 @@
 
 def arrivals(requests: int, seed: int) -> list[loads.Arrival]:
     """Return the jobs of one dispatcher, at random times from a seed."""
-    rng, at_ns, drawn = random.Random(seed), 0.0, []
+    rng, at_ns, generated = random.Random(seed), 0.0, []
     for number in range(requests):
         at_ns += rng.expovariate(REQUESTS_PER_S) * model.SECOND
-        drawn.append(loads.Arrival(number, int(at_ns), 0, 0, float(MEAN_WORK_NS), 1, 0.5, None))
-    return drawn
+        generated.append(loads.Arrival(number, int(at_ns), 0, 0, float(MEAN_WORK_NS), 1, 0.5, None))
+    return generated
 
 
 def measure(workers: int, dispatchers: int, requests: int = REQUESTS, repeats: int = REPEATS) -> Cost:
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -101,9 +101,11 @@
     table = _table(("part", "command", "commit", "machine", "load average before", "duration"), rows)
     if not result.points:
         return table
-    cores, memory = (max(getattr(each, name) for each in result.points) for name in ("cores", "memory_mb"))
+    cores, memory_mb = (max(getattr(each, name) for each in result.points) for name in ("cores", "memory_mb"))
     delays_ms = [window.figures["late_ms"] for each in result.points for window in each.windows]
-    resources_text = f"All processes of a point together used at most {cores:.2f} cores and {memory:,.0f} MB."
+    resources_text = (
+        f"All processes of a point together used at most {cores:.2f} cores and {memory_mb:,.0f} MB."
+    )
     median = statistics.median(delays_ms)
     delay_text = (
         f"The event loops ran {median:.0f} ms late in the median window, at most {max(delays_ms):.0f} ms."
