--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -1,4 +1,4 @@
-"""What a dispatcher's control work needs at the users' size, compared with its budget."""
+"""The cost of a dispatcher's control work in the users' fleet, compared with its budget."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from weldquay.lab.scale.results import Figure, Result, level, spread
+from weldquay.lab.scale.results import Figure, Result, summarize, summarize_windows
 from weldquay.lab.scale.targets import (
     CONTROL_BYTES_PER_S,
     CONTROL_CORES,
@@ -22,12 +22,12 @@
     find_point,
 )
 
-CONTROL_PARTS = 4  # that `control` returns where all of them were measured
+CONTROL_PARTS = 4  # returned by `control_parts` if all were measured
 
 
 @dataclass(frozen=True, slots=True)
 class ControlPart:
-    """One part of the control work: its name, its derivation as text, and its fraction of a core."""
+    """One part of the control work: name, how its cost is derived, and cost as a fraction of a core."""
 
     name: str
     derivation: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """Bytes a second at one dispatcher, both directions."""
+    """Control traffic of one dispatcher in bytes per second, both directions."""
 
     list_bytes: float
     probe_bytes: float
 
     @property
     def total(self) -> float:
-        """All control bytes a second."""
+        """Return all control bytes per second."""
         return self.list_bytes + self.probe_bytes
 
 
@@ -56,16 +56,17 @@
 
 
 def verdict(needed: float, allowed: float) -> str:
-    """Return whether a need fits what is allowed, and the ratio of the two."""
+    """Return as text whether a need fits the budget, with the ratio of the two."""
     if needed <= allowed:
-        return f"fits: {needed / allowed:.2f} of it"
-    return f"does not fit: {needed / allowed:.1f} times as much"
+        return f"fits: {needed / allowed:.2f} of the budget"
+    return f"does not fit: {needed / allowed:.1f} times the budget"
 
 
-def request_and_probe(result: Result) -> ProcessCost | None:
-    """Return the cost of a request and of a probe, or None where too few points were measured.
+def fit_process_cost(result: Result) -> ProcessCost | None:
+    """Return the cost of a request and of a probe, or None if fewer than three points were measured.
 
-    Least squares over the axis of requests, for each repeat: the more requests, the fewer probes each has.
+    The costs are fitted by least squares over the points of the `requests` axis, for each repeat.  Requests
+    and probes can be told apart: the higher the request rate, the fewer probes each request has.
     """
     points = [measured for measured in result.points if measured.point.axis == "requests"]
     if len(points) < 3:
@@ -77,17 +78,17 @@
         cpu_us = np.array([values["dispatcher.cpu"] * 1e6 for values in figures])
         solutions.append(np.linalg.lstsq(counts, cpu_us, rcond=None)[0])
     return ProcessCost(
-        spread([float(solution[0]) for solution in solutions]),
-        spread([float(solution[1]) for solution in solutions]),
+        summarize([float(solution[0]) for solution in solutions]),
+        summarize([float(solution[1]) for solution in solutions]),
     )
 
 
-def growth(result: Result) -> Figure | None:
-    """Return the microseconds a request that a process spends more at the users' workers than at ten."""
+def worker_count_cost(result: Result) -> Figure | None:
+    """Return how many microseconds more a request costs a process with the users' workers than with ten."""
     small, large = (find_point(result, "workers", "workers", count) for count in (10, WORKERS))
     if small is None or large is None:
         return None
-    return spread(
+    return summarize(
         [
             1e6
             * (after.figures["dispatcher.cpu"] - before.figures["dispatcher.cpu"])
@@ -97,55 +98,58 @@
     )
 
 
-def control(result: Result, workers: int = WORKERS) -> list[ControlPart]:
+def control_parts(result: Result, workers: int = WORKERS) -> list[ControlPart]:
     """Return the measured parts of one dispatcher's control work.
 
-    The decisions are timed alone, in a loop that does nothing else; what a process spends is more (`growth`).
+    The decisions are timed in a loop that does nothing else; a process spends more (`worker_count_cost`).
     """
     parts: list[ControlPart] = []
     if (cost := find_cost(result, workers)) is not None:
-        times, change_us = spread(cost.request_us), statistics.median(cost.change_us)
-        text = f"{REQUESTS_PER_S:.1f} requests/s x {times.middle:,.0f} us"
-        parts.append(ControlPart("decisions, played", text, times.times(REQUESTS_PER_S / 1e6)))
+        request_us, change_us = summarize(cost.request_us), statistics.median(cost.change_us)
+        text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us.median:,.0f} us"
+        parts.append(ControlPart("decisions, simulated", text, request_us.scaled(REQUESTS_PER_S / 1e6)))
         text = f"{LIST_CHANGES_PER_S:.4f} changes/s x {change_us:,.0f} us"
-        parts.append(ControlPart("list changes", text, spread([LIST_CHANGES_PER_S * change_us / 1e6])))
-    large, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
-    if large is not None and process is not None:
-        probes = level(large, "real.probes").middle
-        text = f"{probes:.1f} probes/s x {process.probe_us.middle:,.0f} us, sockets and decisions"
-        parts.append(ControlPart("probes", text, process.probe_us.times(probes / 1e6)))
+        parts.append(ControlPart("list changes", text, summarize([LIST_CHANGES_PER_S * change_us / 1e6])))
+    full_size, process = find_point(result, "whole", "workers", WORKERS), fit_process_cost(result)
+    if full_size is not None and process is not None:
+        probes = summarize_windows(full_size, "real.probes").median
+        text = f"{probes:.1f} probes/s x {process.probe_us.median:,.0f} us, sockets and decisions"
+        parts.append(ControlPart("probes", text, process.probe_us.scaled(probes / 1e6)))
     if (idle := find_point(result, "requests", "real_rate", 0.0)) is not None:
         text = "a process without requests, 100 workers, 1 list change/s"
-        parts.append(ControlPart("at rest", text, level(idle, "dispatcher.cpu")))
+        parts.append(ControlPart("idle", text, summarize_windows(idle, "dispatcher.cpu")))
     return parts
 
 
-def total(parts: Sequence[ControlPart]) -> Figure:
-    """Return the sum of some parts; its spread is that of all minima and of all maxima."""
+def sum_cores(parts: Sequence[ControlPart]) -> Figure:
+    """Return the sum of some parts; its range adds up all minima and all maxima."""
     figures = [part.cores for part in parts]
     return Figure(
-        sum(figure.low for figure in figures),
-        sum(figure.middle for figure in figures),
-        sum(figure.high for figure in figures),
+        sum(figure.minimum for figure in figures),
+        sum(figure.median for figure in figures),
+        sum(figure.maximum for figure in figures),
     )
 
 
-def share(cores: Figure) -> str:
-    """Return a fraction of a core with its spread, as text."""
-    return f"{cores.middle:.2%} of a core ({cores.low:.2%} to {cores.high:.2%})"
+def format_cores(cores: Figure) -> str:
+    """Return a fraction of a core with its range, as text."""
+    return f"{cores.median:.2%} of a core ({cores.minimum:.2%} to {cores.maximum:.2%})"
 
 
 def control_bytes(result: Result) -> ControlTraffic | None:
-    """Return the control traffic of one dispatcher, or None where it was not measured."""
-    line, large = find_line(result, "list, bytes"), find_point(result, "whole", "workers", WORKERS)
-    if line is None or large is None:
+    """Return the control traffic of one dispatcher, or None if it was not measured."""
+    line, full_size = find_line(result, "list, bytes"), find_point(result, "whole", "workers", WORKERS)
+    if line is None or full_size is None:
         return None
-    probe_bytes = level(large, "real.probes_bytes").middle / level(large, "real.requests").middle
+    probe_bytes = (
+        summarize_windows(full_size, "real.probes_bytes").median
+        / summarize_windows(full_size, "real.requests").median
+    )
     return ControlTraffic(max(0.0, line.base) + LIST_CHANGES_PER_S * line.slope, probe_bytes * REQUESTS_PER_S)
 
 
-def lines(result: Result) -> list[TableRow]:
-    """Return the rows of the budget's table."""
+def budget_rows(result: Result) -> list[TableRow]:
+    """Return the rows of the table of the budget."""
     return [
         *_control_rows(result),
         *_growth_rows(result),
@@ -153,56 +157,56 @@
         *_memory_rows(result),
         *_traffic_rows(result),
         [
-            "machines set aside",
-            "0 for what is built: dispatchers agree by settings alone; discovery is the site's",
+            "dedicated machines",
+            "0 so far: dispatchers coordinate through settings alone; discovery belongs to the site",
             "25",
-            "fits; members, shared counts, settings' versions, leases, bookings are planned: not measured",
+            "fits; members, shared counts, versioned settings, leases and bookings are planned, not measured",
         ],
     ]
 
 
 def _control_rows(result: Result) -> list[TableRow]:
-    parts = control(result)
+    parts = control_parts(result)
     rows = [
         [
             f"processor time: {part.name}",
-            f"{part.derivation} = {share(part.cores)}",
+            f"{part.derivation} = {format_cores(part.cores)}",
             "",
-            f"{part.cores.middle / CONTROL_CORES:.2f} of the line",
+            f"{part.cores.median / CONTROL_CORES:.2f} of the budget",
         ]
         for part in parts
     ]
     if len(parts) == CONTROL_PARTS:
-        cores = total(parts)
-        row = ["processor time, these together", share(cores), f"{CONTROL_CORES:.1%}"]
-        rows.append([*row, verdict(cores.middle, CONTROL_CORES)])
+        cores = sum_cores(parts)
+        row = ["processor time, sum of these", format_cores(cores), f"{CONTROL_CORES:.1%}"]
+        rows.append([*row, verdict(cores.median, CONTROL_CORES)])
     return rows
 
 
 def _cores_row(name: str, request_us: float, cores: Figure) -> TableRow:
-    text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us:,.0f} us = {share(cores)}"
-    return [name, text, f"{CONTROL_CORES:.1%}", verdict(cores.middle, CONTROL_CORES)]
+    text = f"{REQUESTS_PER_S:.1f} requests/s x {request_us:,.0f} us = {format_cores(cores)}"
+    return [name, text, f"{CONTROL_CORES:.1%}", verdict(cores.median, CONTROL_CORES)]
 
 
 def _growth_rows(result: Result) -> list[TableRow]:
-    if (request_us := growth(result)) is None:
+    if (request_us := worker_count_cost(result)) is None:
         return []
-    name = f"the same in a process: what {WORKERS:,} workers cost more than 10"
-    return [_cores_row(name, request_us.middle, request_us.times(REQUESTS_PER_S / 1e6))]
+    name = f"the same in a process: extra cost of {WORKERS:,} workers over 10"
+    return [_cores_row(name, request_us.median, request_us.scaled(REQUESTS_PER_S / 1e6))]
 
 
 def _all_reported_rows(result: Result) -> list[TableRow]:
     if (cost := find_cost(result)) is None:
         return []
-    cores = spread(cost.all_reported_us).times(REQUESTS_PER_S / 1e6)
-    name = "decisions, where all workers have just reported"
+    cores = summarize(cost.all_reported_us).scaled(REQUESTS_PER_S / 1e6)
+    name = "decisions where all workers have just reported"
     return [_cores_row(name, statistics.median(cost.all_reported_us), cores)]
 
 
 def _memory_rows(result: Result) -> list[TableRow]:
-    if (large := find_point(result, "whole", "workers", WORKERS)) is None:
+    if (full_size := find_point(result, "whole", "workers", WORKERS)) is None:
         return []
-    needed_mb = level(large, "dispatcher.memory_mb").high
+    needed_mb = summarize_windows(full_size, "dispatcher.memory_mb").maximum
     text = f"{needed_mb:.0f} MB resident with {WORKERS:,} workers, the whole process"
     return [["memory", text, f"{MEMORY_MB:.0f} MB", verdict(needed_mb, MEMORY_MB)]]
 
@@ -214,4 +218,4 @@
         f"list {traffic.list_bytes:.0f} B/s, probes {traffic.probe_bytes:,.0f} B/s: {traffic.total:,.0f} B/s"
     )
     allowed = f"{CONTROL_BYTES_PER_S:,.0f} B/s"
-    return [["bytes a second, both ways", text, allowed, verdict(traffic.total, CONTROL_BYTES_PER_S)]]
+    return [["bytes per second, both directions", text, allowed, verdict(traffic.total, CONTROL_BYTES_PER_S)]]
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -1,12 +1,12 @@
-"""The load of each role at the users' size: a measured slope or level times a count."""
+"""The load of each role in the users' fleet: a measured slope or level times a count."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from weldquay.lab.scale.budget import ProcessCost, request_and_probe
+from weldquay.lab.scale.budget import ProcessCost, fit_process_cost
 from weldquay.lab.scale.fleet import Measurement
-from weldquay.lab.scale.results import Figure, Result, level
+from weldquay.lab.scale.results import Figure, Result, summarize_windows
 from weldquay.lab.scale.targets import (
     DISPATCHERS,
     FLEET_REQUESTS_PER_S,
@@ -25,42 +25,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Loads:
-    """What the rows are made of; slopes are per request, per listed worker, per change or per dispatcher."""
+    """The loads that the rows are computed from; slopes per request, listed worker, change or dispatcher."""
 
     full_size: Measurement  # all dispatchers and workers
     many_dispatchers: Measurement  # all dispatchers, 100 workers
     process: ProcessCost
-    attempts: float  # a request
-    callbacks: float  # a request
+    attempts: float  # per request
+    callbacks: float  # per request
     memory_kb: Line
     change_bytes: float
     discovery_us: float
 
     def at_full_size(self, name: str) -> float:
-        """Return the median of a figure that was measured at the full size."""
-        return level(self.full_size, name).middle
+        """Return the median of a figure measured at the size of the users' fleet."""
+        return summarize_windows(self.full_size, name).median
 
     @property
     def list_lines_per_s(self) -> float:
-        """Lines of the list that a dispatcher receives in a second."""
+        """Return the lines of the list that a dispatcher receives per second."""
         return HEARTBEATS_PER_S + LIST_CHANGES_PER_S
 
 
-def roles(result: Result) -> list[TableRow]:
-    """Return the rows of all roles, or none where a part was not measured."""
+def role_rows(result: Result) -> list[TableRow]:
+    """Return the rows of all roles, or none if a part was not measured."""
     if (loads := _find_loads(result)) is None:
         return []
     return [*_dispatcher_rows(loads), *_discovery_rows(loads), *_worker_rows(loads)]
 
 
 def _find_loads(result: Result) -> Loads | None:
-    full_size, process = find_point(result, "whole", "workers", WORKERS), request_and_probe(result)
+    full_size, process = find_point(result, "whole", "workers", WORKERS), fit_process_cost(result)
     many_dispatchers = find_point(result, "dispatchers", "dispatchers", DISPATCHERS)
     changes = find_line(result, "list, bytes")
     if full_size is None or process is None or many_dispatchers is None or changes is None:
         return None
-    attempts, callbacks = (find_line(result, f"{name}s a request") for name in ("attempt", "callback"))
-    memory_kb, discovery = find_line(result, "memory a listed"), find_line(result, "discovery: processor")
+    attempts, callbacks = (find_line(result, f"{name}s per request") for name in ("attempt", "callback"))
+    memory_kb, discovery = find_line(result, "memory per listed"), find_line(result, "discovery: processor")
     assert memory_kb is not None and discovery is not None
     return Loads(
         full_size,
@@ -77,7 +77,7 @@
 def _dispatcher_rows(loads: Loads) -> list[TableRow]:
     probes = loads.at_full_size("real.probes")
     memory = loads.memory_kb
-    rate = f"a request x {REQUESTS_PER_S:.1f}/s"
+    rate = f"per request x {REQUESTS_PER_S:.1f}/s"
     return [
         [
             "dispatcher",
@@ -93,7 +93,7 @@
             f"{HEARTBEATS_PER_S:g} empty lines/s + {LIST_CHANGES_PER_S:.4f} changes/s",
             f"{loads.list_lines_per_s:.2f} lines/s",
         ],
-        _cpu_row("processor time, all of a request but probes", loads.process.request_us, REQUESTS_PER_S),
+        _cpu_row("processor time, requests without their probes", loads.process.request_us, REQUESTS_PER_S),
         _cpu_row("processor time, probes", loads.process.probe_us, probes),
         [
             "",
@@ -106,8 +106,8 @@
 
 
 def _cpu_row(name: str, cost_us: Figure, rate: float) -> TableRow:
-    text = f"{cost_us.middle:,.0f} us ({cost_us.low:,.0f} to {cost_us.high:,.0f}) x {rate:.1f}/s"
-    return ["", name, text, f"{cost_us.middle * rate / 1e6:.1%} of a core"]
+    text = f"{cost_us.median:,.0f} us ({cost_us.minimum:,.0f} to {cost_us.maximum:,.0f}) x {rate:.1f}/s"
+    return ["", name, text, f"{cost_us.median * rate / 1e6:.1%} of a core"]
 
 
 def _discovery_rows(loads: Loads) -> list[TableRow]:
@@ -124,7 +124,7 @@
         ],
         [
             "",
-            "bytes, all ask anew",
+            "bytes, all dispatchers fetch the whole list",
             f"{list_bytes / WORKERS:.0f} B x {WORKERS:,} workers x {DISPATCHERS}",
             f"{list_bytes * DISPATCHERS / 2**20:.0f} MB",
         ],
@@ -139,10 +139,10 @@
 
 def _worker_rows(loads: Loads) -> list[TableRow]:
     probes, connections = loads.at_full_size("real.probes"), loads.at_full_size("real.open")
-    small_fleet_connections = level(loads.many_dispatchers, "worker.connections").middle
+    small_fleet_connections = summarize_windows(loads.many_dispatchers, "worker.connections").median
     return [
         [
-            "a worker",
+            "worker",
             "attempts",
             f"{FLEET_REQUESTS_PER_S:,.0f}/s / {WORKERS:,}",
             f"{FLEET_REQUESTS_PER_S * loads.attempts / WORKERS:.1f}/s",
@@ -162,12 +162,12 @@
         [
             "",
             "connections from dispatchers",
-            f"{connections:.1f} a dispatcher x {DISPATCHERS} / {WORKERS:,}",
+            f"{connections:.1f} per dispatcher x {DISPATCHERS} / {WORKERS:,}",
             f"{connections * DISPATCHERS / WORKERS:.1f}",
         ],
         [
             "",
-            "the same with 100 workers, 1 request/s a dispatcher",
+            "the same with 100 workers, 1 request/s per dispatcher",
             f"measured at {DISPATCHERS} dispatchers",
             f"{small_fleet_connections:.1f}",
         ],
