--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -53,7 +53,7 @@
 
 
 class Meter:
-    """Measures each step of a dispatcher; a replacement for `Script.around`."""
+    """Measures each step of a dispatcher; a replacement for `Simulation.run_step`."""
 
     def __init__(self, count_calls: bool) -> None:
         import weldquay
@@ -88,16 +88,16 @@
 
 def measure(workers: int, dispatchers: int, probes: bool, queued: int, count_calls: bool) -> PhaseFigures:
     """Run all phases of one cell and return the figures of a request for each."""
-    from benchmarks.script import PHASES, Script
+    from benchmarks.script import PHASES, Simulation
 
     figures: PhaseFigures = {}
-    script = Script(workers, dispatchers, probes, held=queued)
-    script.play("calm", REQUESTS_PER_PHASE)
+    script = Simulation(workers, dispatchers, probes, queued_jobs=queued)
+    script.run_phase("calm", REQUESTS_PER_PHASE)
     for phase in PHASES:
         if phase == "held" and not queued:
             continue
-        script.around = meter = Meter(count_calls)
-        script.play(phase, REQUESTS_PER_PHASE)
+        script.run_step = meter = Meter(count_calls)
+        script.run_phase(phase, REQUESTS_PER_PHASE)
         figures[phase] = meter.figures(REQUESTS_PER_PHASE)
     return figures
 
--- a/benchmarks/script.py
+++ b/benchmarks/script.py
@@ -1,7 +1,7 @@
 """A seeded simulation of workers, clients, discovery and other dispatchers around one dispatcher.
 
-`Script` runs in virtual time.  Its next events depend only on its seed and on the dispatcher's actions, so
-two versions that take the same decisions receive the same events.
+`Simulation` runs in virtual time.  Its events depend only on its seed and on the dispatcher's actions, so two
+versions that take the same decisions receive the same events.
 """
 
 from __future__ import annotations
@@ -95,21 +95,22 @@
         )
 
 
-class Script:
+class Simulation:
     """One dispatcher and its fleet.
 
-    `play` runs one phase.  `around` runs each step of the dispatcher and may be replaced to measure it.
+    `run_phase` runs one phase.  `run_step` runs each step of the dispatcher; a benchmark may replace it to
+    measure the step.
     """
 
     def __init__(
-        self, workers: int, dispatchers: int = 1, probes: bool = False, seed: int = 1, held: int = 0
+        self, workers: int, dispatchers: int = 1, probes: bool = False, seed: int = 1, queued_jobs: int = 0
     ) -> None:
         self.random = random.Random(seed * 1_000_003 + workers)
         self.dispatcher = Dispatcher(settings(dispatchers, probes), seed)
         self.workers = {number: SimulatedWorker(number) for number in range(1, workers + 1)}
         self.dispatchers = dispatchers
-        self.queued_requests = held  # sent at the begin of the phase "held"
-        self.now = BEGIN_NS
+        self.queued_jobs = queued_jobs  # sent at the begin of the phase "held"
+        self.now_ns = BEGIN_NS
         self.last_request = 0
         self.scheduled_count = 0
         self.steps = 0
@@ -117,8 +118,8 @@
         self.reports_are_missing = False
         self.is_overloaded = False
         self.actions: list[tuple[int, api.Action]] = []
-        self.around: Callable[[Dispatcher, int, list[api.Event]], list[api.Action]] = (
-            lambda dispatcher, now, events: dispatcher.step(now, events)
+        self.run_step: Callable[[Dispatcher, int, list[api.Event]], list[api.Action]] = (
+            lambda dispatcher, now_ns, events: dispatcher.step(now_ns, events)
         )
         # A dispatcher of a large group sees a small part of the fleet's traffic.
         self.mean_gap_ns = max(20 * MS, 10 * SECOND // max(1, min(500, workers // dispatchers * 4)))
@@ -154,13 +155,13 @@
     def schedule_events(self, delay_ns: int, make_events: Callable[[], list[api.Event]]) -> None:
         """Schedule events, which are made when they are due."""
         self.scheduled_count += 1
-        heapq.heappush(self.schedule, (self.now + delay_ns, self.scheduled_count, make_events))
+        heapq.heappush(self.schedule, (self.now_ns + delay_ns, self.scheduled_count, make_events))
 
     def step(self, events: list[api.Event]) -> None:
         """Run one step of the dispatcher and carry out its actions."""
         self.steps += 1
-        for action in self.around(self.dispatcher, self.now, events):
-            self.actions.append((self.now, action))
+        for action in self.run_step(self.dispatcher, self.now_ns, events):
+            self.actions.append((self.now_ns, action))
             self.handle_action(action)
 
     def handle_action(self, action: api.Action) -> None:
@@ -218,7 +219,7 @@
 
     # --- phases ---
 
-    def call(self) -> list[api.Event]:
+    def next_request(self) -> list[api.Event]:
         """Return the event of a client's next request."""
         self.last_request += 1
         job_class = self.random.choices((0, 1, 2), (0.6, 0.3, 0.1))[0]
@@ -236,22 +237,22 @@
             has_no_reports = self.dispatcher.settings.may_probe or self.reports_are_missing
             if index % 20 == 0 and not has_no_reports:
                 self.send_load_reports()
-            due_ns = self.now + int(self.random.expovariate(1 / self.mean_gap_ns))
+            due_ns = self.now_ns + int(self.random.expovariate(1 / self.mean_gap_ns))
             while self.schedule and self.schedule[0][0] <= due_ns:
-                self.now, _, make_events = heapq.heappop(self.schedule)
+                self.now_ns, _, make_events = heapq.heappop(self.schedule)
                 self.step(make_events())
-            self.now = due_ns
-            self.step(self.call())
+            self.now_ns = due_ns
+            self.step(self.next_request())
 
-    def play(self, phase: str, calls: int = REQUESTS_PER_PHASE) -> None:
+    def run_phase(self, phase: str, calls: int = REQUESTS_PER_PHASE) -> None:
         """Run one phase; afterwards all workers are up and report again."""
         self.is_overloaded = phase in ("full", "held")
         self.reports_are_missing = phase == "late"
         before_each: Callable[[int], None] = do_nothing
         all_workers = list(self.workers.values())
         if phase == "held":
-            for _ in range(self.queued_requests):
-                self.step(self.call())
+            for _ in range(self.queued_jobs):
+                self.step(self.next_request())
         elif phase == "zone":
             zone_workers = [worker for worker in all_workers if worker.zone == 1]
             self.change_workers(zone_workers, is_up=False)
@@ -278,7 +279,7 @@
         for worker in workers:
             worker.is_up = is_up
             if is_up and is_restart:
-                worker.started_ns = self.now
+                worker.started_ns = self.now_ns
                 worker.own_slots = 0
         entries = tuple(worker.entry() for worker in workers)
         self.step([api.EndpointListUpdate(api.EndpointListKind.DELTA, entries)])
@@ -288,7 +289,7 @@
     """Do nothing before a request."""
 
 
-def digest(script: Script) -> str:
+def digest(script: Simulation) -> str:
     """Return a short hash of all actions and their times."""
     return hashlib.sha256(repr(script.actions).encode()).hexdigest()[:16]
 
@@ -306,10 +307,10 @@
         (200, 1, False, 100),
         (200, 1, True, 100),
     ):
-        script = Script(workers, dispatchers, probes, held=queued)
+        script = Simulation(workers, dispatchers, probes, queued_jobs=queued)
         digests = []
         for phase in PHASES:
-            script.play(phase, 150)
+            script.run_phase(phase, 150)
             digests.append(f"{phase} {digest(script)[:6]}")
         sends = sum(isinstance(action, api.Send) for _, action in script.actions)
         print(workers, dispatchers, probes, script.steps, len(script.actions), sends, *digests, flush=True)
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.script import Script
+from benchmarks.script import Simulation
 from weldquay import interface as api
 from weldquay.candidates import candidate_group
 from weldquay.candidates.calendar import RecheckCalendar
@@ -140,23 +140,23 @@
 )
 def test_the_index_finds_the_same_workers_as_a_scan(workers: int, dispatchers: int, probes: bool) -> None:
     """In calm, without room, with late reports, a lost zone, warming workers, changed lists, queued jobs."""
-    script = Script(workers, dispatchers, probes, seed=5, held=10)
+    simulation = Simulation(workers, dispatchers, probes, seed=5, queued_jobs=10)
 
     def checked_step(dispatcher: Dispatcher, now_ns: int, events: list[api.Event]) -> list[api.Action]:
         actions = dispatcher.step(now_ns, events)
-        check(dispatcher, script.steps)
+        check(dispatcher, simulation.steps)
         return actions
 
-    script.around = checked_step
+    simulation.run_step = checked_step
     for phase in ("calm", "full", "zone", "late", "cold", "list", "flap", "held"):
-        script.play(phase, 20)
-    assert script.steps > 500
+        simulation.run_phase(phase, 20)
+    assert simulation.steps > 500
 
 
 def test_draws_over_groups_are_distributed_like_draws_over_members(monkeypatch: pytest.MonkeyPatch) -> None:
     """Chi-squared test of 20,000 draws among 90 workers against the shares without groups."""
-    script = Script(90, 1, False, seed=3)
-    dispatcher = script.dispatcher
+    simulation = Simulation(90, 1, False, seed=3)
+    dispatcher = simulation.dispatcher
     dispatcher.context.settings = replace(dispatcher.settings, cross_zone_cost=0.0)
     dispatcher.parts.index_refresh.begin_placement()
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), dispatcher.settings.classes[0], 0, 5)
@@ -184,20 +184,23 @@
 
 def test_state_of_departed_workers_is_discarded() -> None:
     """After a hundred lists of 40 new workers each, with unanswered health checks, one list remains."""
-    script = Script(40, 1, True, seed=2)
-    dispatcher = script.dispatcher
+    simulation = Simulation(40, 1, True, seed=2)
+    dispatcher = simulation.dispatcher
     index = dispatcher.parts.index
     groups = index.groups
     for day in range(1, 101):
         entries = tuple(api.WorkerEntry(1000 * day + n, api.WorkerState.READY, start_id=n) for n in range(40))
-        script.now += 20_000_000_000
+        simulation.now_ns += 20_000_000_000
         dispatcher.step(
-            script.now, [api.EndpointListUpdate(api.EndpointListKind.FULL, entries), *script.call()]
+            simulation.now_ns,
+            [api.EndpointListUpdate(api.EndpointListKind.FULL, entries), *simulation.next_request()],
         )
         for entry in entries[day % 4 :]:
             report = api.LoadReport(float(day % 3), 8.0, 1.0)
-            dispatcher.step(script.now, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)])
-        dispatcher.step(script.now, script.call())
+            dispatcher.step(
+                simulation.now_ns, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)]
+            )
+        dispatcher.step(simulation.now_ns, simulation.next_request())
         index.begin_step()
         grouped_count = sum(len(group.members) for group in groups.by_key.values())
         assert grouped_count + len(groups.individual) <= 40 == len(groups.listed) == len(groups.entries)
@@ -226,7 +229,7 @@
     """A bound is 0.9 of the estimate at first; an estimate above that is no fall, one below it is."""
     runtimes = RuntimeEstimator([1_000_000_000])
     bounds = RuntimeLowerBounds(runtimes)
-    job_class = Script(1, 1, False, seed=1).dispatcher.settings.classes[0]
+    job_class = Simulation(1, 1, False, seed=1).dispatcher.settings.classes[0]
     job = Job(api.RequestReceived(0, 0, 5_000_000_000), job_class, 0, 5)
     attempt = Attempt(job, 0, Worker(api.WorkerEntry(3, api.WorkerState.READY)), 0)
     first_ns = bounds.min_run_ns(attempt)
