--- a/benchmarks/script.py
+++ b/benchmarks/script.py
@@ -1,7 +1,11 @@
-"""A seeded simulation of workers, clients, discovery and other dispatchers around one dispatcher.
+"""A seeded simulation of one dispatcher with its workers, clients, discovery and the other dispatchers.
+
+    python -m benchmarks.script
+
+prints, for fleets of several sizes, hashes of the dispatcher's actions after each phase.
 
 `Simulation` runs in virtual time.  Its events depend only on its seed and on the dispatcher's actions, so two
-versions that take the same decisions receive the same events.
+versions that take the same decisions receive the same events and print the same hashes.
 """
 
 from __future__ import annotations
@@ -15,7 +19,7 @@
 from weldquay.policy.dispatcher import Dispatcher
 
 MS, SECOND = 1_000_000, 1_000_000_000
-BEGIN_NS = 1000 * SECOND
+START_TIME_NS = 1000 * SECOND
 SLOW_START_NS = 10 * SECOND
 SLOTS_BY_KIND = (2, 4, 8)
 WORKER_KINDS = 3
@@ -25,7 +29,7 @@
 PHASES = ("calm", "full", "late", "zone", "cold", "list", "flap", "held")
 
 
-def job_classes() -> tuple[api.JobClass, ...]:
+def create_job_classes() -> tuple[api.JobClass, ...]:
     """Return an idempotent class, one that is idempotent by key, and a non-idempotent one."""
     return (
         api.JobClass(SECOND, 5 * SECOND, api.Idempotency.IDEMPOTENT, runtime_allowance=2.0),
@@ -49,20 +53,20 @@
     )
 
 
-def settings(dispatchers: int, probes: bool) -> api.Settings:
-    """Return the settings of a dispatcher in the middle of a group of so many."""
+def settings(dispatcher_count: int, with_probes: bool) -> api.Settings:
+    """Return the settings of the dispatcher in the middle of a group with `dispatcher_count` members."""
     return api.Settings(
-        classes=job_classes(),
-        dispatcher_count=dispatchers,
-        dispatcher_index=dispatchers // 2,
+        classes=create_job_classes(),
+        dispatcher_count=dispatcher_count,
+        dispatcher_index=dispatcher_count // 2,
         clock_resolution_ns=5 * MS,
         may_cancel=True,
-        may_probe=probes,
+        may_probe=with_probes,
         max_attempts=5,
         max_retry_after_ns=2 * SECOND,
         reports_start=True,
         reports_in_answers=True,
-        reports_in_probes=probes,
+        reports_in_probes=with_probes,
         weights_per_work=True,
         initial_capacity_fraction=0.34,
         slow_start_ns=SLOW_START_NS,
@@ -74,7 +78,7 @@
 
 
 class SimulatedWorker:
-    """One worker: its slots, and how many of them this dispatcher and the others use."""
+    """One worker, with the slots in use by the simulated dispatcher and by the other dispatchers."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -87,7 +91,7 @@
         self.is_up = True
 
     def entry(self) -> api.WorkerEntry:
-        """Return its entry of the endpoint list."""
+        """Return the worker's entry in the endpoint list."""
         state = api.WorkerState.READY if self.is_up else api.WorkerState.GONE
         start_id = (self.number * 0x9E3779B97F4A7C15 + self.started_ns) % 2**64
         return api.WorkerEntry(
@@ -96,23 +100,28 @@
 
 
 class Simulation:
-    """One dispatcher and its fleet.
+    """One dispatcher and its fleet of workers.
 
-    `run_phase` runs one phase.  `run_step` runs each step of the dispatcher; a benchmark may replace it to
-    measure the step.
+    `run_phase` simulates one phase.  `run_step` runs each step of the dispatcher; a benchmark or test may
+    replace it to measure or check the step.
     """
 
     def __init__(
-        self, workers: int, dispatchers: int = 1, probes: bool = False, seed: int = 1, queued_jobs: int = 0
+        self,
+        worker_count: int,
+        dispatcher_count: int = 1,
+        with_probes: bool = False,
+        seed: int = 1,
+        queued_jobs: int = 0,
     ) -> None:
-        self.random = random.Random(seed * 1_000_003 + workers)
-        self.dispatcher = Dispatcher(settings(dispatchers, probes), seed)
-        self.workers = {number: SimulatedWorker(number) for number in range(1, workers + 1)}
-        self.dispatchers = dispatchers
-        self.queued_jobs = queued_jobs  # sent at the begin of the phase "held"
-        self.now_ns = BEGIN_NS
+        self.random = random.Random(seed * 1_000_003 + worker_count)
+        self.dispatcher = Dispatcher(settings(dispatcher_count, with_probes), seed)
+        self.workers = {number: SimulatedWorker(number) for number in range(1, worker_count + 1)}
+        self.dispatcher_count = dispatcher_count
+        self.queued_jobs = queued_jobs  # received at the start of the phase "held", before its other requests
+        self.now_ns = START_TIME_NS
         self.last_request = 0
-        self.scheduled_count = 0
+        self.schedule_sequence = 0
         self.steps = 0
         self.schedule: list[tuple[int, int, Callable[[], list[api.Event]]]] = []
         self.reports_are_missing = False
@@ -121,27 +130,32 @@
         self.run_step: Callable[[Dispatcher, int, list[api.Event]], list[api.Action]] = (
             lambda dispatcher, now_ns, events: dispatcher.step(now_ns, events)
         )
-        # A dispatcher of a large group sees a small part of the fleet's traffic.
-        self.mean_gap_ns = max(20 * MS, 10 * SECOND // max(1, min(500, workers // dispatchers * 4)))
+        # A dispatcher in a large group receives only a small part of the fleet's traffic.
+        self.mean_interarrival_ns = max(
+            20 * MS, 10 * SECOND // max(1, min(500, worker_count // dispatcher_count * 4))
+        )
         self.send_full_list()
         self.send_load_reports()
 
     # --- workers and discovery ---
 
     def send_full_list(self) -> None:
-        """Send the whole endpoint list."""
+        """Send the complete endpoint list to the dispatcher."""
         entries = tuple(worker.entry() for worker in self.workers.values())
         self.step([api.EndpointListUpdate(api.EndpointListKind.FULL, entries)])
 
     def send_load_reports(self) -> None:
-        """Send the load reports of some workers, or of all where there is one dispatcher."""
+        """Send the load reports of a random sample of workers.
+
+        The sample has all workers if there are at most 10 of them, or at most 4 dispatchers.
+        """
         fleet_size = len(self.workers)
-        count = max(min(10, fleet_size), min(fleet_size, 4 * fleet_size // self.dispatchers))
+        count = max(min(10, fleet_size), min(fleet_size, 4 * fleet_size // self.dispatcher_count))
         for number in self.random.sample(sorted(self.workers), count):
-            self.step([api.ProbeEnded(number, api.Outcome.OK, MS, self.report(self.workers[number]))])
+            self.step([api.ProbeEnded(number, api.Outcome.OK, MS, self.load_report(self.workers[number]))])
 
-    def report(self, worker: SimulatedWorker) -> api.LoadReport | None:
-        """Return a worker's load report, or None while reports are missing."""
+    def load_report(self, worker: SimulatedWorker) -> api.LoadReport | None:
+        """Return a worker's load report, or None while workers send none."""
         if self.reports_are_missing:
             return None
         busy = worker.slots if self.is_overloaded else self.random.randint(0, worker.slots)
@@ -153,19 +167,19 @@
     # --- virtual time ---
 
     def schedule_events(self, delay_ns: int, make_events: Callable[[], list[api.Event]]) -> None:
-        """Schedule events, which are made when they are due."""
-        self.scheduled_count += 1
-        heapq.heappush(self.schedule, (self.now_ns + delay_ns, self.scheduled_count, make_events))
+        """Call `make_events` after a delay and pass its events to the dispatcher."""
+        self.schedule_sequence += 1
+        heapq.heappush(self.schedule, (self.now_ns + delay_ns, self.schedule_sequence, make_events))
 
     def step(self, events: list[api.Event]) -> None:
-        """Run one step of the dispatcher and carry out its actions."""
+        """Run one step of the dispatcher and execute its actions."""
         self.steps += 1
         for action in self.run_step(self.dispatcher, self.now_ns, events):
             self.actions.append((self.now_ns, action))
             self.handle_action(action)
 
     def handle_action(self, action: api.Action) -> None:
-        """Schedule the events that follow from an action."""
+        """Schedule the events that result from an action."""
         if isinstance(action, api.Send):
             self.start_attempt(action)
         elif isinstance(action, api.Probe):
@@ -173,7 +187,7 @@
             outcome = api.Outcome.OK if self.workers[worker].is_up else api.Outcome.CONNECT_FAILED
             self.schedule_events(
                 4 * SECOND if self.reports_are_missing else self.random.randint(MS // 2, 4 * MS),
-                lambda: [api.ProbeEnded(worker, outcome, MS, self.report(self.workers[worker]))],
+                lambda: [api.ProbeEnded(worker, outcome, MS, self.load_report(self.workers[worker]))],
             )
         elif isinstance(action, api.SetTimer):
             token = action.token
@@ -188,39 +202,44 @@
                 )
 
     def start_attempt(self, action: api.Send) -> None:
-        """Draw the outcome of an attempt and schedule its events."""
+        """Draw the outcome of an attempt at random and schedule its events."""
         worker = self.workers[action.worker]
         request_id = action.request_id
         attempt = self.dispatcher.jobs[request_id].attempts - 1
-        chance = self.random.random()
+        outcome_draw = self.random.random()
         runtime_ns = int(self.random.expovariate(1 / MEAN_RUNTIME_NS)) + MS
 
-        def end(outcome: api.Outcome, elapsed_ns: int, released_slots: int) -> list[api.Event]:
+        def end_attempt(outcome: api.Outcome, elapsed_ns: int, released_slots: int) -> list[api.Event]:
             worker.own_slots -= released_slots
-            report = self.report(worker) if outcome is not api.Outcome.RESET else None
+            load_report = self.load_report(worker) if outcome is not api.Outcome.RESET else None
             is_last = outcome is api.Outcome.OK
             return [
-                api.AttemptEnded(request_id, attempt, worker.number, outcome, elapsed_ns, is_last, report)
+                api.AttemptEnded(
+                    request_id, attempt, worker.number, outcome, elapsed_ns, is_last, load_report
+                )
             ]
 
         if not worker.is_up:
-            self.schedule_events(MS, lambda: end(api.Outcome.CONNECT_FAILED, MS, 0))
-        elif self.is_overloaded or chance < 0.05:
-            self.schedule_events(2 * MS, lambda: end(api.Outcome.OVERLOADED, 2 * MS, 0))
-        elif chance < 0.06:
-            self.schedule_events(3 * MS, lambda: end(api.Outcome.ERROR, 3 * MS, 0))
+            self.schedule_events(MS, lambda: end_attempt(api.Outcome.CONNECT_FAILED, MS, 0))
+        elif self.is_overloaded or outcome_draw < 0.05:
+            self.schedule_events(2 * MS, lambda: end_attempt(api.Outcome.OVERLOADED, 2 * MS, 0))
+        elif outcome_draw < 0.06:
+            self.schedule_events(3 * MS, lambda: end_attempt(api.Outcome.ERROR, 3 * MS, 0))
         else:
             worker.own_slots += 1
-            begin_ns = 2 * MS if chance < 0.9 else 120 * MS  # one in ten waits in the worker's queue
-            self.schedule_events(begin_ns, lambda: [api.AttemptProgress(request_id, attempt, worker.number)])
-            outcome = api.Outcome.RESET if chance > 0.98 else api.Outcome.OK
-            end_ns = begin_ns + runtime_ns
-            self.schedule_events(end_ns, lambda: end(outcome, end_ns, 1))
+            # A tenth of all attempts wait in the worker's queue.
+            start_delay_ns = 2 * MS if outcome_draw < 0.9 else 120 * MS
+            self.schedule_events(
+                start_delay_ns, lambda: [api.AttemptProgress(request_id, attempt, worker.number)]
+            )
+            outcome = api.Outcome.RESET if outcome_draw > 0.98 else api.Outcome.OK
+            end_delay_ns = start_delay_ns + runtime_ns
+            self.schedule_events(end_delay_ns, lambda: end_attempt(outcome, end_delay_ns, 1))
 
     # --- phases ---
 
     def next_request(self) -> list[api.Event]:
-        """Return the event of a client's next request."""
+        """Return the event of the next client request."""
         self.last_request += 1
         job_class = self.random.choices((0, 1, 2), (0.6, 0.3, 0.1))[0]
         has_hint = self.random.random() < 0.5
@@ -230,22 +249,28 @@
             api.RequestReceived(self.last_request, job_class, timeout_ns, slots=1.0, runtime_hint_ns=hint_ns)
         ]
 
-    def run_requests(self, requests: int, before_each: Callable[[int], None]) -> None:
-        """Send so many requests and run everything that is due meanwhile."""
-        for index in range(requests):
+    def run_requests(self, request_count: int, before_each: Callable[[int], None]) -> None:
+        """Send requests at random intervals, and process all scheduled events that are due in between."""
+        for index in range(request_count):
             before_each(index)
             has_no_reports = self.dispatcher.settings.may_probe or self.reports_are_missing
             if index % 20 == 0 and not has_no_reports:
                 self.send_load_reports()
-            due_ns = self.now_ns + int(self.random.expovariate(1 / self.mean_gap_ns))
+            due_ns = self.now_ns + int(self.random.expovariate(1 / self.mean_interarrival_ns))
             while self.schedule and self.schedule[0][0] <= due_ns:
                 self.now_ns, _, make_events = heapq.heappop(self.schedule)
                 self.step(make_events())
             self.now_ns = due_ns
             self.step(self.next_request())
 
-    def run_phase(self, phase: str, calls: int = REQUESTS_PER_PHASE) -> None:
-        """Run one phase; afterwards all workers are up and report again."""
+    def run_phase(self, phase: str, request_count: int = REQUESTS_PER_PHASE) -> None:
+        """Run one phase, after which no overload is simulated and workers send load reports again.
+
+        phase: "calm"; "full", all workers reject attempts as overloaded; "late", there are no load reports;
+            "zone", one zone is down for half of the requests, then restarts; "cold", up to 300 workers have
+            restarted; "list", the endpoint list repeats half of its entries; "flap", one worker goes down and
+            up; "held", as "full", with a burst of `queued_jobs` requests at the start.
+        """
         self.is_overloaded = phase in ("full", "held")
         self.reports_are_missing = phase == "late"
         before_each: Callable[[int], None] = do_nothing
@@ -256,8 +281,8 @@
         elif phase == "zone":
             zone_workers = [worker for worker in all_workers if worker.zone == 1]
             self.change_workers(zone_workers, is_up=False)
-            self.run_requests(calls // 2, before_each)
-            calls -= calls // 2
+            self.run_requests(request_count // 2, before_each)
+            request_count -= request_count // 2
             self.change_workers(zone_workers, is_up=True)
         elif phase == "cold":
             self.change_workers(all_workers[:300], is_up=True)
@@ -265,17 +290,20 @@
             half = all_workers[: max(1, len(all_workers) // 2)]
             self.change_workers(half, is_up=True, is_restart=False)
         elif phase == "flap":
-            before_each = self.flap_first_worker
-        self.run_requests(calls, before_each)
+            before_each = self.toggle_first_worker
+        self.run_requests(request_count, before_each)
         self.is_overloaded = False
         self.reports_are_missing = False
 
-    def flap_first_worker(self, index: int) -> None:
-        """Bring the first worker back before an even request and take it away before an odd one."""
+    def toggle_first_worker(self, index: int) -> None:
+        """Mark the first worker as up before each even request and as down before each odd one."""
         self.change_workers([next(iter(self.workers.values()))], is_up=index % 2 == 0, is_restart=False)
 
     def change_workers(self, workers: list[SimulatedWorker], is_up: bool, is_restart: bool = True) -> None:
-        """Have workers leave or come back, after a restart or as they were, and send the list's changes."""
+        """Take workers up or down and send the change of the endpoint list.
+
+        is_restart: workers that come up have a new start time and no running jobs.
+        """
         for worker in workers:
             worker.is_up = is_up
             if is_up and is_restart:
@@ -286,17 +314,17 @@
 
 
 def do_nothing(_: int) -> None:
-    """Do nothing before a request."""
+    """Do nothing before a request; the default of `Simulation.run_requests`."""
 
 
-def digest(script: Simulation) -> str:
-    """Return a short hash of all actions and their times."""
-    return hashlib.sha256(repr(script.actions).encode()).hexdigest()[:16]
+def hash_actions(simulation: Simulation) -> str:
+    """Return a short hash of all actions with their times."""
+    return hashlib.sha256(repr(simulation.actions).encode()).hexdigest()[:16]
 
 
 def main() -> int:
-    """Print hashes of the actions of each size; two commits that take the same decisions print the same."""
-    for workers, dispatchers, probes, queued in (
+    """Print hashes of the actions for each fleet size and phase."""
+    for worker_count, dispatcher_count, with_probes, queued in (
         (10, 1, False, 20),
         (10, 3, True, 20),
         (60, 1, False, 100),
@@ -307,13 +335,22 @@
         (200, 1, False, 100),
         (200, 1, True, 100),
     ):
-        script = Simulation(workers, dispatchers, probes, queued_jobs=queued)
-        digests = []
+        simulation = Simulation(worker_count, dispatcher_count, with_probes, queued_jobs=queued)
+        hashes = []
         for phase in PHASES:
-            script.run_phase(phase, 150)
-            digests.append(f"{phase} {digest(script)[:6]}")
-        sends = sum(isinstance(action, api.Send) for _, action in script.actions)
-        print(workers, dispatchers, probes, script.steps, len(script.actions), sends, *digests, flush=True)
+            simulation.run_phase(phase, 150)
+            hashes.append(f"{phase} {hash_actions(simulation)[:6]}")
+        sends = sum(isinstance(action, api.Send) for _, action in simulation.actions)
+        print(
+            worker_count,
+            dispatcher_count,
+            with_probes,
+            simulation.steps,
+            len(simulation.actions),
+            sends,
+            *hashes,
+            flush=True,
+        )
     return 0
 
 
