--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.cost import ROOT, extract
+from benchmarks.cost import ROOT, extract_commit
 from benchmarks.upgrade_figures import (
     Figures,
     ReceivedJob,
@@ -297,7 +297,7 @@
         yield Path(name).resolve()
     else:
         with tempfile.TemporaryDirectory() as folder:
-            yield extract(name, Path(folder))
+            yield extract_commit(name, Path(folder))
 
 
 def options() -> argparse.ArgumentParser:
