--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""Cost of a decision by the number of workers, with 10,000 jobs running, reservations off and on.
+"""CPU time of a placement decision, by number of workers, with 10,000 jobs running.
 
     python -m benchmarks.decisions
 
-Each row has the median CPU time of one step that receives a one-slot job and places it: without reservations,
-with them, and with large queued jobs that hold reservations meanwhile.  The arms take turns, so that drift of
-the machine affects all of them.
+Each row has the median CPU time of a step that receives and places a job of one slot: without reservations,
+with reservations, and while large queued jobs hold reservations.  The three configurations are measured
+alternately, so that slow changes in the speed of the machine affect all of them.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 RUNNING_JOBS = 10_000
 LARGE_JOBS = 20  # queued jobs that need more slots than are free
-FREE_SLOTS = 4.0  # of each worker
+FREE_SLOTS = 4.0  # of each worker, by its load report
 
 
-def settings(reservations: ReservationSettings | None) -> api.Settings:
-    """Return settings with two equal idempotent classes, the second for large jobs."""
+def create_settings(reservations: ReservationSettings | None) -> api.Settings:
+    """Return settings with two equal idempotent job classes, the second of which is for the large jobs."""
     job_class = api.JobClass(
         latency_objective_ns=10 * SECOND,
         client_timeout_ns=60 * SECOND,
@@ -44,55 +44,57 @@
     )
 
 
-class Bench:
-    """A dispatcher with running jobs, which receives one request after another."""
+class PlacementBenchmark:
+    """A dispatcher with many running jobs, which receives and completes one request at a time."""
 
-    def __init__(self, workers: int, reservations: ReservationSettings | None, large_jobs: int = 0) -> None:
-        self.dispatcher = Dispatcher(settings(reservations), 1)
+    def __init__(
+        self, worker_count: int, reservations: ReservationSettings | None, large_jobs: int = 0
+    ) -> None:
+        self.dispatcher = Dispatcher(create_settings(reservations), 1)
         self.now_ns = 1000 * SECOND
         self.last_request = 0
-        self.workers = workers
-        self.jobs_per_worker = max(1, RUNNING_JOBS // workers)
-        entries = tuple(api.WorkerEntry(number + 1, api.WorkerState.READY) for number in range(workers))
+        self.worker_count = worker_count
+        self.jobs_per_worker = max(1, RUNNING_JOBS // worker_count)
+        entries = tuple(api.WorkerEntry(number + 1, api.WorkerState.READY) for number in range(worker_count))
         self.dispatcher.step(self.now_ns, [api.EndpointListUpdate(api.EndpointListKind.FULL, entries)])
         self.add_running_jobs()
         self.send_load_reports()
         self.add_large_jobs(large_jobs)
 
     def next_request(self, job_class: int, runtime_hint_ns: int, slots: float = 1.0) -> api.RequestReceived:
-        """Return the event of a new request."""
+        """Return the event of the next client request."""
         self.last_request += 1
         return api.RequestReceived(
             self.last_request, job_class, 60 * SECOND, slots=slots, runtime_hint_ns=runtime_hint_ns
         )
 
     def add_running_jobs(self) -> None:
-        """Fill each worker with jobs of an older process, which are placed without a decision."""
-        for worker in range(1, self.workers + 1):
+        """Add running jobs to each worker as jobs migrated from an older process, which need no decision."""
+        for worker in range(1, self.worker_count + 1):
             for _ in range(self.jobs_per_worker):
                 request = self.next_request(0, 5 * SECOND)
                 migrated = api.RequestMigrated(request, self.now_ns, 1, worker, self.now_ns, self.now_ns)
                 self.dispatcher.step(self.now_ns, [migrated])
 
     def send_load_reports(self) -> None:
-        """Report FREE_SLOTS free slots of each worker."""
+        """Pass a load report of each worker with FREE_SLOTS free slots to the dispatcher."""
         report = api.LoadReport(FREE_SLOTS, FREE_SLOTS, busy_requests=float(self.jobs_per_worker))
-        for worker in range(1, self.workers + 1):
+        for worker in range(1, self.worker_count + 1):
             self.dispatcher.handlers[api.ProbeEnded](api.ProbeEnded(worker, api.Outcome.OK, MS, report))
 
-    def add_large_jobs(self, count: int) -> None:
-        """Queue jobs that no worker has enough free slots for."""
-        for _ in range(count):
+    def add_large_jobs(self, job_count: int) -> None:
+        """Add jobs that need more slots than any worker has free, so that they are queued."""
+        for _ in range(job_count):
             request = self.next_request(1, SECOND, slots=self.jobs_per_worker + FREE_SLOTS)
             self.dispatcher.step(self.now_ns, [request])
 
-    def measure_request(self) -> float:
-        """Place and end one request; return the CPU seconds of the step that placed it."""
+    def measure_placement(self) -> float:
+        """Place and complete one request; return the CPU time in seconds of the step that placed it."""
         request = self.next_request(0, 10 * MS)
         self.now_ns += 1000
-        begun_s = time.process_time()
+        start_s = time.process_time()
         actions = self.dispatcher.step(self.now_ns, [request])
-        elapsed_s = time.process_time() - begun_s
+        elapsed_s = time.process_time() - start_s
         for action in actions:
             if isinstance(action, api.Send):
                 ended = api.AttemptEnded(action.request_id, 0, action.worker, api.Outcome.OK, 10 * MS, True)
@@ -101,34 +103,32 @@
 
 
 def main() -> int:
-    """Print the table."""
-    print(
-        "| workers | off, us a request | on | on by off | with large jobs | reservations | scheduler, bytes |"
-    )
+    """Print the table, one row for each number of workers."""
+    print("| workers | off, us per job | on | on/off | with large jobs | reservations | scheduler, bytes |")
     print("|" + " --- |" * 7)
-    for workers, requests in ((10, 600), (100, 300), (1000, 60), (10000, 8)):
-        arms = [
-            Bench(workers, None),
-            Bench(workers, ReservationSettings()),
-            Bench(workers, ReservationSettings(), LARGE_JOBS),
+    for worker_count, request_count in ((10, 600), (100, 300), (1000, 60), (10000, 8)):
+        variants = [
+            PlacementBenchmark(worker_count, None),
+            PlacementBenchmark(worker_count, ReservationSettings()),
+            PlacementBenchmark(worker_count, ReservationSettings(), LARGE_JOBS),
         ]
-        times_s: list[list[float]] = [[], [], []]
-        for number in range(requests):
-            for offset in range(len(arms)):
-                arm = (number + offset) % len(arms)
-                times_s[arm].append(arms[arm].measure_request())
-        off_us, on_us, large_us = (statistics.median(arm_times) * 1e6 for arm_times in times_s)
-        reservations = len(arms[2].dispatcher.scheduler.by_request)
+        cpu_times_s: list[list[float]] = [[], [], []]
+        for number in range(request_count):
+            for offset in range(len(variants)):
+                variant = (number + offset) % len(variants)
+                cpu_times_s[variant].append(variants[variant].measure_placement())
+        off_us, on_us, large_us = (statistics.median(cpu_times) * 1e6 for cpu_times in cpu_times_s)
+        reservation_count = len(variants[2].dispatcher.scheduler.by_request)
         print(
-            f"| {workers} | {off_us:.0f} | {on_us:.0f} | {on_us / off_us:.3f} | {large_us:.0f} "
-            f"| {reservations} | {scheduler_bytes(workers)} |",
+            f"| {worker_count} | {off_us:.0f} | {on_us:.0f} | {on_us / off_us:.3f} | {large_us:.0f} "
+            f"| {reservation_count} | {measure_scheduler_bytes(worker_count)} |",
             flush=True,
         )
     return 0
 
 
-def scheduler_bytes(workers: int) -> int:
-    """Return the memory of a scheduler's reservations at their maximum number."""
+def measure_scheduler_bytes(worker_count: int) -> int:
+    """Return the bytes that a scheduler allocates for its maximum number of reservations."""
     scheduler = BackfillScheduler(ReservationSettings(max_reservations=256, max_reserved_fraction=0.5))
     timetable = Timetable(4.0, 4.0, [RunningJob(SECOND, 2.0)])
     tracemalloc.start()
@@ -136,8 +136,8 @@
         scheduler.request_capacity(
             0,
             CapacityRequest(number, 4.0, 1.0, 1e9, 1e10, 1.0),
-            [WorkerOffer(number % workers, 1e9, lambda: timetable)],
-            FleetLoad(workers, 0.1, 1),
+            [WorkerOffer(number % worker_count, 1e9, lambda: timetable)],
+            FleetLoad(worker_count, 0.1, 1),
         )
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
