--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The imports between the modules of weldquay: no module may depend on itself by way of others."""
+"""Test that the modules of weldquay have no import cycles, direct or through other modules."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a file below the root; a package's is that of its folder."""
+    """Return the dotted module name of a file below the root; for `__init__.py`, that of its package."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-def imported(source: str, modules: Mapping[str, object], name: str) -> set[str]:
-    """The modules that a source imports anywhere: in functions and under TYPE_CHECKING too.
+def imported_modules(source: str, modules: Mapping[str, object], name: str) -> set[str]:
+    """Return the modules that a source file imports, in functions and TYPE_CHECKING blocks too.
 
-    Packages above a module run before it, but hold no names that it needs; only what is named counts.
+    The parent packages of an imported module are left out: Python runs them first, but the importing module
+    uses none of their names.
     """
-    found: set[str] = set()
+    names: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
-            found.update(alias.name for alias in node.names)
+            names.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0 and node.module, f"{name}: imports are written in full"
+            assert node.level == 0 and node.module, f"{name} has a relative import; use an absolute one"
             for alias in node.names:
-                inner = f"{node.module}.{alias.name}"
-                found.add(inner if inner in modules else node.module)
-    return found & modules.keys()
+                submodule = f"{node.module}.{alias.name}"
+                names.add(submodule if submodule in modules else node.module)
+    return names & modules.keys()
 
 
-def circle(sources: Mapping[str, str]) -> list[str]:
-    """Modules that import each other in a circle; none where there is no circle."""
-    graph = {name: imported(source, sources, name) for name, source in sources.items()}
+def find_import_cycle(sources: Mapping[str, str]) -> list[str]:
+    """Return the modules of an import cycle, or an empty list if there is no cycle."""
+    graph = {name: imported_modules(source, sources, name) for name, source in sources.items()}
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
@@ -45,14 +46,14 @@
     return []
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    """TYPE_CHECKING blocks count: a reader meets the circle there as well."""
+def test_there_is_no_import_cycle() -> None:
+    """Imports in TYPE_CHECKING blocks count too, since a cycle there is as hard to read."""
     sources = {module_name(path): path.read_text() for path in (ROOT / "weldquay").rglob("*.py")}
-    assert len(sources) > 50 and circle(sources) == []
+    assert len(sources) > 50 and find_import_cycle(sources) == []
 
 
 @pytest.mark.parametrize(
-    ("sources", "found"),
+    ("sources", "expected"),
     [
         ({"p": "", "p.a": "from p import b", "p.b": "import p.c", "p.c": ""}, set()),
         ({"p.a": "from p.b import f", "p.b": "def f():\n    import p.a"}, {"p.a", "p.b"}),
@@ -61,6 +62,6 @@
         ({"a": "import b", "b": "import c", "c": "import a", "d": "import a"}, {"a", "b", "c"}),
     ],
 )
-def test_a_circle_is_found(sources: dict[str, str], found: set[str]) -> None:
-    """At the top, in a function, under TYPE_CHECKING, by way of a package or of a third module."""
-    assert set(circle(sources)) == found
+def test_import_cycle_is_found(sources: dict[str, str], expected: set[str]) -> None:
+    """Cycles at module level, in a function, under TYPE_CHECKING, through a package, and of three modules."""
+    assert set(find_import_cycle(sources)) == expected
