--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements anyone can repeat; none of them is part of the tests."""
+"""Benchmarks that anyone can repeat; the tests run only the call counts of `benchmarks.cost`."""
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,6 +1,8 @@
-"""Cost of an endpoint list for one dispatcher: resident memory of a process, time of a decision step.
+"""Cost of a long endpoint list for one dispatcher: the memory of its process and the time of a step.
 
-Run it as `python -m benchmarks.sizes` from the root; about 100 s, one core.
+    python -m benchmarks.sizes
+
+Run it in the root folder of the repository.  It takes about 100 s on one core.
 """
 
 from __future__ import annotations
@@ -22,27 +24,28 @@
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
 SECOND_NS = 1_000_000_000
-SETTLE_S = 0.25  # from a change of the list to the measurement
-ROUNDS = (0, 6, 120)  # numbers of list changes, all ids each time, after which memory is measured
+SETTLING_TIME_S = 0.25  # from a change of the list to the measurement
+# Memory is measured after these numbers of rounds; each round replaces the ids of all workers in the list.
+MEASURED_AFTER_ROUNDS = (0, 6, 120)
 
 
-def listing(count: int, round_number: int = 0) -> Discovery:
-    """Return a discovery stand-in with so many workers, whose ids differ from round to round."""
+def create_discovery(worker_count: int, round_number: int = 0) -> Discovery:
+    """Return a discovery stand-in that lists `worker_count` workers, with different ids in each round."""
     discovery = Discovery()
-    for number in range(count):
-        address = f"127.{round_number + 1}.{number // 250}.{number % 250 + 1}:9"
+    for index in range(worker_count):
+        address = f"127.{round_number + 1}.{index // 250}.{index % 250 + 1}:9"
         discovery.put(address, [address])
     return discovery
 
 
 def resident_mb(pid: int) -> float:
     """Return the resident memory of a process in MB."""
-    status = Path(f"/proc/{pid}/status").read_text().splitlines()
-    return int(next(line for line in status if line.startswith("VmRSS")).split()[1]) / 1024
+    status_lines = Path(f"/proc/{pid}/status").read_text().splitlines()
+    return int(next(line for line in status_lines if line.startswith("VmRSS")).split()[1]) / 1024
 
 
 def write_config(folder: str, discovery: Discovery) -> Path:
-    """Write a dispatcher's configuration and return its path."""
+    """Write the configuration file of a dispatcher and return its path."""
     document = json.loads(CONFIG.read_text())
     document |= {
         "listen": "127.0.0.1:0",
@@ -68,58 +71,58 @@
     return process
 
 
-async def memory(count: int) -> list[float]:
-    """Return the resident MB of a dispatcher with so many workers, after each of ROUNDS."""
-    discovery = listing(count)
+async def measure_memory_mb(worker_count: int) -> list[float]:
+    """Return the resident memory in MB of a dispatcher process, at each of MEASURED_AFTER_ROUNDS."""
+    discovery = create_discovery(worker_count)
     await discovery.start()
-    sizes = []
+    sizes_mb = []
     with tempfile.TemporaryDirectory() as folder:
         process = await start_dispatcher(write_config(folder, discovery))
-        for number in range(max(ROUNDS) + 1):
-            if number:
-                discovery.members = listing(count, number).members
+        for round_number in range(max(MEASURED_AFTER_ROUNDS) + 1):
+            if round_number:
+                discovery.members = create_discovery(worker_count, round_number).members
                 await discovery.tell()
-            await asyncio.sleep(SETTLE_S)
-            if number in ROUNDS:
-                sizes.append(resident_mb(process.pid))
+            await asyncio.sleep(SETTLING_TIME_S)
+            if round_number in MEASURED_AFTER_ROUNDS:
+                sizes_mb.append(resident_mb(process.pid))
         process.terminate()
         await process.wait()
     discovery.stop()
-    return sizes
+    return sizes_mb
 
 
-def step_ms(dispatchers: int, count: int, lines: int) -> float:
-    """Return the milliseconds of the step that applies changes of all workers, in so many updates."""
+def measure_step_ms(dispatcher_count: int, worker_count: int, update_count: int) -> float:
+    """Return the duration in ms of a step that applies a change of each worker, split into updates."""
     settings = read({}, json.loads(CONFIG.read_text())).settings
-    decisions = Dispatcher(
-        replace(settings, dispatcher_count=dispatchers, dispatcher_index=dispatchers - 1), 1
+    dispatcher = Dispatcher(
+        replace(settings, dispatcher_count=dispatcher_count, dispatcher_index=dispatcher_count - 1), 1
     )
     entries = [
-        api.WorkerEntry(number, api.WorkerState.READY, start_id=zlib.crc32(b"%d" % number))
-        for number in range(count)
+        api.WorkerEntry(index, api.WorkerState.READY, start_id=zlib.crc32(b"%d" % index))
+        for index in range(worker_count)
     ]
-    decisions.step(1000 * SECOND_NS, [api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries))])
+    dispatcher.step(1000 * SECOND_NS, [api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries))])
     events = [
-        api.EndpointListUpdate(api.EndpointListKind.DELTA, tuple(entries[offset::lines]))
-        for offset in range(lines)
+        api.EndpointListUpdate(api.EndpointListKind.DELTA, tuple(entries[offset::update_count]))
+        for offset in range(update_count)
     ]
-    begun = time.perf_counter()
-    decisions.step(1001 * SECOND_NS, [*events])
-    return (time.perf_counter() - begun) * 1000
+    start_s = time.perf_counter()
+    dispatcher.step(1001 * SECOND_NS, [*events])
+    return (time.perf_counter() - start_s) * 1000
 
 
 def main() -> None:
     """Print all measurements."""
-    for count in (1, 1100, 1400):
-        sizes = asyncio.run(memory(count))
-        by_round = zip(ROUNDS, sizes, strict=True)
-        text = ", ".join(f"{size:.1f} MB after {rounds} rounds" for rounds, size in by_round)
-        print(f"{count} workers: {text}")
-    for dispatchers, count in ((3, 1100), (410, 1400)):
-        for lines in (1, count):
+    for worker_count in (1, 1100, 1400):
+        sizes_mb = asyncio.run(measure_memory_mb(worker_count))
+        sizes_by_round = zip(MEASURED_AFTER_ROUNDS, sizes_mb, strict=True)
+        text = ", ".join(f"{size:.1f} MB after {rounds} rounds" for rounds, size in sizes_by_round)
+        print(f"{worker_count} workers: {text}")
+    for dispatcher_count, worker_count in ((3, 1100), (410, 1400)):
+        for update_count in (1, worker_count):
             print(
-                f"{count} changes in {lines} lines, {dispatchers} dispatchers: "
-                f"{step_ms(dispatchers, count, lines):.1f} ms"
+                f"{worker_count} changes in {update_count} updates, {dispatcher_count} dispatchers: "
+                f"{measure_step_ms(dispatcher_count, worker_count, update_count):.1f} ms"
             )
 
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of weldquay; none needs the bench."""
+"""Tests of weldquay; none of them needs the bench."""
