--- a/weldquay/lab/soak/__init__.py
+++ b/weldquay/lab/soak/__init__.py
@@ -1,8 +1,8 @@
-"""A seeded soak: several dispatcher processes under load, signals and faults, checked against the rules.
+"""A seeded soak test: several dispatcher processes run under load, signals and faults, and are checked.
 
     python -m weldquay.lab.soak --seed 7          # one round
-    python -m weldquay.lab.soak --seeds 50        # the rounds 1 to 50, three at a time
+    python -m weldquay.lab.soak --seeds 50        # rounds 1 to 50, three in parallel
 
-A seed alone gives the plan of a round (`plan`).  `stand_ins` has the workers and discovery, `clients` the
-load, `processes` the dispatchers, `checks` the rules, and `round` plays a plan.
+The plan of a round depends only on its seed (`plan`).  `stand_ins` has the workers and discovery, `clients`
+the load generator, `processes` the dispatchers, `checks` the checked rules; `round` executes a plan.
 """
--- a/weldquay/lab/soak/checks.py
+++ b/weldquay/lab/soak/checks.py
@@ -1,4 +1,4 @@
-"""The rules that a round is checked against; each check returns one line for each violation."""
+"""The rules that each round is checked against; a check returns one line per violation."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from weldquay.lab.soak.processes import ProcessLog, SoakDispatcher
 from weldquay.lab.soak.stand_ins import JobLog, SoakDiscovery
 
-LATE_ANSWER_S = 0.5  # after the client's time; a later answer is as none
-STALENESS_S = 6.2  # from when a drain could be had from discovery; 0.2 s for this process's own delays
+ANSWER_GRACE_S = 0.5  # after the client's timeout; a later response counts as missing
+MAX_STALENESS_S = 6.2  # from when discovery could report a drain; includes 0.2 s for delays of this process
 
 
 @dataclass
 class Records:
-    """What a round recorded."""
+    """The recorded data of a round."""
 
     requests: list[SentRequest]
     jobs: JobLog
@@ -23,66 +23,74 @@
     processes: ProcessLog
     dispatchers: list[SoakDispatcher]
     client_timeout_s: float
-    has_crowd: bool
+    has_connection_flood: bool
 
 
 def check_answers(records: Records) -> list[str]:
-    """Each request gets one answer in time, and a 200 has its own result."""
+    """Check that each request gets one response in time, and that a 200 has the result of its own job."""
     violations = []
     for request in records.requests:
         took_s = request.ended_at - request.sent_at
-        if request.outcome in (RequestOutcome.UNANSWERED, RequestOutcome.CUT_OFF):
+        if request.outcome in (RequestOutcome.UNANSWERED, RequestOutcome.TRUNCATED):
             violations.append(f"{request.request_id}: {request.outcome.value} after {took_s:.2f} s")
-        elif request.outcome is RequestOutcome.ANSWERED and took_s > records.client_timeout_s + LATE_ANSWER_S:
+        elif (
+            request.outcome is RequestOutcome.ANSWERED and took_s > records.client_timeout_s + ANSWER_GRACE_S
+        ):
             violations.append(f"{request.request_id}: answered {request.status} after {took_s:.2f} s")
         elif request.outcome is RequestOutcome.ANSWERED and request.status not in (200, 429, 502, 503):
             violations.append(f"{request.request_id}: answered {request.status}")
-        if not request.is_right:
-            violations.append(f"{request.request_id}: a wrong result")
+        if not request.is_result_correct:
+            violations.append(f"{request.request_id}: the response has a wrong result")
     return violations
 
 
 def check_closed_connections(records: Records) -> list[str]:
-    """A connection closes under a request only unread, and only at the end of a process or in a crowd."""
+    """Check that connections are closed without a response only where that is allowed.
+
+    The request must not have reached a worker, and its dispatcher must be terminating or its connections
+    must be over the limit.
+    """
     received = {job.request_id for job in records.jobs.received}
-    ending = {dispatcher.address: dispatcher.ending for dispatcher in records.dispatchers}
+    terminations = {dispatcher.address: dispatcher.terminations for dispatcher in records.dispatchers}
     violations = []
     for request in records.requests:
-        if request.outcome is not RequestOutcome.CLOSED:
+        if request.outcome is not RequestOutcome.CLOSED_UNANSWERED:
             continue
-        is_ending = any(
-            begun_at <= request.ended_at and request.sent_at <= ended_at + 0.1
-            for begun_at, ended_at in ending[request.dispatcher]
+        was_terminating = any(
+            started_at <= request.ended_at and request.sent_at <= ended_at + 0.1
+            for started_at, ended_at in terminations[request.dispatcher]
         )
-        signals_at = [begun_at for begun_at, _ in ending[request.dispatcher]]
+        signals_at = [started_at for started_at, _ in terminations[request.dispatcher]]
         if request.request_id in received:
             violations.append(describe_loss(request, signals_at))
-        elif not is_ending and not records.has_crowd:
-            violations.append(f"{request.request_id}: closed without an answer while its dispatcher served")
+        elif not was_terminating and not records.has_connection_flood:
+            violations.append(
+                f"{request.request_id}: closed without a response while its dispatcher was serving"
+            )
     return violations
 
 
 def describe_loss(request: SentRequest, signals_at: list[float]) -> str:
-    """A request that was lost; signals_at: the times of SIGTERM to its dispatcher (s)."""
-    connection = "new" if request.is_new_connection else "kept"
+    """Return a description of a lost request; signals_at: when its dispatcher received SIGTERM (s)."""
+    connection = "new" if request.is_new_connection else "reused"
     took_s = request.ended_at - request.sent_at
-    after_s = ", ".join(f"{request.sent_at - at:.2f}" for at in signals_at)
+    seconds_after_signals = ", ".join(f"{request.sent_at - at:.2f}" for at in signals_at)
     return (
-        f"{request.request_id}: sent to a worker, and its {connection} connection was closed without an "
-        f"answer after {took_s:.2f} s; seconds from SIGTERM to the request: {after_s}"
+        f"{request.request_id}: sent to a worker, and its {connection} connection was closed without a "
+        f"response after {took_s:.2f} s; seconds from SIGTERM to the request: {seconds_after_signals}"
     )
 
 
 def check_attempts(records: Records) -> list[str]:
-    """Never two attempts at once, and never a second one of a job that must not run twice."""
+    """Check that attempts of a request never overlap, and that non-idempotent jobs get only one."""
     violations = [
-        f"{job.request_id}: an attempt at {job.worker_id} beside another one"
+        f"{job.request_id}: an attempt at {job.worker_id} while another one was open"
         for job in records.jobs.received
-        if job.had_open
+        if job.had_open_attempt
     ]
     counts = Counter(job.request_id for job in records.jobs.received)
     violations += [
-        f"{request.request_id}: {counts[request.request_id]} attempts of a job that must not run twice"
+        f"{request.request_id}: {counts[request.request_id]} attempts of a non-idempotent job"
         for request in records.requests
         if not request.is_idempotent and counts[request.request_id] > 1
     ]
@@ -90,35 +98,37 @@
 
 
 def check_drains(records: Records) -> list[str]:
-    """Nothing is sent to a worker once its drain counts as reported."""
-    reachable_after = records.discovery.reachable_after
+    """Check that no job is sent to a draining worker after the maximum staleness of the endpoint list."""
+    drain_visible_at = records.discovery.drain_visible_at
     return [
-        f"{job.request_id}: sent to {job.worker_id}, {job.at - reachable_after[job.worker_id]:.2f} s after "
-        "its drain"
+        f"{job.request_id}: sent to {job.worker_id}, "
+        f"{job.received_at - drain_visible_at[job.worker_id]:.2f} s after discovery could report its drain"
         for job in records.jobs.received
-        if job.worker_id in reachable_after and job.at > reachable_after[job.worker_id] + STALENESS_S
+        if job.worker_id in drain_visible_at
+        and job.received_at > drain_visible_at[job.worker_id] + MAX_STALENESS_S
     ]
 
 
 def check_processes(records: Records) -> list[str]:
-    """Each process ends by itself before SIGKILL, each start is ready in time, and none logs an exception."""
+    """Check that all processes exit cleanly before SIGKILL, become ready in time and log no exception."""
     log = records.processes
     violations = [
-        f"{end.name}: ended with {'SIGKILL' if end.status is None else end.status} after {end.after_s:.2f} s"
+        f"{end.name}: exited with {'SIGKILL' if end.status is None else end.status} "
+        f"after {end.elapsed_s:.2f} s"
         for end in log.ends
         if end.status != 0
     ]
-    violations += log.not_ready + log.refused_starts
+    violations += log.not_ready + log.failed_starts
     violations += [
-        f"{dispatcher.name}: {count} exceptions in its logs"
+        f"{dispatcher.name}: {count} tracebacks in its logs"
         for dispatcher in records.dispatchers
-        if (count := dispatcher.tracebacks())
+        if (count := dispatcher.count_tracebacks())
     ]
     return violations
 
 
 def check(records: Records) -> list[str]:
-    """All violations of a round."""
+    """Return all violations of a round."""
     return [
         violation
         for check_rule in (
--- a/weldquay/lab/soak/plan.py
+++ b/weldquay/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of one round, drawn from its seed: what happens to whom, and when."""
+"""The plan of a soak round, drawn from its seed: which faults occur, where and when."""
 
 from __future__ import annotations
 
@@ -8,99 +8,105 @@
 
 DISPATCHERS = 2
 WORKERS = 4
-LENGTH_S = 9.0  # of the faults; then all processes are ended
-START_S = 1.0  # before the first fault
-CLIENT_TIMEOUTS_S = (0.6, 1.5, 3.0)  # SIGKILL follows SIGTERM after the longest one and 0.7 s
-CROWD_FRACTION = 0.3  # of the rounds
-CROWD_SIZE = 400  # idle connections to each dispatcher, more than it may hold
-MOMENT_S = 0.7  # in which discovery is back, longer than it can be unnoticed
+FAULT_PHASE_S = 9.0  # then all processes are terminated
+WARM_UP_S = 1.0  # load without faults, before the first fault
+CLIENT_TIMEOUTS_S = (0.6, 1.5, 3.0)  # SIGKILL follows SIGTERM by the longest timeout plus 0.7 s
+CONNECTION_FLOOD_FRACTION = 0.3  # of all rounds
+CONNECTION_FLOOD_SIZE = 400  # idle connections to each dispatcher, above its connection limit
+BRIEF_RECOVERY_S = 0.7  # longer than discovery can be back without being noticed
 
 
 class ProcessFault(Enum):
-    """What is done to a dispatcher process."""
+    """A fault of a dispatcher process."""
 
-    RELOADS = "several SIGHUP"
+    RELOAD = "several SIGHUPs"
     RESTART = "SIGTERM twice, then a new process"
-    EARLY_END = "SIGTERM twice, a new process, and SIGTERM right after its start"
-    HOT_RESTART = "a newer process beside it, and SIGTERM"
-    HOT_RESTART_RACE = "a newer process beside it, and SIGTERM at once"
+    EARLY_TERMINATION = "SIGTERM twice, then a new process that gets SIGTERM right after its start"
+    HOT_RESTART = "hot restart, then SIGTERM to the older process"
+    HOT_RESTART_RACE = "hot restart, with SIGTERM to the older process before the newer one is ready"
 
 
 class DiscoveryFault(Enum):
-    """What happens to discovery."""
+    """A fault of discovery."""
 
     NONE = "nothing"
     DOWN = "refuses connections"
-    MOMENT = "refuses connections, is back for a moment with a drain, refuses them again"
-    FLAPS = "refuses connections several times"
-    SILENT = "its open watches fall silent"
+    BRIEF_RECOVERY = "refuses connections, recovers briefly and lists a drain, refuses them again"
+    FLAPPING = "refuses connections several times"
+    SILENT = "sends nothing more on its open watches"
 
 
 class WorkerFault(Enum):
-    """What happens to a worker."""
+    """A fault of a worker."""
 
-    HANG = "answers no request"
+    HANG = "responds to no request"
     ACCEPT_AND_HANG = "accepts jobs and does not run them"
     RESET = "resets the connection of each job"
-    DRAIN = "is listed as draining, and finishes what it has"
+    DRAIN = "is listed as draining, and completes its jobs"
 
 
 @dataclass(frozen=True, slots=True)
 class TimedFault:
-    """A fault of a dispatcher or a worker, with its number; times in seconds from the start of the faults."""
+    """A fault of the dispatcher or worker `number`; start_s counts from the start of the fault phase."""
 
-    at_s: float
+    start_s: float
     number: int
     fault: ProcessFault | WorkerFault
-    length_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A round; discovery_lengths_s: of the parts of its fault."""
+    """The plan of a round; discovery_durations_s: of the phases of the discovery fault."""
 
     seed: int
     client_timeout_s: float
-    has_crowd: bool
+    has_connection_flood: bool
     process_faults: tuple[TimedFault, ...]
     worker_faults: tuple[TimedFault, ...]
     discovery_fault: DiscoveryFault
-    discovery_at_s: float
-    discovery_lengths_s: tuple[float, ...]
+    discovery_start_s: float
+    discovery_durations_s: tuple[float, ...]
 
     def describe(self) -> str:
-        """One line for each part."""
-        lines = [f"clients wait {self.client_timeout_s} s{', crowd' if self.has_crowd else ''}"]
+        """Return a description with one line per fault."""
+        lines = [
+            f"client timeout {self.client_timeout_s} s"
+            f"{', connection flood' if self.has_connection_flood else ''}"
+        ]
         lines.append(
-            f"{self.discovery_at_s:5.2f} s discovery {self.discovery_fault.value} {self.discovery_lengths_s}"
+            f"{self.discovery_start_s:5.2f} s discovery {self.discovery_fault.value} "
+            f"{self.discovery_durations_s}"
         )
         for kind, faults in (("dispatcher", self.process_faults), ("worker", self.worker_faults)):
             lines += [
-                f"{each.at_s:5.2f} s {kind} {each.number}: {each.fault.value}, {each.length_s:.2f} s"
+                f"{each.start_s:5.2f} s {kind} {each.number}: {each.fault.value}, {each.duration_s:.2f} s"
                 for each in faults
             ]
         return "\n".join(lines)
 
 
 def draw_plan(seed: int) -> Plan:
-    """Return the plan of a seed."""
-    draw = random.Random(seed)
+    """Return the plan of a seed, which is always the same."""
+    rng = random.Random(seed)
     process_faults = [
-        TimedFault(draw.uniform(0, LENGTH_S / 2), number, draw.choice(list(ProcessFault)), draw.random())
+        TimedFault(rng.uniform(0, FAULT_PHASE_S / 2), number, rng.choice(list(ProcessFault)), rng.random())
         for number in range(DISPATCHERS)
     ]
-    victims = draw.sample(range(WORKERS), draw.randint(1, 2))  # at least two stay well
+    worker_numbers = rng.sample(range(WORKERS), rng.randint(1, 2))  # at least two workers have no fault
     worker_faults = [
-        TimedFault(draw.uniform(0, LENGTH_S / 2), number, draw.choice(list(WorkerFault)), draw.uniform(1, 4))
-        for number in victims
+        TimedFault(
+            rng.uniform(0, FAULT_PHASE_S / 2), number, rng.choice(list(WorkerFault)), rng.uniform(1, 4)
+        )
+        for number in worker_numbers
     ]
     return Plan(
         seed=seed,
-        client_timeout_s=draw.choice(CLIENT_TIMEOUTS_S),
-        has_crowd=draw.random() < CROWD_FRACTION,
+        client_timeout_s=rng.choice(CLIENT_TIMEOUTS_S),
+        has_connection_flood=rng.random() < CONNECTION_FLOOD_FRACTION,
         process_faults=tuple(process_faults),
         worker_faults=tuple(worker_faults),
-        discovery_fault=draw.choice(list(DiscoveryFault)),
-        discovery_at_s=draw.uniform(0, 2),
-        discovery_lengths_s=tuple(draw.uniform(0.3, 3) for _ in range(4)),
+        discovery_fault=rng.choice(list(DiscoveryFault)),
+        discovery_start_s=rng.uniform(0, 2),
+        discovery_durations_s=tuple(rng.uniform(0.3, 3) for _ in range(4)),
     )
--- a/weldquay/lab/soak/processes.py
+++ b/weldquay/lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""The dispatcher processes of a soak: their starts, signals and ends, as the users' page times them."""
+"""Dispatcher processes of the soak test: starts, signals and exits, with the documented time limits."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from weldquay.lab.http import request, write_message
 from weldquay.lab.soak.plan import ProcessFault, TimedFault
 
-LONGEST_TIMEOUT_S = 3.0  # a longer one counts as this
-KILL_DELAY_S = 0.7
+MAX_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL further
+KILL_DELAY_S = 0.7  # from the client timeout to SIGKILL
 READY_TIMEOUT_S = 10.0
 POLL_S = 0.02
 SIGNAL_GAP_S = 0.15  # between two signals of a series
@@ -26,25 +26,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnd:
-    """The end of a process after SIGTERM; after_s: from the signal, margin_s: before SIGKILL was due."""
+    """The exit of a process; elapsed_s: since SIGTERM, margin_s: left until SIGKILL was due."""
 
     name: str
-    status: int | None  # None: it was killed
-    after_s: float
+    status: int | None  # None: killed by SIGKILL
+    elapsed_s: float
     margin_s: float
 
 
 @dataclass
 class ProcessLog:
-    """What was seen of all processes."""
+    """The recorded exits and failed starts of all processes."""
 
     ends: list[ProcessEnd] = field(default_factory=list)
     not_ready: list[str] = field(default_factory=list)
-    refused_starts: list[str] = field(default_factory=list)
+    failed_starts: list[str] = field(default_factory=list)
 
 
 class SoakDispatcher:
-    """One dispatcher: the process that serves, and for a time an older or newer one beside it."""
+    """One dispatcher: its serving process and, during a hot restart, an older one."""
 
     def __init__(
         self, folder: Path, document: dict[str, Any], client_timeout_s: float, log: ProcessLog
@@ -52,10 +52,10 @@
         self.name = document["name"]
         self.address = document["listen"]
         self.folder = folder
-        self.kill_after_s = min(client_timeout_s, LONGEST_TIMEOUT_S) + KILL_DELAY_S
+        self.kill_after_s = min(client_timeout_s, MAX_CLIENT_TIMEOUT_S) + KILL_DELAY_S
         self.log = log
         self.process: asyncio.subprocess.Process | None = None
-        self.ending: list[tuple[float, float]] = []  # from SIGTERM to the process's end
+        self.terminations: list[tuple[float, float]] = []  # times of SIGTERM and of the exit
         self._starts = 0
         folder.mkdir(parents=True)
         (folder / "tmp").mkdir()
@@ -63,7 +63,7 @@
         self._config.write_text(json.dumps(document))
 
     async def start(self) -> asyncio.subprocess.Process:
-        """Start a process, beside the running one if there is one."""
+        """Start a process; one that is already running keeps running."""
         self._starts += 1
         environ = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         environ |= {"GW_CONFIG": str(self._config), "TMPDIR": str(self.folder / "tmp")}
@@ -73,12 +73,12 @@
             )
 
     async def serve(self) -> None:
-        """Start the process that serves, and wait until it is ready."""
+        """Start the serving process and wait until it is ready."""
         self.process = await self.start()
         await self.wait_until_ready(self.process)
 
     async def wait_until_ready(self, process: asyncio.subprocess.Process) -> None:
-        """Wait until the process answers health checks with 200, or record that it does not."""
+        """Wait until a health check of the process succeeds; record a timeout or an exit."""
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while process.returncode is None and not await self._is_healthy():  # noqa: ASYNC110
@@ -86,7 +86,7 @@
         except TimeoutError:
             self.log.not_ready.append(f"{self.name}: not ready after {READY_TIMEOUT_S} s")
         if process.returncode is not None:
-            self.log.refused_starts.append(f"{self.name}: a start ended with status {process.returncode}")
+            self.log.failed_starts.append(f"{self.name}: a process exited with status {process.returncode}")
 
     async def _is_healthy(self) -> bool:
         with suppress(OSError, asyncio.IncompleteReadError):  # TimeoutError is an OSError
@@ -94,21 +94,21 @@
                 return (await request(self.address, write_message("GET /_health HTTP/1.1"))).status == 200
         return False
 
-    async def end(self, process: asyncio.subprocess.Process, signals: int = 2) -> None:
-        """Send SIGTERM so many times, and SIGKILL as early as the users' page allows."""
-        begun_at = time.monotonic()
-        killing = asyncio.create_task(self._kill(process))
+    async def terminate(self, process: asyncio.subprocess.Process, signals: int = 2) -> None:
+        """Send SIGTERM `signals` times, and SIGKILL after the shortest time that the documentation allows."""
+        started_at = time.monotonic()
+        kill_task = asyncio.create_task(self._kill(process))
         for _ in range(signals):
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGTERM)
             await asyncio.sleep(SIGNAL_GAP_S)
         await process.wait()
-        was_killed = killing.done() and killing.result()
-        killing.cancel()
-        after_s = time.monotonic() - begun_at
+        was_killed = kill_task.done() and kill_task.result()
+        kill_task.cancel()
+        elapsed_s = time.monotonic() - started_at
         status = None if was_killed else process.returncode
-        self.log.ends.append(ProcessEnd(self.name, status, after_s, self.kill_after_s - after_s))
-        self.ending.append((begun_at, time.monotonic()))
+        self.log.ends.append(ProcessEnd(self.name, status, elapsed_s, self.kill_after_s - elapsed_s))
+        self.terminations.append((started_at, time.monotonic()))
 
     async def _kill(self, process: asyncio.subprocess.Process) -> bool:
         await asyncio.sleep(self.kill_after_s)
@@ -117,29 +117,32 @@
         process.kill()
         return True
 
-    async def play(self, fault: TimedFault) -> None:
-        """Play a fault of this dispatcher."""
+    async def apply_fault(self, fault: TimedFault) -> None:
+        """Apply a fault to this dispatcher."""
         assert self.process is not None
         match fault.fault:
-            case ProcessFault.RELOADS:
+            case ProcessFault.RELOAD:
                 for _ in range(4):
                     self.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(SIGNAL_GAP_S)
             case ProcessFault.RESTART:
-                await self.end(self.process)
+                await self.terminate(self.process)
                 await self.serve()
-            case ProcessFault.EARLY_END:
-                await self.end(self.process)
+            case ProcessFault.EARLY_TERMINATION:
+                await self.terminate(self.process)
                 early = await self.start()
-                await asyncio.sleep(fault.length_s)
-                await self.end_early(early)
+                await asyncio.sleep(fault.duration_s)
+                await self.terminate_early(early)
                 await self.serve()
             case ProcessFault.HOT_RESTART | ProcessFault.HOT_RESTART_RACE:
                 await self._hot_restart(fault)
 
-    async def end_early(self, process: asyncio.subprocess.Process) -> None:
-        """End a process right after its start; before it handles signals SIGTERM ends it by default."""
-        await self.end(process, signals=1)
+    async def terminate_early(self, process: asyncio.subprocess.Process) -> None:
+        """Terminate a process right after its start.
+
+        Until it handles signals, SIGTERM ends it by default; this is not recorded as a failure.
+        """
+        await self.terminate(process, signals=1)
         if self.log.ends[-1].status == -int(signal.SIGTERM):
             self.log.ends.pop()
 
@@ -148,15 +151,15 @@
         assert older is not None
         newer = self.process = await self.start()
         if fault.fault is ProcessFault.HOT_RESTART_RACE:
-            await asyncio.sleep(fault.length_s)
+            await asyncio.sleep(fault.duration_s)
         else:
             await self.wait_until_handed_over(newer)
         older.send_signal(signal.SIGHUP)
-        await self.end(older)
+        await self.terminate(older)
         await self.wait_until_ready(newer)
 
     async def wait_until_handed_over(self, newer: asyncio.subprocess.Process) -> None:
-        """Wait until the newer process has logged that it serves."""
+        """Wait until the newer process logs that it is serving."""
         path = self.folder / f"log-{self._starts}"
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
@@ -165,11 +168,11 @@
         except TimeoutError:
             self.log.not_ready.append(f"{self.name}: no hot restart after {READY_TIMEOUT_S} s")
 
-    def tracebacks(self) -> int:
-        """Return how many exceptions the logs have."""
+    def count_tracebacks(self) -> int:
+        """Return the number of tracebacks in the logs."""
         return sum(path.read_text().count("Traceback") for path in self.folder.glob("log-*"))
 
     def kill(self) -> None:
-        """End what still runs."""
+        """Kill the serving process if it is still running."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
--- a/weldquay/lab/soak/round.py
+++ b/weldquay/lab/soak/round.py
@@ -1,4 +1,4 @@
-"""One round: its processes, its load and its faults in the order of the plan."""
+"""Executes one round: its processes, its load and the faults of its plan."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from weldquay.lab.soak.checks import Records, check
 from weldquay.lab.soak.clients import RequestOutcome, SoakClients
 from weldquay.lab.soak.plan import (
-    CROWD_SIZE,
+    BRIEF_RECOVERY_S,
+    CONNECTION_FLOOD_SIZE,
     DISPATCHERS,
-    LENGTH_S,
-    MOMENT_S,
-    START_S,
+    FAULT_PHASE_S,
+    WARM_UP_S,
     WORKERS,
     DiscoveryFault,
     Plan,
@@ -32,34 +32,34 @@
 
 CONFIG_PATH = Path(__file__).parents[3] / "example" / "config.json"
 ROUND_TIMEOUT_S = 90.0
-STALE_OUTAGE_S = 7.0  # an outage that outlasts the time after which a change counts as reported
+MIN_STALE_OUTAGE_S = 7.0  # outlasts the maximum staleness of the endpoint list
 SECOND = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class RoundResult:
-    """The violations of a round, and its figures."""
+    """The violations and statistics of a round."""
 
     violations: list[str]
     requests: int
     statuses: Counter[int]
     closed: int
-    least_margin_s: float  # of all processes before SIGKILL
+    min_margin_s: float  # shortest time that a process had left before SIGKILL
 
-    def line(self) -> str:
-        """The figures on one line."""
+    def summary(self) -> str:
+        """Return the statistics on one line."""
         statuses = ", ".join(f"{status}: {count}" for status, count in sorted(self.statuses.items()))
         return (
-            f"{self.requests} requests ({statuses}), {self.closed} closed unread, "
-            f"least margin before SIGKILL {self.least_margin_s:.2f} s"
+            f"{self.requests} requests ({statuses}), {self.closed} closed without a response, "
+            f"minimum margin before SIGKILL {self.min_margin_s:.2f} s"
         )
 
 
-async def play(plan: Plan) -> RoundResult:
-    """Play a plan, and check it.
+async def run_plan(plan: Plan) -> RoundResult:
+    """Run a plan and check its records.
 
     Raises:
-        TimeoutError: the round does not end.
+        TimeoutError: the round does not end in time.
     """
     with tempfile.TemporaryDirectory(prefix="weldquay-soak-") as folder, ExitStack() as sockets:
         addresses = []
@@ -76,7 +76,7 @@
 
 
 class Round:
-    """The parts of one round."""
+    """The processes, stand-ins and clients of one round."""
 
     def __init__(self, plan: Plan, folder: Path, addresses: list[str]) -> None:
         self.plan = plan
@@ -90,7 +90,7 @@
         self.dispatchers: list[SoakDispatcher] = []
 
     async def run(self) -> RoundResult:
-        """Start everything, play the faults, end all processes and check."""
+        """Start everything, apply the faults, terminate all processes and check the records."""
         await self.discovery.open(DISPATCHERS)
         for worker in self.workers:
             await worker.listen()
@@ -103,16 +103,16 @@
             )
         await asyncio.gather(*(dispatcher.serve() for dispatcher in self.dispatchers))
         self.clients.start()
-        if self.plan.has_crowd:
-            await self.clients.gather_crowd(CROWD_SIZE)
-        await asyncio.sleep(START_S)
-        await asyncio.gather(*self._faults(), asyncio.sleep(LENGTH_S))
-        await asyncio.gather(*(each.end(each.process) for each in self.dispatchers if each.process))
+        if self.plan.has_connection_flood:
+            await self.clients.open_idle_connections(CONNECTION_FLOOD_SIZE)
+        await asyncio.sleep(WARM_UP_S)
+        await asyncio.gather(*self._faults(), asyncio.sleep(FAULT_PHASE_S))
+        await asyncio.gather(*(each.terminate(each.process) for each in self.dispatchers if each.process))
         await self.clients.finish()
         return self._result()
 
     def stop(self) -> None:
-        """End what still runs."""
+        """Kill the remaining processes and stop the stand-ins."""
         for dispatcher in self.dispatchers:
             dispatcher.kill()
         for server in (self.discovery, *self.workers):
@@ -135,49 +135,49 @@
         return document
 
     def _faults(self) -> list[Awaitable[None]]:
-        faults: list[Awaitable[None]] = [self._play_discovery()]
-        faults += [self._play_process(fault) for fault in self.plan.process_faults]
-        faults += [self._play_worker(fault) for fault in self.plan.worker_faults]
+        faults: list[Awaitable[None]] = [self._apply_discovery_fault()]
+        faults += [self._apply_process_fault(fault) for fault in self.plan.process_faults]
+        faults += [self._apply_worker_fault(fault) for fault in self.plan.worker_faults]
         return faults
 
-    async def _play_process(self, fault: TimedFault) -> None:
-        await asyncio.sleep(fault.at_s)
-        await self.dispatchers[fault.number].play(fault)
+    async def _apply_process_fault(self, fault: TimedFault) -> None:
+        await asyncio.sleep(fault.start_s)
+        await self.dispatchers[fault.number].apply_fault(fault)
 
-    async def _play_worker(self, fault: TimedFault) -> None:
-        await asyncio.sleep(fault.at_s)
+    async def _apply_worker_fault(self, fault: TimedFault) -> None:
+        await asyncio.sleep(fault.start_s)
         worker = self.workers[fault.number]
         assert isinstance(fault.fault, WorkerFault)
         if fault.fault is WorkerFault.DRAIN:
             await self.discovery.drain(worker.worker_id)
             return
         worker.fault = fault.fault
-        await asyncio.sleep(fault.length_s)
+        await asyncio.sleep(fault.duration_s)
         worker.fault = None
 
-    async def _play_discovery(self) -> None:
-        await asyncio.sleep(self.plan.discovery_at_s)
-        first_s, second_s, *_ = lengths_s = self.plan.discovery_lengths_s
+    async def _apply_discovery_fault(self) -> None:
+        await asyncio.sleep(self.plan.discovery_start_s)
+        first_s, second_s, *_ = durations_s = self.plan.discovery_durations_s
         match self.plan.discovery_fault:
             case DiscoveryFault.DOWN:
                 await self._discovery_outage(2 * first_s)
-            case DiscoveryFault.MOMENT:
+            case DiscoveryFault.BRIEF_RECOVERY:
                 self.discovery.go_down()
                 await asyncio.sleep(first_s)
                 await self.discovery.come_up()
                 await self.discovery.drain(self.workers[-1].worker_id)
-                await asyncio.sleep(MOMENT_S)
-                await self._discovery_outage(STALE_OUTAGE_S + second_s)
-            case DiscoveryFault.FLAPS:
-                for length_s in lengths_s:
-                    await self._discovery_outage(length_s / 2)
-                    await asyncio.sleep(length_s / 4)
+                await asyncio.sleep(BRIEF_RECOVERY_S)
+                await self._discovery_outage(MIN_STALE_OUTAGE_S + second_s)
+            case DiscoveryFault.FLAPPING:
+                for duration_s in durations_s:
+                    await self._discovery_outage(duration_s / 2)
+                    await asyncio.sleep(duration_s / 4)
             case DiscoveryFault.SILENT:
-                self.discovery.fall_silent()
+                self.discovery.silence_watches()
 
-    async def _discovery_outage(self, length_s: float) -> None:
+    async def _discovery_outage(self, duration_s: float) -> None:
         self.discovery.go_down()
-        await asyncio.sleep(length_s)
+        await asyncio.sleep(duration_s)
         await self.discovery.come_up()
 
     def _result(self) -> RoundResult:
@@ -189,12 +189,12 @@
             self.processes,
             self.dispatchers,
             self.plan.client_timeout_s,
-            self.plan.has_crowd,
+            self.plan.has_connection_flood,
         )
         return RoundResult(
             check(records),
             len(requests),
             Counter(request.status for request in requests if request.outcome is RequestOutcome.ANSWERED),
-            sum(request.outcome is RequestOutcome.CLOSED for request in requests),
+            sum(request.outcome is RequestOutcome.CLOSED_UNANSWERED for request in requests),
             min((end.margin_s for end in self.processes.ends), default=0.0),
         )
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -1,4 +1,4 @@
-"""Workers and discovery of a soak: they fail on demand and record what dispatchers did."""
+"""Stand-ins for workers and discovery that fail on demand and record what the dispatchers do."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedJob:
-    """A job that came to a worker, on the monotonic clock; had_open: at another or the same worker."""
+    """A job that a worker received; had_open_attempt: its request had another open attempt at any worker."""
 
     request_id: str
     worker_id: str
-    at: float
-    had_open: bool
+    received_at: float
+    had_open_attempt: bool
 
 
 @dataclass
 class JobLog:
-    """What all workers have received, and which attempts are open."""
+    """The jobs that all workers received, and the open attempts."""
 
     received: list[ReceivedJob] = field(default_factory=list)
     open_attempts: dict[str, int] = field(default_factory=dict)  # by request
 
     def begin(self, request_id: str, worker_id: str) -> None:
-        """Record an attempt whose last byte has come."""
+        """Record an attempt that was received completely."""
         count = self.open_attempts.get(request_id, 0)
         self.received.append(ReceivedJob(request_id, worker_id, time.monotonic(), count > 0))
         self.open_attempts[request_id] = count + 1
@@ -61,7 +61,7 @@
         self.log = log
         self.fault: WorkerFault | None = None
         self.jobs: dict[str, asyncio.Task[None]] = {}
-        self.hanging: set[str] = set()  # requests whose attempts are open here and do not run
+        self.hung_requests: set[str] = set()  # ids of requests with an open attempt that does not run
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> None:
@@ -70,7 +70,7 @@
             await self.start()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a connection; an attempt that waits for its 202 ends with it."""
+        """Serve a connection; attempts without a 202 end when it closes."""
         waiting: list[str] = []
         self.writers[writer] = asyncio.current_task()
         try:
@@ -88,10 +88,10 @@
         finally:
             self.writers.pop(writer, None)
             for request_id in waiting:
-                self._end_hanging(request_id)
+                self._end_hung_attempt(request_id)
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Accept a job (POST), cancel one (DELETE) or report the load (GET), unless there is a fault."""
+        """Accept a job (POST), cancel one (DELETE) or report the load (GET), unless a fault prevents it."""
         if message.method == "POST":
             self._accept(message, writer)
         elif message.method == "DELETE":
@@ -108,11 +108,11 @@
             self.log.end(request_id)
             writer.transport.abort()
         elif self.fault is WorkerFault.HANG:
-            self.hanging.add(request_id)
+            self.hung_requests.add(request_id)
         else:
             writer.write(write_message("HTTP/1.1 202 Accepted"))
             if self.fault is WorkerFault.ACCEPT_AND_HANG:
-                self.hanging.add(request_id)
+                self.hung_requests.add(request_id)
                 return
             address = self.dispatchers[self.caller(writer)]
             self.jobs[request_id] = self._start(self._run(request_id, message.body, address))
@@ -127,11 +127,11 @@
         if (task := self.jobs.pop(request_id, None)) is not None:
             task.cancel()
             self.log.end(request_id)
-        self._end_hanging(request_id)
+        self._end_hung_attempt(request_id)
 
-    def _end_hanging(self, request_id: str) -> None:
-        if request_id in self.hanging:
-            self.hanging.remove(request_id)
+    def _end_hung_attempt(self, request_id: str) -> None:
+        if request_id in self.hung_requests:
+            self.hung_requests.remove(request_id)
             self.log.end(request_id)
 
     async def _run(self, request_id: str, body: bytes, dispatcher: str) -> None:
@@ -153,30 +153,30 @@
             await asyncio.sleep(CALLBACK_RETRY_S)
 
     def stop(self) -> None:
-        """Close all connections and end all jobs."""
+        """Close all connections and cancel all jobs."""
         super().stop()
         for task in self.tasks:
             task.cancel()
 
 
 class SoakDiscovery(servers.Discovery):
-    """A discovery that goes down, comes back and falls silent, with an address for each dispatcher."""
+    """Discovery that can refuse connections and silence its watches, with one address per dispatcher."""
 
     def __init__(self) -> None:
         super().__init__()
         self.addresses_by_caller: list[str] = []
-        self._bound: list[socket.socket] = []  # keep the ports while discovery is down
+        self._reserved_sockets: list[socket.socket] = []  # reserve the ports while discovery is down
         self.is_up = False
         self.up_since: list[float] = []
-        self.drained: dict[str, float] = {}  # when a worker was listed as draining, by its id
-        self.reachable_after: dict[str, float] = {}  # when that could first be had from discovery
-        self._silent_at = 0.0  # watches that are older send nothing
+        self.drained: dict[str, float] = {}  # when each worker was listed as draining
+        self.drain_visible_at: dict[str, float] = {}  # when discovery could first report that
+        self._silenced_at = 0.0  # watches that began earlier send nothing
 
     async def open(self, callers: int) -> None:
-        """Listen for so many callers."""
+        """Listen at one address for each caller."""
         for _ in range(callers):
             sock, address = reserve()
-            self._bound.append(sock)
+            self._reserved_sockets.append(sock)
             self.addresses_by_caller.append(address)
         await self.come_up()
 
@@ -188,56 +188,56 @@
             await self.start_on(sock)
         self.is_up = True
         for worker_id in self.drained:
-            self.reachable_after.setdefault(worker_id, time.monotonic())
+            self.drain_visible_at.setdefault(worker_id, time.monotonic())
 
     def go_down(self) -> None:
-        """Refuse connections, and close the open ones."""
+        """Refuse new connections and close the open ones."""
         self.is_up = False
         super().stop()
         self.servers.clear()
 
-    def fall_silent(self) -> None:
-        """Send nothing more on the watches that are open."""
-        self._silent_at = time.monotonic()
+    def silence_watches(self) -> None:
+        """Send nothing more on the open watches."""
+        self._silenced_at = time.monotonic()
 
     async def drain(self, worker_id: str) -> None:
         """List a worker as draining."""
         self.put(worker_id, self.addresses[worker_id], "DRAINING")
         self.drained[worker_id] = time.monotonic()
         if self.is_up:
-            self.reachable_after.setdefault(worker_id, time.monotonic())
+            self.drain_visible_at.setdefault(worker_id, time.monotonic())
         await self.tell()
 
     async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
-        """Serve a watch, unless it falls silent."""
-        begun_at = time.monotonic()
+        """Serve a watch until it is closed; send nothing while it is silenced."""
+        started_at = time.monotonic()
         caller = self.caller(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             changed = self.changed
-            if begun_at < self._silent_at:
+            if started_at < self._silenced_at:
                 await asyncio.sleep(1)
                 continue
             write_line(writer, json.dumps(self.told(caller)).encode())
-            await self._wait_for_change(writer, changed, begun_at)
+            await self._wait_for_change(writer, changed, started_at)
 
     async def _wait_for_change(
-        self, writer: asyncio.StreamWriter, changed: asyncio.Event, begun_at: float
+        self, writer: asyncio.StreamWriter, changed: asyncio.Event, started_at: float
     ) -> None:
-        """Send heartbeats until the list changes or the watch falls silent."""
+        """Send heartbeats until the list changes or the watch is silenced."""
         while not writer.is_closing():
             try:
                 async with asyncio.timeout(servers.HEARTBEAT_S):
                     await changed.wait()
             except TimeoutError:
-                if begun_at < self._silent_at:
+                if started_at < self._silenced_at:
                     return
                 write_line(writer, b"")
             else:
                 return
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop serving and release the reserved ports."""
         self.go_down()
-        for sock in self._bound:
+        for sock in self._reserved_sockets:
             sock.close()
