--- a/weldquay/lab/__init__.py
+++ b/weldquay/lab/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins for measuring: match workers, discovery, clients, and experiments made of them.
+"""Stand-ins for match workers, discovery and clients, and experiments that use them.
 
-Nothing of this is imported by the dispatcher.  `model` has the parts without I/O and clock; `http` and
-`servers` put them on loopback sockets, `direct` under the decision module alone, in virtual time.
+The dispatcher imports none of this.  `model` is the worker model, without I/O and clock.  `http`, `servers`
+and `site` run it on loopback sockets; `simulated_fleet` and `virtual_time` run it against the dispatcher's
+decisions alone, in virtual time.
 """
--- a/weldquay/lab/http.py
+++ b/weldquay/lab/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins speak it: whole messages, one after another, on loopback."""
+"""Minimal HTTP/1.1 for the stand-ins: complete messages, without pipelining, on loopback."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class Message:
-    """An HTTP request or answer."""
+    """An HTTP request or response."""
 
     start: str
     headers: dict[str, str]
@@ -17,22 +17,22 @@
 
     @property
     def method(self) -> str:
-        """GET, POST or DELETE."""
+        """The method of a request."""
         return self.start.split()[0]
 
     @property
     def target(self) -> str:
-        """Path and query."""
+        """Path and query of a request."""
         return self.start.split()[1]
 
     @property
     def status(self) -> int:
-        """An answer's number."""
+        """The status code of a response."""
         return int(self.start.split()[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read one message; header names come in lower case."""
+    """Read one message; header names are converted to lower case."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:-2])}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
@@ -40,18 +40,18 @@
 
 
 def write_message(start: str, body: bytes = b"", *headers: str) -> bytes:
-    """The bytes of a message."""
+    """Return the bytes of a message."""
     lines = [start, "Host: toy", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 def write_line(writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Write one line as a chunk of a chunked answer."""
+    """Write one line as a chunk of a chunked response."""
     writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
 
 async def request(address: str, data: bytes) -> Message:
-    """Send one request on a connection of its own and read the answer."""
+    """Send one request on a new connection and return the response."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -62,7 +62,7 @@
 
 
 class Pool:
-    """Connections to one address that are kept between requests; one request at a time on each."""
+    """A pool of persistent connections to one address, with one request at a time on each."""
 
     def __init__(self, address: str) -> None:
         self.host, port = address.split(":")
@@ -70,48 +70,48 @@
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def ask(self, data: bytes) -> Message:
-        """Send a request and read its answer; once more on a new connection where a kept one has ended."""
+        """Send a request and return the response; repeat it if a reused connection was closed."""
         while self.idle:
-            kept = self.idle.pop()
+            reused = self.idle.pop()
             try:
-                return await self._ask(kept, data)
+                return await self._exchange(reused, data)
             except (asyncio.IncompleteReadError, ConnectionError):
-                continue  # closed between two requests, as servers may
-        return await self._ask(await self.connect(), data)
+                continue  # a server may close an idle connection at any time
+        return await self._exchange(await self.connect(), data)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A new connection."""
+        """Open a new connection."""
         return await asyncio.open_connection(self.host, self.port)
 
-    async def _ask(
+    async def _exchange(
         self,
         connection: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         data: bytes,
     ) -> Message:
         reader, writer = connection
-        kept = False
+        keep_open = False
         try:
             writer.write(data)
             answer = await read_message(reader)
-            kept = answer.headers.get("connection", "") != "close"
-            if kept:
+            keep_open = answer.headers.get("connection", "") != "close"
+            if keep_open:
                 self.idle.append(connection)
             return answer
         finally:
-            if not kept:
+            if not keep_open:
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Close what is kept."""
+        """Close the idle connections."""
         for _, writer in self.idle:
             writer.transport.abort()
         self.idle.clear()
 
 
 class Server:
-    """Something that listens on the loopback and answers one message after another.
+    """A server on loopback that handles the messages of each connection in order.
 
-    It may listen at several addresses, one for each of those that call it; `caller` tells them apart.
+    It may listen at several addresses, one per caller; `caller` returns which of them a connection uses.
     """
 
     def __init__(self) -> None:
@@ -120,24 +120,24 @@
         self.stopping = False
 
     async def start(self, port: int = 0) -> None:
-        """Listen; on a port that the system chooses where none is given."""
+        """Listen on a port; 0 is one that the system chooses."""
         self.servers.append(await asyncio.start_server(self._serve, "127.0.0.1", port))
 
     async def start_on(self, sock: socket.socket) -> None:
-        """Listen on a socket that is bound already."""
+        """Listen on a bound socket."""
         self.servers.append(await asyncio.start_server(self._serve, sock=sock))
 
     @property
     def address(self) -> str:
-        """HOST:PORT where it listens first."""
+        """The first address that it listens on, as HOST:PORT."""
         return self.address_for(0)
 
     def address_for(self, caller: int) -> str:
-        """HOST:PORT where a caller reaches it."""
+        """Return the address for a caller, as HOST:PORT."""
         return "{}:{}".format(*self.servers[caller].sockets[0].getsockname())
 
     def caller(self, writer: asyncio.StreamWriter) -> int:
-        """Who calls on a connection, by the address that it came to."""
+        """Return the index of the caller of a connection, by its local address."""
         port = writer.get_extra_info("sockname")[1]
         ports = [server.sockets[0].getsockname()[1] for server in self.servers if server.sockets]
         return ports.index(port)
@@ -161,11 +161,11 @@
         except (asyncio.IncompleteReadError, OSError):
             writer.transport.abort()
         except asyncio.CancelledError:
-            if not self.stopping:  # else its own end, which nobody waits for
+            if not self.stopping:  # `stop` cancels this task, and nothing awaits it
                 raise
         finally:
             self.writers.pop(writer, None)
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Answer one message."""
+        """Respond to one message."""
         raise NotImplementedError
--- a/weldquay/lab/load.py
+++ b/weldquay/lab/load.py
@@ -1,4 +1,4 @@
-"""The clients' load: classes of jobs, arrivals drawn in advance from a seed, and the requests' results."""
+"""The load of the clients: job classes, arrivals that are drawn from a seed, and results of requests."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class JobClass:
     """A class of jobs.
 
-    fraction: of all jobs.  mean_work_ns: mean running time at speed 1.  effect: as the settings' file spells
-    it.  slot_probabilities: of 1, 2, 4 slots.  runtime_variation: standard deviation over mean.
+    fraction: of all jobs.  mean_work_ns: mean running time at speed 1.  effect: a value of `effect` in the
+    settings file.  slot_probabilities: of 1, 2, 4 slots.  runtime_variation: standard deviation over mean.
     """
 
     name: str
@@ -33,7 +33,7 @@
     runtime_variation: float = 2.0
 
 
-# The operators' classes, each figure in the middle of its published range.
+# The operators' job classes; each value is the middle of its published range.
 JOB_CLASSES = (
     JobClass("exact-lookup", 0.39, 310 * MS, 250 * MS, 5 * SECOND),
     JobClass("fuzzy-match", 0.25, 610 * MS, 500 * MS, 7500 * MS, slot_probabilities=(0.6, 0.25, 0.15)),
@@ -65,8 +65,8 @@
 class Hints:
     """Errors of the clients' runtime hints.
 
-    spread: standard deviation of the logarithm of a good hint.  wrong_factor: wrong hints are so many times
-    too long or too short.
+    spread: standard deviation of the logarithm of a good hint.  wrong_factor: the factor by which wrong hints
+    are too long or too short.
     """
 
     spread: float = 0.25
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request for a job: when it comes, at which dispatcher, of which class (an offset)."""
+    """A client's request; job_class: the index of its class."""
 
     number: int
     at_ns: int
@@ -87,7 +87,7 @@
     slots: int
     memory: float
     hint_ns: int | None
-    retry: int = 0  # the client's retries so far
+    retry: int = 0  # number of earlier sends by the client
 
 
 def mean_slot_time_ns(job_classes: Sequence[JobClass]) -> float:
@@ -103,7 +103,7 @@
 
 
 class _ArrivalStreams:
-    """Seeded random streams, one for each property of a job, so that a change of one keeps the others."""
+    """Seeded random streams, one for each property of a job, so that a change to one leaves the others."""
 
     def __init__(self, seed: int, job_classes: Sequence[JobClass], hints: Hints) -> None:
         streams = np.random.SeedSequence(seed).spawn(5)
@@ -130,7 +130,7 @@
         return Arrival(number, int(at_ns), class_index, dispatcher, work_ns, slots, memory, hint_ns)
 
     def draw_hint_ns(self, work_ns: float) -> int | None:
-        """Draw a client's hint; None where the client gives none."""
+        """Draw a client's hint; None if the client sends none."""
         hints = self.hints
         hint_ns = int(work_ns * float(self.hint_errors.lognormal(0.0, hints.spread)))
         chance = float(self.hint_errors.random())
@@ -146,7 +146,7 @@
 class Traffic:
     """The traffic of a run.
 
-    capacity: the fleet's work in a unit of time, all slots.  load: the requested work as a fraction of it.
+    capacity: the work that the fleet can do in a unit of time.  load: the requested work as a fraction of it.
     """
 
     seed: int
@@ -158,7 +158,7 @@
     hints: Hints = Hints()
 
     def draw_arrivals(self) -> list[Arrival]:
-        """Return Poisson arrivals, equal for equal seeds."""
+        """Return Poisson arrivals; equal seeds give equal arrivals."""
         streams = _ArrivalStreams(self.seed, self.job_classes, self.hints)
         mean_gap_ns = mean_slot_time_ns(self.job_classes) / (self.load * self.capacity)
         arrivals: list[Arrival] = []
@@ -181,12 +181,12 @@
     LATE = "late"
     REJECTED = "rejected"
     FAILED = "failed"
-    LOST = "lost"  # no answer
+    LOST = "lost"  # no response
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """A request and its last answer; wait_ns is the time that its job did not run."""
+    """A request and its last response; wait_ns is the response time without the job's running time."""
 
     arrival: Arrival
     result: RequestResult = RequestResult.LOST
@@ -209,15 +209,15 @@
     name: str
     slots: int
     jobs: int
-    fractions: dict[RequestResult, float]  # of the value of all jobs
-    rejections: float  # a job
+    fractions: dict[RequestResult, float]  # of the total value of the jobs
+    rejections: float  # per job
     wait_ms: tuple[float, float, float]  # 50th, 90th and 99th percentile of served jobs
 
 
 def summary(
     records: Sequence[RequestRecord], job_classes: Sequence[JobClass] = JOB_CLASSES
 ) -> list[SummaryRow]:
-    """Return the results by class and number of slots, by slots alone, and of all jobs (0 slots)."""
+    """Return the results by class and slots, by slots alone ("any"), and of all jobs (0 slots)."""
     groups: dict[tuple[str, int], list[RequestRecord]] = {}
     for record in records:
         slots = record.arrival.slots
@@ -245,7 +245,7 @@
 
 
 def job_value(arrival: Arrival, job_classes: Sequence[JobClass] = JOB_CLASSES) -> float:
-    """Return the value of a job: its slot time by the weight of its class."""
+    """Return the value of a job: its slot time times the priority weight of its class."""
     return job_classes[arrival.job_class].priority_weight * arrival.work_ns * arrival.slots
 
 
@@ -275,7 +275,7 @@
     dispatcher_index: int = 0,
     **extra: Any,
 ) -> dict[str, Any]:
-    """Return the settings' document for these classes; extra: more groups, or other ones."""
+    """Return the settings document for these classes; extra: groups to add or replace."""
     return {
         "group_size": dispatchers,
         "me": dispatcher_index,
--- a/weldquay/lab/model.py
+++ b/weldquay/lab/model.py
@@ -1,7 +1,10 @@
-"""A model of a match worker without I/O and clock: slots, memory, a bounded queue, slow start, late reports.
+"""A model of a match worker, without I/O and clock.
+
+It has slots, memory, a bounded queue, a slow start and delayed load reports.
 
 Times are integer nanoseconds on the caller's clock.  `next_event_ns` returns when the caller has to call
-`advance`, which returns what has happened until then.  Source: the operators' description of their machines.
+`advance`, which returns the events up to then.  The model follows the operators' description of their
+machines.
 """
 
 from __future__ import annotations
@@ -12,19 +15,19 @@
 from enum import Enum
 
 MS, SECOND = 1_000_000, 1_000_000_000
-WARM_UP_STEP_NS = 50 * MS  # the speed counts as constant for so long during slow start
+WARM_UP_STEP_NS = 50 * MS  # step in which the speed is treated as constant during slow start
 
 
 class QueueOrder(Enum):
     """Which queued job starts next."""
 
-    FIFO = "fifo"  # the first waits until it fits
-    BACKFILL = "backfill"  # the first that fits
-    PRIORITY = "priority"  # the class with the highest priority first; the first of it waits until it fits
+    FIFO = "fifo"  # the first job; it waits until it fits
+    BACKFILL = "backfill"  # the first job that fits
+    PRIORITY = "priority"  # the first job of the highest priority; it waits until it fits
 
 
 class Cancellation(Enum):
-    """What a cancel stops."""
+    """Which jobs a cancel stops."""
 
     NOTHING = "nothing"
     WAITING = "waiting"  # jobs that have not started
@@ -34,9 +37,10 @@
 class WorkerSpec:
     """The fixed properties of a match worker.
 
-    speed: work done in a slot in a unit of time, 1 for a standard core.  initial_capacity_fraction: the speed
-    at its start over the full speed, which it reaches after slow_start_ns.  overload_multiple: it fails if,
-    during slow start, so many times the work that it can do arrives within overload_window_ns.
+    speed: work done in a slot in a unit of time, 1 for a standard core.  initial_capacity_fraction: its speed
+    at the start over the full speed, which it reaches after slow_start_ns.  overload_multiple: during slow
+    start, it fails if the work that arrives within overload_window_ns exceeds this multiple of what it can do
+    in that time.
     """
 
     name: str
@@ -70,7 +74,7 @@
     remaining_ns: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Set the remaining work to all of it."""
+        """Initialize the remaining work."""
         self.remaining_ns = self.work_ns
 
 
@@ -103,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A worker's own figures; service_ms is a moving average of running times."""
+    """A load report; service_ms is a moving average of running times."""
 
     service_ms: float
     queued: int
@@ -135,7 +139,7 @@
     # --- requests ---
 
     def offer(self, now_ns: int, job: Job) -> bool:
-        """Queue a job; return False where it is rejected."""
+        """Queue a job; return False if it is rejected."""
         self._run_to(now_ns)
         self._apply_overload(job)
         is_full = job.slots > self.spec.slots or len(self.queue) >= self.spec.queue_limit
@@ -147,7 +151,7 @@
         return True
 
     def cancel(self, now_ns: int, job_id: str) -> bool:
-        """Cancel a job; return True if it had not started and will not run."""
+        """Cancel a queued job; return whether it was removed and will not run."""
         self._run_to(now_ns)
         if self.spec.cancellation is Cancellation.WAITING:
             for job in self.queue:
@@ -158,7 +162,7 @@
         return False
 
     def pause(self, now_ns: int, for_ns: int) -> None:
-        """Stop all work for a while."""
+        """Suspend all work for a time."""
         self._run_to(now_ns)
         self.paused_until_ns = max(self.paused_until_ns, now_ns + for_ns)
 
@@ -190,7 +194,7 @@
         return events
 
     def next_event_ns(self) -> int:
-        """Return when `advance` has to be called at the latest; -1 if no event is due."""
+        """Return the latest time at which `advance` has to be called; -1 if no event is due."""
         if self.events:
             return self.now_ns
         if not self.running:
@@ -198,7 +202,7 @@
         return self._step_end()
 
     def report(self, now_ns: int) -> LoadReport:
-        """Return the load report that is visible now, which is older by the report delay."""
+        """Return the load report that is visible now, which lags by the report delay."""
         self._run_to(now_ns)
         before_ns = now_ns - self.spec.report_delay_ns
         while len(self.reports) > 1 and self.reports[1][0] <= before_ns:
@@ -207,16 +211,16 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that no running job uses."""
+        """The number of slots that no running job uses."""
         return self.spec.slots - sum(job.slots for job in self.running)
 
     @property
     def free_memory(self) -> float:
-        """Memory that no running job uses; a worker has one unit for each slot."""
+        """The memory that no running job uses; a worker has one unit per slot."""
         return self.spec.slots - sum(job.memory for job in self.running)
 
     def warm_up_fraction(self, now_ns: int) -> float:
-        """Return its speed over the full speed."""
+        """Return the current speed over the full speed."""
         age_ns, spec = now_ns - self.started_ns, self.spec
         if age_ns >= spec.slow_start_ns:
             return 1.0
@@ -226,14 +230,14 @@
         )
 
     def _rate(self) -> float:
-        """Return the work done in a slot in a nanosecond; slots beyond the cores share these."""
+        """Return the work done in a slot in a nanosecond; busy slots share the cores."""
         if self.now_ns < self.paused_until_ns:
             return 0.0
         busy = self.spec.slots - self.free_slots
         return self.spec.speed * self.warm_up_fraction(self.now_ns) * min(1.0, self.spec.cores / max(1, busy))
 
     def _step_end(self) -> int:
-        """Return the end of the span in which the rate is constant and no job ends."""
+        """Return the end of the step in which the rate is constant and no job completes."""
         if self.now_ns < self.paused_until_ns:
             return self.paused_until_ns
         rate = self._rate()
@@ -243,7 +247,7 @@
         return end_ns
 
     def _run_to(self, now_ns: int) -> None:
-        """Run the jobs until a time, span by span."""
+        """Run the jobs until a time, step by step."""
         while self.now_ns < now_ns:
             end_ns = min(now_ns, self._step_end() if self.running else now_ns, self.next_report_ns)
             end_ns = max(end_ns, self.now_ns)
@@ -280,7 +284,7 @@
                 return
 
     def _record_report(self) -> None:
-        """Record a load report, and drop those that are no longer visible."""
+        """Record a load report, and drop older ones that can no longer be returned."""
         while len(self.reports) > 1 and self.reports[1][0] <= self.now_ns - self.spec.report_delay_ns:
             self.reports.popleft()
         self.reports.append(
@@ -289,7 +293,7 @@
         self.next_report_ns = self.now_ns + self.spec.report_interval_ns
 
     def _apply_overload(self, job: Job) -> None:
-        """Count work that arrives during slow start, rejected or not; fail if it is too much."""
+        """Count work that arrives during slow start, even if it is rejected; fail if it is too much."""
         spec = self.spec
         if self.now_ns - self.started_ns >= spec.slow_start_ns:
             return
--- a/weldquay/lab/reservation_experiment.py
+++ b/weldquay/lab/reservation_experiment.py
@@ -1,11 +1,11 @@
-"""The effect of reservations for large jobs: the same load with and without them, over several seeds.
+"""Measures the effect of reservations for large jobs: the same load with and without them, by seed.
 
     python -m weldquay.lab.reservation_experiment                       # on loopback, 5 seeds
     python -m weldquay.lab.reservation_experiment --virtual --seeds 24  # in virtual time, in seconds
 
-The default is 1 and 3 dispatchers at 0.75 and 0.9 of capacity.  Each run has its own dispatcher processes,
-six match workers that serve in order, discovery, and clients that send on schedule, independently of earlier
-jobs.  The two runs of a pair have the same jobs at the same times.
+By default, it runs 1 and 3 dispatchers at 0.75 and 0.9 of capacity.  Each run has its own dispatcher
+processes, six match workers with FIFO queues, discovery, and open-loop clients.  The two runs of a pair have
+the same jobs at the same times.
 """
 
 from __future__ import annotations
@@ -58,19 +58,19 @@
 class RunResult:
     """The output of a run.
 
-    cells: fractions of the jobs' value and waiting times, by class and number of slots.
+    cells: fractions of the total job value, and waiting times, by class and number of slots.
     """
 
     plan: Plan
     cells: dict[str, dict[str, float]]
-    busy: float  # fraction of all slot time
+    busy: float  # used fraction of all slot time
     counters: dict[str, float]
-    unanswered: int  # requests without exactly one answer
+    unanswered: int  # requests that did not get exactly one response
     repeated: int  # non-idempotent jobs that ran more than once
 
 
 def fleet(plan: Plan) -> list[model.WorkerSpec]:
-    """Return six match workers of three speeds."""
+    """Return the specs of six match workers, of three kinds."""
     return [
         model.WorkerSpec(
             f"s-{number}",
@@ -128,9 +128,9 @@
 async def _run_on_loopback(plan: Plan) -> RunResult:
     arguments = ("--room", plan.settings_path) if plan.arm == "on" else ()
     async with site(fleet(plan), plan.dispatchers, arguments=arguments) as running:
-        begun_s = asyncio.get_running_loop().time()
-        await running.play(arrivals(plan), plan.seed, RETRIES)
-        busy = running.busy_fraction(int((asyncio.get_running_loop().time() - begun_s) * 1e9))
+        start_s = asyncio.get_running_loop().time()
+        await running.send_arrivals(arrivals(plan), plan.seed, RETRIES)
+        busy = running.busy_fraction(int((asyncio.get_running_loop().time() - start_s) * 1e9))
         starts = {str(int(job, 16)): times for job, times in running.starts_by_job().items()}
     return _summarize(plan, running.records, busy, running.counters, starts)
 
@@ -170,12 +170,12 @@
 
 
 def _median_and_range(values: Iterable[float]) -> str:
-    found = sorted(values)
-    return f"{statistics.median(found):.3f} ({found[0]:.3f} to {found[-1]:.3f})"
+    ordered = sorted(values)
+    return f"{statistics.median(ordered):.3f} ({ordered[0]:.3f} to {ordered[-1]:.3f})"
 
 
-def table(results: Sequence[RunResult]) -> str:
-    """Return a table for each number of dispatchers and load: medians and ranges over the seeds."""
+def format_table(results: Sequence[RunResult]) -> str:
+    """Return one table per number of dispatchers and load, with medians and ranges over the seeds."""
 
     def group_key(result: RunResult) -> tuple[int, float]:
         return result.plan.dispatchers, result.plan.load
@@ -199,7 +199,7 @@
 
 
 def _cell_rows(arms: dict[str, list[RunResult]]) -> list[str]:
-    """Return one row for each class and number of slots that occurs with every seed."""
+    """Return one row for each combination of class and slots that occurs with every seed."""
     rows = []
     for cell in sorted({name for results in arms.values() for result in results for name in result.cells}):
         off, on = ([result.cells[cell] for result in arms[arm] if cell in result.cells] for arm in ARMS)
@@ -228,8 +228,8 @@
 def _arm_line(arm: str, results: Sequence[RunResult]) -> str:
     return (
         f"- {arm}: workers' slots used {_median_and_range(result.busy for result in results)}; "
-        f"answers missing or doubled {sum(result.unanswered for result in results)}; "
-        f"runs repeated against the class {sum(result.repeated for result in results)}; "
+        f"requests without exactly one response {sum(result.unanswered for result in results)}; "
+        f"non-idempotent jobs run more than once {sum(result.repeated for result in results)}; "
         f"{_reservation_counts(results)}"
     )
 
@@ -244,24 +244,28 @@
     return f"reservations: {counts or 'none'}"
 
 
-def options() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+def build_parser() -> argparse.ArgumentParser:
+    """Return the command line parser."""
     parser = argparse.ArgumentParser(
-        "weldquay.lab.reservation_experiment", description="Reservations for large jobs, off and on."
+        "weldquay.lab.reservation_experiment", description="Compare large jobs with and without reservations."
     )
-    parser.add_argument("--seeds", type=int, default=5, help="how many (default 5)")
-    parser.add_argument("--first", type=int, default=1, help="the first seed (default 1)")
-    parser.add_argument("--length", type=float, default=40.0, help="seconds of load in a run (default 40)")
-    parser.add_argument("--dispatchers", default="1,3", help="default 1,3")
-    parser.add_argument("--loads", default="0.75,0.9", help="fractions of capacity (default 0.75,0.9)")
+    parser.add_argument("--seeds", type=int, default=5, help="number of seeds (default 5)")
+    parser.add_argument("--first", type=int, default=1, help="first seed (default 1)")
     parser.add_argument(
-        "--room", default=str(SETTINGS_PATH), help="the reservation settings (default deploy/room.json)"
+        "--length", type=float, default=40.0, help="duration of the load of a run in seconds (default 40)"
     )
-    parser.add_argument("--virtual", action="store_true", help="virtual time, without sockets")
-    parser.add_argument("--at-once", type=int, default=4, help="runs side by side (default 4)")
+    parser.add_argument("--dispatchers", default="1,3", help="numbers of dispatchers (default 1,3)")
+    parser.add_argument(
+        "--loads", default="0.75,0.9", help="loads as fractions of capacity (default 0.75,0.9)"
+    )
+    parser.add_argument(
+        "--room", default=str(SETTINGS_PATH), help="reservation settings file (default deploy/room.json)"
+    )
+    parser.add_argument("--virtual", action="store_true", help="simulate in virtual time, without sockets")
+    parser.add_argument("--at-once", type=int, default=4, help="number of concurrent runs (default 4)")
     parser.add_argument("--wrong", type=float, default=0.0, help="fraction of hints that are 4 times off")
     parser.add_argument("--missing", type=float, default=0.0, help="fraction of jobs without a hint")
-    parser.add_argument("--report-delay", type=float, default=0.35, help="seconds that reports are late")
+    parser.add_argument("--report-delay", type=float, default=0.35, help="delay of load reports in seconds")
     parser.add_argument("--order", choices=[order.value for order in model.QueueOrder], default="fifo")
     parser.add_argument("--json", type=Path, help="write all results to this file")
     return parser
@@ -269,35 +273,35 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run all plans and print the table."""
-    chosen = options().parse_args(arguments)
+    options = build_parser().parse_args(arguments)
     plans = [
         Plan(
             seed,
             int(dispatchers),
             float(load),
             arm,
-            chosen.length,
-            chosen.virtual,
-            chosen.room,
-            chosen.wrong,
-            chosen.missing,
-            chosen.report_delay,
-            chosen.order,
+            options.length,
+            options.virtual,
+            options.room,
+            options.wrong,
+            options.missing,
+            options.report_delay,
+            options.order,
         )
-        for dispatchers in chosen.dispatchers.split(",")
-        for load in chosen.loads.split(",")
-        for seed in range(chosen.first, chosen.first + chosen.seeds)
+        for dispatchers in options.dispatchers.split(",")
+        for load in options.loads.split(",")
+        for seed in range(options.first, options.first + options.seeds)
         for arm in ARMS
     ]
     results = []
-    with ProcessPoolExecutor(chosen.at_once) as pool:
+    with ProcessPoolExecutor(options.at_once) as pool:
         for result in pool.map(run, plans):
             results.append(result)
             print(f"{len(results)} of {len(plans)} runs", end="\r", file=sys.stderr, flush=True)
     print(file=sys.stderr)
-    print(table(results))
-    if chosen.json:
-        chosen.json.write_text(json.dumps([_to_json(result) for result in results], indent=1))
+    print(format_table(results))
+    if options.json:
+        options.json.write_text(json.dumps([_to_json(result) for result in results], indent=1))
     return 0
 
 
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -1,4 +1,4 @@
-"""Match workers and discovery as servers on loopback, in real time."""
+"""Stand-ins for match workers and discovery: servers on loopback, in real time."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class MatchWorker(Server):
-    """A model worker with one address for each dispatcher, to which it sends call-backs.
+    """A server for a model worker, with one address per dispatcher; it sends call-backs to the dispatcher.
 
-    A job's body has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
+    The body of a job has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
     """
 
     def __init__(self, spec: model.WorkerSpec, dispatchers: Sequence[str]) -> None:
@@ -34,7 +34,7 @@
         self.unanswered_callbacks = 0
 
     async def listen(self) -> None:
-        """Listen for each dispatcher."""
+        """Listen at one address for each dispatcher."""
         for _ in self.pools:
             await self.start()
 
@@ -102,11 +102,11 @@
         task.add_done_callback(self.tasks.discard)
 
     def pool(self, caller: int) -> Pool:
-        """Return the connections to a dispatcher."""
+        """Return the connection pool of a dispatcher."""
         return self.pools[caller]
 
     async def _send_callback(self, caller: int, callback: dict[str, Any]) -> None:
-        """Send a call-back until it is answered, or the attempts are used up."""
+        """Send a call-back until it is acknowledged, with a limited number of attempts."""
         data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -127,7 +127,7 @@
 
 
 class Discovery(Server):
-    """The endpoint list; each caller may have addresses of its own for the workers."""
+    """The discovery server; each caller may get its own addresses for the workers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -144,7 +144,7 @@
         kind: str = "toy",
         up_since_ms: int = 0,
     ) -> None:
-        """List a worker under its addresses by caller; one address serves for all."""
+        """Add or replace a worker, with its addresses by caller; a single address is used for all."""
         self.addresses[worker_id] = [*addresses]
         self.members[worker_id] = {
             "id": worker_id,
@@ -158,30 +158,31 @@
         }
 
     async def tell(self) -> None:
-        """Send the changed list to all watches."""
+        """Send the changed list to all watches, with a new revision."""
         self.revision += 1
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
     def told(self, caller: int = 0) -> dict[str, Any]:
-        """Return the whole list with the addresses for a caller."""
+        """Return the complete list document with the addresses for a caller."""
         members = []
         for worker_id, member in self.members.items():
-            own = self.addresses.get(worker_id, [])[: caller + 1][1:]  # the first caller's is in the member
+            # The member itself has the address of the first caller.
+            own = self.addresses.get(worker_id, [])[: caller + 1][1:]
             members.append({**member, "host_port": own[-1]} if own else member)
         return {"revision": self.revision, "complete": True, "members": members}
 
     async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
-        """Serve a watch: send the whole list at once and after each change."""
+        """Serve a watch: send the complete list immediately and after each change."""
         caller = self.caller(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             changed = self.changed
             write_line(writer, json.dumps(self.told(caller)).encode())
-            await self.wait(writer, changed)
+            await self.wait_for_change(writer, changed)
 
-    async def wait(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
-        """Wait for a change, and send an empty line as a heartbeat meanwhile."""
+    async def wait_for_change(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
+        """Wait for a change, and send empty lines as heartbeats until then."""
         while not writer.is_closing():
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
--- a/weldquay/lab/simulated_fleet.py
+++ b/weldquay/lab/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Model workers on a virtual clock, and their endpoint list."""
+"""Model workers in virtual time, and their endpoint list."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from weldquay import interface as api
 from weldquay.lab import model
 
-BEGIN_NS = 1000 * model.SECOND
+START_NS = 1000 * model.SECOND
 KIND_NUMBERS = {"fast": 0, "standard": 1, "old": 2}
 
 
 class Timeline:
-    """The virtual clock and the actions that are due later."""
+    """The virtual clock and the scheduled actions."""
 
     def __init__(self) -> None:
-        self.now_ns = BEGIN_NS
+        self.now_ns = START_NS
         self._actions: list[tuple[int, int, Callable[[], None]]] = []
         self._order = itertools.count()
 
     def schedule_at(self, due_ns: int, action: Callable[[], None]) -> None:
-        """Schedule an action at a time, or now if that is past."""
+        """Schedule an action at a time, or now if that time has passed."""
         heapq.heappush(self._actions, (max(due_ns, self.now_ns), next(self._order), action))
 
     def schedule(self, delay_ns: int, action: Callable[[], None]) -> None:
@@ -32,7 +32,7 @@
         self.schedule_at(self.now_ns + delay_ns, action)
 
     def has_action_until(self, end_ns: int | None) -> bool:
-        """Return whether an action is due up to a time, or at any time."""
+        """Return whether an action is scheduled until a time; None: at any time."""
         return bool(self._actions) and (end_ns is None or self._actions[0][0] <= end_ns)
 
     def run_next(self) -> None:
@@ -72,7 +72,7 @@
         )
 
     def offer(self, worker: int, job: model.Job) -> bool:
-        """Send a job to a worker; return False where it is rejected."""
+        """Send a job to a worker; return False if it is rejected."""
         is_accepted = self.workers[worker - 1].offer(self._timeline.now_ns, job)
         if is_accepted:
             self.process_events(worker)
@@ -91,13 +91,13 @@
         )
 
     def probe(self, worker: int) -> tuple[api.Outcome, api.LoadReport | None]:
-        """Return the outcome of a probe and the load report that it brought."""
+        """Return the outcome of a probe and its load report, if any."""
         if self._states[worker - 1] is api.WorkerState.GONE:
             return api.Outcome.CONNECT_FAILED, None
         return api.Outcome.OK, self.report(worker)
 
     def process_events(self, worker: int) -> None:
-        """Pass on a worker's events up to now, and schedule the next check."""
+        """Emit a worker's events up to now, and schedule the next check."""
         index = worker - 1
         now_ns = self._timeline.now_ns
         for event in self.workers[index].advance(now_ns):
@@ -109,12 +109,12 @@
             self._timeline.schedule_at(next_ns, partial(self._check, worker, next_ns))
 
     def _check(self, worker: int, due_ns: int) -> None:
-        if self._next_checks_ns[worker - 1] == due_ns:  # else an earlier check has replaced it
+        if self._next_checks_ns[worker - 1] == due_ns:  # otherwise an earlier check has replaced it
             self._next_checks_ns[worker - 1] = -1
             self.process_events(worker)
 
     def drain(self, worker: int) -> None:
-        """Have a worker drain."""
+        """Start draining a worker."""
         self.workers[worker - 1].drain(self._timeline.now_ns)
         self._states[worker - 1] = api.WorkerState.DRAINING
 
@@ -128,16 +128,16 @@
         """List a worker as gone."""
         self._states[worker - 1] = api.WorkerState.GONE
 
-    def busy_fraction(self, begun_ns: int) -> float:
-        """Return the fraction of all slot time since a time that was used."""
+    def busy_fraction(self, start_ns: int) -> float:
+        """Return the used fraction of all slot time since a time."""
         now_ns = self._timeline.now_ns
         for worker in self.workers:
             worker.advance(now_ns)
         slots = sum(spec.slots for spec in self.specs)
-        return sum(worker.busy_ns for worker in self.workers) / (slots * max(1, now_ns - begun_ns))
+        return sum(worker.busy_ns for worker in self.workers) / (slots * max(1, now_ns - start_ns))
 
     def starts_by_job(self) -> dict[int, int]:
-        """Return how often each arrival's job was started, retries included."""
+        """Return how often the job of each arrival was started, including retries."""
         starts: Counter[int] = Counter()
         for worker in self.workers:
             for job_id, times in worker.starts_by_job.items():
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -1,4 +1,4 @@
-"""A site on loopback: dispatcher processes, match workers, discovery, and clients that send on schedule."""
+"""A site on loopback: dispatcher processes, stand-ins for workers and discovery, and open-loop clients."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 READY_TIMEOUT_S = 10.0
 POLL_S = 0.02
 EXIT_TIMEOUT_S = 20.0
-RETRY_PAUSE_S = (0.05, 0.1)  # of a client: minimum and maximum
-ANSWER_GRACE_S = 1.0  # how much longer than its timeout a client waits for an answer
+RETRY_PAUSE_S = (0.05, 0.1)  # pause before a client's retry: minimum and maximum
+ANSWER_GRACE_S = 1.0  # how long after its timeout a client still waits for a response
 
 
 def reserve(address: str = "127.0.0.1:0") -> tuple[socket.socket, str]:
-    """Return a bound socket that does not listen, and its address, which nobody else gets while it is open.
+    """Return a bound socket that does not listen, and its address, which stays reserved while it is open.
 
-    address: HOST:PORT, as of a server that was stopped; port 0 is one that the system chooses.
+    address: HOST:PORT, for example of a stopped server; port 0 is one that the system chooses.
     """
     host, port = address.split(":")
     sock = socket.socket()
@@ -43,7 +43,7 @@
 
 
 async def ended(process: asyncio.subprocess.Process, within_s: float) -> None:
-    """Wait for a process that is to end, and kill it after a timeout."""
+    """Wait for a process to exit, and kill it after a timeout."""
     try:
         async with asyncio.timeout(within_s):
             await process.wait()
@@ -65,30 +65,30 @@
     counters: dict[str, float] = field(default_factory=dict)
 
     async def start(self) -> None:
-        """Start it and wait until it accepts clients.
+        """Start the process and wait until it is ready.
 
         Raises:
-            TimeoutError: it does not accept clients in time.
-            RuntimeError: it ended.
+            TimeoutError: it is not ready in time.
+            RuntimeError: it exited.
         """
         with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "weldquay", *self.arguments, env=self.environ, stdout=log, stderr=log
             )
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not await self._healthy():
+            while not await self._is_healthy():
                 if self.process.returncode is not None:
-                    raise RuntimeError(f"a dispatcher ended: {(self.folder / 'log').read_text()}")
+                    raise RuntimeError(f"dispatcher process exited: {(self.folder / 'log').read_text()}")
                 await asyncio.sleep(POLL_S)
 
-    async def _healthy(self) -> bool:
+    async def _is_healthy(self) -> bool:
         try:
             return (await request(self.address, write_message("GET /_health HTTP/1.1"))).status == 200
         except (OSError, asyncio.IncompleteReadError):
             return False
 
     async def stop(self) -> None:
-        """Shut it down gracefully and read its counters."""
+        """Shut the process down gracefully and read its counters."""
         if self.process is None or self.process.returncode is not None:
             return
         self.process.send_signal(signal.SIGTERM)
@@ -110,22 +110,22 @@
     records: list[loads.RequestRecord] = field(default_factory=list)
     pools: list[Pool] = field(default_factory=list)
 
-    async def play(self, arrivals: Sequence[loads.Arrival], seed: int, retries: int = 0) -> None:
-        """Send each request at its time, independently of the others, and wait for all answers."""
+    async def send_arrivals(self, arrivals: Sequence[loads.Arrival], seed: int, retries: int = 0) -> None:
+        """Send each request at its time, independently of the others, and wait for all responses."""
         self.pools = [Pool(node.address) for node in self.nodes]
         draw = random.Random(seed)
-        begun_s = asyncio.get_running_loop().time()
+        start_s = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
             for arrival in arrivals:
                 record = loads.RequestRecord(arrival)
                 self.records.append(record)
-                due_s = begun_s + arrival.at_ns / 1e9
+                due_s = start_s + arrival.at_ns / 1e9
                 await asyncio.sleep(due_s - asyncio.get_running_loop().time())
                 pauses = [draw.uniform(*RETRY_PAUSE_S) for _ in range(retries)]
                 tasks.create_task(self._run_client(record, due_s, pauses))
 
     async def _run_client(self, record: loads.RequestRecord, due_s: float, pauses: list[float]) -> None:
-        """Send one request, with retries if it is rejected; times count from when it was due."""
+        """Send one request, with retries if it is rejected; response times count from its due time."""
         arrival = record.arrival
         job_class = self.job_classes[arrival.job_class]
         loop = asyncio.get_running_loop()
@@ -179,7 +179,7 @@
         return total
 
     def starts_by_job(self) -> dict[str, int]:
-        """Return how often each job was started, retries included."""
+        """Return how often each job was started, including retries."""
         total: dict[str, int] = {}
         for worker in self.workers:
             for request_id, times in worker.model.starts_by_job.items():
@@ -188,7 +188,7 @@
         return total
 
     def busy_fraction(self, length_ns: int) -> float:
-        """Return the fraction of all slot time that was used."""
+        """Return the used fraction of all slot time."""
         for worker in self.workers:
             worker.model.advance(time.monotonic_ns())
         used = sum(worker.model.busy_ns for worker in self.workers)
@@ -203,7 +203,7 @@
     arguments: Sequence[str] = (),
     **settings: Any,
 ) -> AsyncIterator[Site]:
-    """Run a site; its processes and servers end with the block."""
+    """Run a site; its processes and servers are stopped at the end of the block."""
     with tempfile.TemporaryDirectory(prefix="weldquay-lab-") as folder, contextlib.ExitStack() as sockets:
         addresses = []
         for _ in range(dispatchers):
@@ -219,7 +219,7 @@
         nodes = []
         for number, address in enumerate(addresses):
             await discovery.start()
-            document = _document(
+            document = _config_document(
                 number, address, discovery, loads.settings(dispatchers, job_classes, number, **settings)
             )
             nodes.append(make_node(Path(folder) / f"n{number}", number, address, document, arguments))
@@ -235,7 +235,9 @@
                 pool.close()
 
 
-def _document(number: int, address: str, discovery: Discovery, settings: dict[str, Any]) -> dict[str, Any]:
+def _config_document(
+    number: int, address: str, discovery: Discovery, settings: dict[str, Any]
+) -> dict[str, Any]:
     return {
         "name": f"n{number}",
         "listen": address,
@@ -254,7 +256,7 @@
     document: dict[str, Any],
     arguments: Sequence[str],
 ) -> Node:
-    """Return a dispatcher that has not started, with its files in a folder."""
+    """Return a dispatcher process that is not started, with its files in a folder."""
     (folder / "tmp").mkdir(parents=True)
     (folder / "config.json").write_text(json.dumps(document))
     environ = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
--- a/weldquay/lab/virtual_time.py
+++ b/weldquay/lab/virtual_time.py
@@ -1,7 +1,7 @@
-"""Dispatchers' decisions against model workers in virtual time: no sockets, no clock, equal for equal seeds.
+"""A simulation of dispatchers' decisions with model workers in virtual time; equal seeds give equal results.
 
-It shows the effect of a change of the decisions at a scale and speed that sockets do not allow.  It leaves
-out what sockets add: reading and writing, lost connections, an event loop that is late.
+Without sockets it can evaluate a change to the decisions with more dispatchers, workers and requests than
+real processes allow, and faster.  It does not model reads and writes, lost connections or event loop delays.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from weldquay.net.counter_names import ATTEMPT_COUNTERS, RESERVATION_COUNTERS
 from weldquay.policy.dispatcher import Dispatcher
 
-NETWORK_DELAY_NS = 250_000  # one way between any two parties
-MIN_RETRY_PAUSE_NS = 50 * model.MS  # of a client; the maximum is twice as long
-RUNTIME_NOISE = 0.1  # standard deviation of the logarithm of a running time over its expected one
+NETWORK_DELAY_NS = 250_000  # one-way network latency
+MIN_RETRY_PAUSE_NS = 50 * model.MS  # of clients; the maximum is twice as long
+RUNTIME_NOISE = 0.1  # standard deviation of the logarithm of actual over expected running time
 
 
 @dataclass(slots=True)
 class Fault:
-    """A fault that is applied to a running simulation at a time after its begin."""
+    """A fault that is applied to a running simulation; at_ns counts from its start."""
 
     at_ns: int
     apply: Callable[[Simulation], None]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """The input of a simulation; retries: how often a client sends a rejected request again."""
+    """The input of a simulation; retries: how often a client retries a rejected request."""
 
     arrivals: Sequence[loads.Arrival]
     specs: Sequence[model.WorkerSpec]
@@ -53,15 +53,15 @@
 
     records: list[loads.RequestRecord]
     counts: Counter[str]
-    busy: float  # fraction of all slot time that was used
+    busy: float  # used fraction of all slot time
     starts_by_job: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """One send of a request to a worker."""
+    """An attempt of a request at a worker."""
 
-    client: PendingRequest
+    request: PendingRequest
     dispatcher: int
     request_id: int
     number: int
@@ -71,19 +71,19 @@
 
     @property
     def key(self) -> tuple[int, int, int]:
-        """Dispatcher, request and number."""
+        """Dispatcher, request and attempt number."""
         return self.dispatcher, self.request_id, self.number
 
     @property
     def job_id(self) -> str:
-        """Its job at the worker: the numbers of the arrival, of the client's retry and of the send."""
-        arrival = self.client.arrival
+        """The id of its job: the numbers of the arrival, the client's retry and the attempt."""
+        arrival = self.request.arrival
         return f"{arrival.number}-{arrival.retry}-{self.number}"
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request at a dispatcher, until it is answered."""
+    """A request that its dispatcher has not answered."""
 
     record: loads.RequestRecord
     arrival: loads.Arrival
@@ -107,17 +107,17 @@
         self._job_classes = scenario.job_classes
         self._retries = scenario.retries
         self._timeline = timeline
-        self._begun_ns = timeline.now_ns
+        self._start_ns = timeline.now_ns
         self._random = random
         self._send = send
         self._request_ids = itertools.count(1)
         for arrival in scenario.arrivals:
             record = loads.RequestRecord(arrival)
             self.records.append(record)
-            timeline.schedule_at(self._begun_ns + arrival.at_ns, partial(self._send_request, arrival, record))
+            timeline.schedule_at(self._start_ns + arrival.at_ns, partial(self._send_request, arrival, record))
 
     def are_all_answered(self) -> bool:
-        """Return whether every client has the last answer to its request."""
+        """Return whether every client has the final response to its request."""
         return not any(self.pending) and all(
             record.result is not loads.RequestResult.LOST for record in self.records
         )
@@ -138,7 +138,7 @@
         self._send(arrival.dispatcher, event)
 
     def answer(self, dispatcher: int, request_id: int, result: loads.RequestResult, wait_ns: int = 0) -> None:
-        """Answer a request, unless it was answered; the client may send a rejected one again."""
+        """Answer a request unless it was answered; the client may retry a rejected one."""
         request = self.pending[dispatcher].pop(request_id, None)
         if request is None:
             return
@@ -151,24 +151,24 @@
         record.rejections += is_rejected
         if is_rejected and request.arrival.retry < self._retries:
             pause_ns = int(MIN_RETRY_PAUSE_NS * (1 + self._random.random()))
-            retry = loads.retry_of(request.arrival, now_ns + pause_ns - self._begun_ns)
+            retry = loads.retry_of(request.arrival, now_ns + pause_ns - self._start_ns)
             self._timeline.schedule(pause_ns, partial(self._send_request, retry, record))
             return
         record.result = result
         record.answers += 1
 
     def answer_served(self, dispatcher: int, request_id: int) -> None:
-        """Answer a request whose job was completed; the time counts from the client's first send."""
+        """Answer a request whose job completed; its response time counts from the client's first send."""
         request = self.pending[dispatcher][request_id]
         work_ns = request.arrival.work_ns
-        elapsed_ns = self._timeline.now_ns - self._begun_ns - request.record.arrival.at_ns
+        elapsed_ns = self._timeline.now_ns - self._start_ns - request.record.arrival.at_ns
         job_class = self._job_classes[request.arrival.job_class]
         result = loads.classify_served(job_class, work_ns, elapsed_ns)
         self.answer(dispatcher, request_id, result, elapsed_ns - int(work_ns))
 
 
 class Simulation:
-    """One simulation; `run` runs it to its end."""
+    """A simulation of one scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -184,8 +184,8 @@
         self.attempts: dict[tuple[int, int, int], _Attempt] = {}
         self.attempts_by_job: dict[str, _Attempt] = {}
         self.counts: Counter[str] = Counter()
-        self.sends: list[tuple[int, int]] = []  # time and worker of each
-        self._send_list(api.EndpointListKind.CACHED)
+        self.sends: list[tuple[int, int]] = []  # time and worker of each send
+        self._send_endpoint_list(api.EndpointListKind.CACHED)
         self.clients = Clients(scenario, self.timeline, self.random, self._enqueue_event)
         for fault in scenario.faults:
             self.timeline.schedule_at(self.begun_ns + fault.at_ns, partial(fault.apply, self))
@@ -196,7 +196,7 @@
         return self.timeline.now_ns
 
     def run(self, until_ns: int | None = None) -> SimulationResult:
-        """Run until all requests are answered, or until a time after the begin."""
+        """Run until all requests are answered, or until a time that counts from the start."""
         end_ns = None if until_ns is None else self.begun_ns + until_ns
         while self.timeline.has_action_until(end_ns):
             self.timeline.run_next()
@@ -241,27 +241,27 @@
                 self.counts[RESERVATION_COUNTERS[action.reason]] += 1
 
     def _send(self, dispatcher: int, action: api.Send) -> None:
-        client = self.clients.pending[dispatcher].get(action.request_id)
-        if client is None or self.now_ns >= client.deadline_ns:
-            number = 0 if client is None else client.sends
+        request = self.clients.pending[dispatcher].get(action.request_id)
+        if request is None or self.now_ns >= request.deadline_ns:
+            number = 0 if request is None else request.sends
             aborted = api.AttemptEnded(
                 action.request_id,
                 number,
                 action.worker,
                 api.Outcome.ABORTED_BEFORE_SEND,
                 0,
-                client is None,
+                request is None,
             )
             self._enqueue_event(dispatcher, aborted)
             return
         self.counts["sends"] += 1
         self.sends.append((self.now_ns, action.worker))
-        attempt = _Attempt(client, dispatcher, action.request_id, client.sends, action.worker, self.now_ns)
-        client.sends += 1
+        attempt = _Attempt(request, dispatcher, action.request_id, request.sends, action.worker, self.now_ns)
+        request.sends += 1
         self.attempts[attempt.key] = attempt
         self.timeline.schedule(NETWORK_DELAY_NS, partial(self._receive_job, attempt))
         self.timeline.schedule_at(
-            client.deadline_ns, partial(self._end_attempt, attempt, api.Outcome.TIMEOUT)
+            request.deadline_ns, partial(self._end_attempt, attempt, api.Outcome.TIMEOUT)
         )
 
     def _cancel(self, dispatcher: int, action: api.Cancel) -> None:
@@ -284,8 +284,8 @@
             return
         attempt.has_ended = True
         del self.attempts[attempt.key]
-        client = attempt.client
-        if outcome is api.Outcome.OK and client.is_open:
+        request = attempt.request
+        if outcome is api.Outcome.OK and request.is_open:
             self.clients.answer_served(attempt.dispatcher, attempt.request_id)
         self.counts[ATTEMPT_COUNTERS[outcome]] += 1
         self._enqueue_event(
@@ -296,7 +296,7 @@
                 attempt.worker,
                 outcome,
                 self.now_ns - attempt.sent_ns,
-                not client.is_open,
+                not request.is_open,
                 report,
             ),
         )
@@ -306,7 +306,7 @@
     def _receive_job(self, attempt: _Attempt) -> None:
         if attempt.has_ended:
             return
-        arrival = attempt.client.arrival
+        arrival = attempt.request.arrival
         noise = float(self.random.lognormal(0.0, RUNTIME_NOISE))
         job = model.Job(attempt.job_id, arrival.work_ns * noise, arrival.slots, arrival.memory)
         self.attempts_by_job[attempt.job_id] = attempt
@@ -331,25 +331,25 @@
 
     # --- faults ---
 
-    def _send_list(self, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
-        """Send all dispatchers the endpoint list as it is now."""
+    def _send_endpoint_list(self, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
+        """Send the current endpoint list to all dispatchers."""
         for dispatcher in range(len(self.dispatchers)):
             self._enqueue_event(dispatcher, api.EndpointListUpdate(kind, self.fleet.entries()))
 
     def drain(self, worker: int) -> None:
-        """Have a worker drain; the list changes at once."""
+        """Start draining a worker; the list changes immediately."""
         self.fleet.drain(worker)
-        self._send_list()
+        self._send_endpoint_list()
         self.fleet.process_events(worker)
 
     def restart(self, worker: int) -> None:
-        """Restart a worker with a slow start; its jobs are lost, and the list changes at once."""
+        """Restart a worker with a slow start; its jobs are lost, and the list changes immediately."""
         for job in self.fleet.restart(worker):
             self._end_attempt(self.attempts_by_job[job.id], api.Outcome.RESET)
-        self._send_list()
+        self._send_endpoint_list()
 
     def vanish(self, worker: int) -> None:
-        """Have a worker die; its connections are reset, and the list changes at once."""
+        """Stop a worker permanently; its connections are reset, and the list changes immediately."""
         self.restart(worker)
         self.fleet.mark_gone(worker)
-        self._send_list()
+        self._send_endpoint_list()
