--- a/example/__init__.py
+++ b/example/__init__.py
@@ -1,1 +1,1 @@
-"""A toy deployment to try weldquay with."""
+"""A toy deployment for trying out weldquay."""
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,8 +1,9 @@
-"""A toy discovery and three toy match workers, in one process on the loopback.
+"""A toy discovery and three toy match workers, in one process on loopback.
 
-Run it as `python -m example.toy example/config.json`, beside a dispatcher with the same configuration.  It
-is an example to read: it has no limits and no checks, and a job's result is its body in capitals.  The
-servers are those of `weldquay/lab/`, which also has match workers with slots, queues and speeds.
+Run it as `python -m example.toy example/config.json`, together with a dispatcher that has the same
+configuration.  It is a minimal example, without limits and input checks; the result of a job is its body in
+upper case.  Its servers come from `weldquay/lab/`, which also has match workers with slots, queues and
+speeds.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 
 __all__ = ["Discovery", "Message", "Server", "Worker", "read_message", "request", "write_message"]
 
-SLOTS = 4  # jobs that a worker runs at once, by its report
+SLOTS = 4  # concurrent jobs of a worker, according to its load report
 RUN_S = 0.2  # running time of a job
 NO_LOAD = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
 
 
 class Worker(Server):
-    """A match worker, which answers 202 at once and sends call-backs to the dispatcher."""
+    """A match worker that accepts each job with 202 and sends call-backs to the dispatcher."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__()
         self.name, self.dispatcher = name, dispatcher
         self.jobs: dict[str, asyncio.Task[None]] = {}
-        self.tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
+        self.tasks: set[asyncio.Task[None]] = set()  # the event loop keeps only weak references to tasks
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Start a job (POST), cancel one (DELETE) or report the load (GET)."""
@@ -65,27 +66,27 @@
         print(f"{self.name} ran {call}", flush=True)
         await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
 
-    async def tell(self, call: str, **what: Any) -> Message:
-        """Send one call-back and return the dispatcher's answer."""
-        body = json.dumps({"id": call, "from": self.name, **what}).encode()
+    async def tell(self, call: str, **fields: Any) -> Message:
+        """Send one call-back and return the dispatcher's response."""
+        body = json.dumps({"id": call, "from": self.name, **fields}).encode()
         return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", body))
 
 
 class Discovery(servers.Discovery):
-    """The list of toy workers."""
+    """A discovery that lists toy workers."""
 
     def add(self, worker: Worker, phase: str = "SERVING") -> None:
-        """List a worker, without a message to the watches."""
+        """Add or replace a worker without notifying the watches."""
         self.put(worker.name, [worker.address], phase)
 
     async def change(self, worker: Worker, phase: str) -> None:
-        """Change a worker's phase and send the list to all watches."""
+        """Change a worker's phase and notify the watches."""
         self.add(worker, phase)
         await self.tell()
 
 
 async def main(config: dict[str, Any]) -> None:
-    """Serve until interrupted, at the addresses of a dispatcher's configuration."""
+    """Serve until interrupted, with the addresses of a dispatcher's configuration."""
     discovery = Discovery()
     await discovery.start(int(config["discovery"].rsplit(":", 1)[1]))
     for number in range(3):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of every test, and the expected failures of KNOWN-RED.txt."""
+"""Fixtures for all tests, and the expected failures listed in KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture(autouse=True)
 def _own_temporary_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Give each test a $TMPDIR of its own, since a dispatcher keeps files there for the next process."""
+    """Give each test its own $TMPDIR, because a dispatcher keeps files there for the next process."""
     (tmp_path / "tmp").mkdir()
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path / "tmp"))
     monkeypatch.setenv("TMPDIR", str(tmp_path / "tmp"))
@@ -24,7 +24,7 @@
 def _frozen_heap() -> Iterator[None]:
     """Exclude the objects of earlier modules from garbage collection, as `DispatcherProcess.run` does.
 
-    A full collection of pytest's and Hypothesis's objects stops the event loop for tens of milliseconds.
+    A full collection of the objects of pytest and Hypothesis blocks the event loop for tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
@@ -33,7 +33,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the tests of KNOWN-RED.txt as strict expected failures.
+    """Mark the tests listed in KNOWN-RED.txt as strict expected failures.
 
     Raises:
         pytest.UsageError: the file is malformed, or a listed test does not exist.
--- a/tests/failing_discovery.py
+++ b/tests/failing_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that fails in a chosen manner, for tests."""
+"""Discovery that fails in a chosen way, for tests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """A chunk of a chunked response."""
+    """Return a chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -28,7 +28,7 @@
 
 
 async def busy(writer: asyncio.StreamWriter, _address: str) -> None:
-    """Respond with 503 at once."""
+    """Respond with 503 immediately."""
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -37,17 +37,17 @@
 
 
 async def head_only(writer: asyncio.StreamWriter, _address: str) -> None:
-    """Send the head of a response and nothing else."""
+    """Send only the head of a response."""
     writer.write(WATCH_HEAD)
 
 
 async def half_value(writer: asyncio.StreamWriter, address: str) -> None:
-    """Send half a value."""
+    """Send the first half of a JSON value."""
     writer.write(WATCH_HEAD + chunk(list_of_one_worker(8, "DRAINING", address)[:40]))
 
 
 async def endless_value(writer: asyncio.StreamWriter, _address: str) -> None:
-    """Send a value that does not end."""
+    """Send a JSON value that does not end."""
     writer.write(WATCH_HEAD + chunk(b'{"revision": 8, "members": ['))
     while not writer.is_closing():
         writer.write(chunk(b"1,"))
@@ -55,7 +55,7 @@
 
 
 async def revision_then_reset(writer: asyncio.StreamWriter, address: str) -> None:
-    """Send a complete value, then reset the connection."""
+    """Send a complete list, then reset the connection."""
     writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
     await writer.drain()
     await asyncio.sleep(0.05)
@@ -68,26 +68,26 @@
 
 
 async def older_revision(writer: asyncio.StreamWriter, address: str) -> None:
-    """Send a list, then a change of an older revision."""
+    """Send a list, then a change with an older revision."""
     writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", address) + b"\n"))
     old = json.loads(list_of_one_worker(3, "SERVING", address)) | {"complete": False}
     writer.write(chunk(json.dumps(old).encode() + b"\n"))
 
 
 async def garbage(writer: asyncio.StreamWriter, _address: str) -> None:
-    """Send what is not HTTP."""
+    """Send bytes that are not HTTP."""
     writer.write(b"\x00\x01\x02\r\n\r\n")
 
 
 class Failing(Server):
-    """Discovery whose first polls fail in one manner; the next gets a list with a draining worker."""
+    """Discovery whose first polls fail; later ones get a list with a draining worker."""
 
-    def __init__(self, manner: Manner, times: int) -> None:
+    def __init__(self, manner: Manner, failures: int) -> None:
         super().__init__()
         self.manner = manner
-        self.left = times  # polls that still fail
-        self.address_told = "127.0.0.1:1"  # of the worker in the list
-        self.asked: list[float] = []  # times of the polls
+        self.left = failures  # number of polls that still fail
+        self.address_told = "127.0.0.1:1"  # address of the worker in the list
+        self.asked: list[float] = []  # monotonic times of the polls (s)
         self.targets: list[str] = []
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -102,7 +102,7 @@
 
 
 def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Reduce all times to a tenth."""
+    """Reduce the times of the discovery client and of the lease to a tenth."""
     for name in (
         "MIN_REFUSED_DELAY_NS",
         "REFUSED_DELAY_PER_DISPATCHER_NS",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders and models that several test files share."""
+"""Builders and models shared by several test files."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
-    """Return settings of one dispatcher and one idempotent class; probes and cancels are allowed."""
+    """Return settings with one dispatcher and one idempotent job class; probes and cancels are allowed."""
     values: dict[str, Any] = {
         "classes": (job_class(),),
         "may_cancel": True,
@@ -32,7 +32,7 @@
 
 
 def job_class(**changes: Any) -> api.JobClass:
-    """Return an idempotent class: objective 1 s plus twice the running time, client timeout 10 s."""
+    """Return an idempotent job class: objective 1 s plus twice the running time, client timeout 10 s."""
     values: dict[str, Any] = {
         "latency_objective_ns": SECOND,
         "client_timeout_ns": 10 * SECOND,
@@ -43,33 +43,35 @@
 
 
 class Drive:
-    """Feeds one dispatcher and records its actions."""
+    """Runs one dispatcher with given events and records its actions."""
 
-    def __init__(self, using: api.Settings | None = None, workers: int = 3, seed: int = 1) -> None:
-        self.dispatcher = Dispatcher(using or settings(), seed)
+    def __init__(
+        self, dispatcher_settings: api.Settings | None = None, workers: int = 3, seed: int = 1
+    ) -> None:
+        self.dispatcher = Dispatcher(dispatcher_settings or settings(), seed)
         self.now = 1000 * SECOND
         self.worker_ids = list(range(1, workers + 1))
         self.all: list[api.Action] = []
         self.step(self.list_of())
 
     def list_of(self, kind: api.EndpointListKind = api.EndpointListKind.CACHED) -> api.EndpointListUpdate:
-        """Return the whole list, with two workers in each cell."""
+        """Return the complete endpoint list, with two workers per cell."""
         entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
         return api.EndpointListUpdate(kind, tuple(entries))
 
     def step(self, *events: api.Event, after: int = 0) -> list[api.Action]:
-        """Run one step, `after` nanoseconds from the last."""
+        """Run one step, `after` nanoseconds after the last one."""
         self.now += after
         actions = self.dispatcher.step(self.now, list(events))
         self.all += actions
         return actions
 
     def report(self, worker: int, free: float, **more: Any) -> list[api.Action]:
-        """Report free slots in a probe's result."""
+        """Report free slots in the result of a probe."""
         return self.step(api.ProbeEnded(worker, api.Outcome.OK, MS, api.LoadReport(free, **more)))
 
     def run(self, span: int, every: int = 50 * MS) -> list[api.Action]:
-        """Let `span` nanoseconds pass, with a step `every` so many."""
+        """Run for `span` nanoseconds, with a step every `every` nanoseconds."""
         actions: list[api.Action] = []
         for _ in range(span // every):
             actions += self.step(api.TimerDue(1), after=every)
@@ -78,24 +80,24 @@
     def end(
         self, send: api.Send, outcome: api.Outcome, attempt: int = 0, over: bool = False
     ) -> list[api.Action]:
-        """Report an attempt's outcome."""
+        """Report the outcome of an attempt."""
         return self.step(api.AttemptEnded(send.request_id, attempt, send.worker, outcome, MS, over))
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """Return the sends among actions."""
+    """Return the send actions."""
     return [action for action in actions if isinstance(action, api.Send)]
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
-    """Return the final answers among actions."""
+    """Return the actions that reject or fail a request."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
 def started(
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
 ) -> tuple[Drive, api.Send]:
-    """Return a dispatcher with four workers, and the first attempt of its request 7."""
+    """Return a driver with four workers, and the first attempt of request 7."""
     rules = job_class(
         idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
@@ -107,7 +109,7 @@
 
 
 class Discovery:
-    """A model of discovery: it serves polls in order, and one that waits too long fails at full cost."""
+    """A model of discovery that serves polls in order; one that times out costs the same."""
 
     def __init__(self, work_ns: int, busy_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
         self.work_ns = work_ns
@@ -115,7 +117,7 @@
         self.max_wait_ns = max_wait_ns
 
     def ask(self, now_ns: int) -> tuple[int, bool]:
-        """Return when a poll ends, in ns, and whether it is answered."""
+        """Return the end of a poll, in ns, and whether it got a response."""
         begin_ns = max(self.free_ns, now_ns)
         self.free_ns = begin_ns + self.work_ns
         is_too_late = begin_ns - now_ns > self.max_wait_ns
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Parser of KNOWN-RED.txt: the tests of known faults, which CI expects to fail and prints.
+"""Parser of KNOWN-RED.txt, the list of tests that are expected to fail because of known faults.
 
-One entry a line: `test id | command and seed | what was seen | issue`.  A listed test that passes or does not
-exist fails the run.
+Each line is an entry: `test id | command and seed | what was seen | issue`.  CI prints the entries.  A listed
+test that passes or does not exist fails the run.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One entry: a test that is expected to fail, and why."""
+    """An entry: a test that is expected to fail, and the reason."""
 
     test_id: str
     command: str
@@ -33,7 +33,7 @@
     """Return the entries by test id.
 
     Raises:
-        ValueError: an entry lacks a field, has one too many, or lists a test for a second time.
+        ValueError: an entry does not have exactly four non-empty fields, or a test is listed twice.
     """
     entries: dict[str, KnownFailure] = {}
     for line in filter(str.strip, text.splitlines()):
@@ -54,8 +54,8 @@
 
     Args:
         listed: test ids of KNOWN-RED.txt.
-        collected: test ids of this run, which may be a part of all tests.
-        test_files: all test files; a test of a file that this run did not collect counts as present.
+        collected: test ids of this run, which may run only some of the tests.
+        test_files: all test files; if this run collected nothing from one, its listed tests count as present.
     """
     collected_files = {test_id.split("::")[0] for test_id in collected}
     return [
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Dispatchers in processes of their own, for tests."""
+"""Helpers for tests that start dispatcher processes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def wait_until_serving(process: asyncio.subprocess.Process) -> None:
-    """Wait until the process logs that it serves."""
+    """Wait until the process logs that it is serving."""
     assert process.stderr is not None
     while b"is serving" not in (line := await process.stderr.readline()):
         assert line
--- a/tests/site.py
+++ b/tests/site.py
@@ -1,4 +1,4 @@
-"""The fixture of the tests on real sockets: a dispatcher with toy workers and a toy discovery."""
+"""Fixture for tests on real sockets: a dispatcher with toy workers and a toy discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from weldquay.net.dispatcher_process import DispatcherProcess
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
-PATIENCE_S = 20.0  # a test that waits this long has failed
+TEST_TIMEOUT_S = 20.0  # timeout of a test
 ACCEPTED = write_message("HTTP/1.1 202 Accepted")
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -28,29 +28,29 @@
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__(name, dispatcher)
         self.seen: list[Message] = []
-        self.come = asyncio.Condition()
+        self.message_received = asyncio.Condition()
         self.script: Script | None = None
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Record the message, then run the script; without a script, serve the job."""
         self.seen.append(message)
-        async with self.come:
-            self.come.notify_all()
+        async with self.message_received:
+            self.message_received.notify_all()
         if message.method == "POST" and self.script is not None:
             await self.script(message, writer)
         else:
             await super().answer(message, writer)
 
-    async def run(self, call: str, body: bytes) -> None:
-        """Complete a job at once."""
-        await self.tell(call, state="done", result=body.decode().upper())
+    async def run(self, request_id: str, body: bytes) -> None:
+        """Complete a job immediately."""
+        await self.tell(request_id, state="done", result=body.decode().upper())
 
     async def accept(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """A script: accept the job and send no callback."""
+        """A script that accepts a job and sends no call-back."""
         writer.write(ACCEPTED)
 
     def telling(self, result: str) -> Script:
-        """The script that accepts a job and completes it at once with a result."""
+        """Return a script that accepts a job and completes it immediately with a result."""
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(ACCEPTED)
@@ -59,22 +59,22 @@
         return script
 
     def methods(self) -> list[str]:
-        """The methods of the received requests, without health checks."""
+        """Return the methods of the received requests, except health checks."""
         return [message.method for message in self.seen if message.method != "GET"]
 
     async def until(self, *methods: str) -> None:
         """Wait until exactly these methods have been received, in this order."""
-        async with self.come:
-            await self.come.wait_for(lambda: self.methods() == list(methods))
+        async with self.message_received:
+            await self.message_received.wait_for(lambda: self.methods() == list(methods))
 
 
 class SilentDiscovery(Server):
-    """A discovery whose watches send a list and then nothing more, not even empty lines."""
+    """Discovery whose watches send one list and then nothing, not even heartbeats."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.polls: list[tuple[str, float]] = []  # target, time in s of the event loop
-        self.lists: list[bytes] = []  # one for each poll; a poll without one has no response
+        self.polls: list[tuple[str, float]] = []  # request target and event loop time (s)
+        self.lists: list[bytes] = []  # one for each poll; without one, a poll gets no response
         self.pause_s = 0.0
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -87,7 +87,7 @@
 
 
 def list_of_one_worker(revision: int, phase: str, address: str) -> bytes:
-    """A complete list of one worker, w0."""
+    """Return a complete endpoint list with one worker, w0."""
     member = {
         "id": "w0",
         "host_port": address,
@@ -103,30 +103,30 @@
 
 
 class Site:
-    """A dispatcher with the example's configuration, two workers and discovery."""
+    """A dispatcher with the configuration of the example, its workers and discovery."""
 
     def __init__(self, program: DispatcherProcess, discovery: Discovery, workers: list[Scripted]) -> None:
         self.program, self.discovery, self.workers = program, discovery, workers
         self.address = f"127.0.0.1:{program.server.port}"
 
-    async def post(self, call: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> Message:
-        """Send one request, and return its response."""
-        return await request(self.address, job(call, path, left_ms))
+    async def post(self, request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> Message:
+        """Send one request and return its response."""
+        return await request(self.address, job(request_id, path, left_ms))
 
-    async def operate(self, call: str, method: str = "POST") -> int:
-        """Send an operator's call, and return the status of its response."""
+    async def operate(self, operation: str, method: str = "POST") -> int:
+        """Send an operator request and return the status of its response."""
         address = f"127.0.0.1:{self.program.operators.port}"
-        answer = await request(address, write_message(f"{method} /control/{call} HTTP/1.1"))
+        answer = await request(address, write_message(f"{method} /control/{operation} HTTP/1.1"))
         return int(answer.start.split()[1])
 
     async def health(self) -> int:
-        """The status of /_health."""
+        """Return the status of /_health."""
         answer = await request(self.address, write_message("GET /_health HTTP/1.1"))
         return int(answer.start.split()[1])
 
 
 async def until(condition: Callable[[], Any]) -> Any:
-    """Poll a condition until its value is true, and return the value."""
+    """Poll a condition until its value is true, and return that value."""
     while True:
         value = condition()
         if value:
@@ -134,51 +134,53 @@
         await asyncio.sleep(0.01)
 
 
-def job(call: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> bytes:
-    """The bytes of a client's request."""
+def job(request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> bytes:
+    """Return the bytes of a client's request."""
     return write_message(
-        f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {left_ms}"
+        f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {left_ms}"
     )
 
 
 def document(**settings: Any) -> dict[str, Any]:
-    """The example's configuration with changed settings, by group."""
-    told: dict[str, Any] = json.loads(CONFIG.read_text())
+    """Return the configuration of the example with changed settings, by group."""
+    config_document: dict[str, Any] = json.loads(CONFIG.read_text())
     for group, values in settings.items():
-        before = told["settings"].get(group)
-        told["settings"][group] = {**before, **values} if isinstance(before, dict) else values
-    return told
+        before = config_document["settings"].get(group)
+        config_document["settings"][group] = {**before, **values} if isinstance(before, dict) else values
+    return config_document
 
 
 @asynccontextmanager
 async def site(
     workers: int = 1, discovery: Server | None = None, discovery_mode: str = "ask", **settings: Any
 ) -> AsyncIterator[Site]:
-    """Run a site; at its end everything is closed, and no task may have failed."""
-    listing = Discovery()
-    told = document(discovery=discovery_mode, **settings)
-    await (discovery or listing).start()
-    told.update(listen="127.0.0.1:0", mgmt="127.0.0.1:0", discovery=(discovery or listing).address)
+    """Run a site; at its end, everything is closed and no task may have failed."""
+    toy_discovery = Discovery()
+    config_document = document(discovery=discovery_mode, **settings)
+    await (discovery or toy_discovery).start()
+    config_document.update(
+        listen="127.0.0.1:0", mgmt="127.0.0.1:0", discovery=(discovery or toy_discovery).address
+    )
     fleet = [Scripted(f"w{number}", "") for number in range(workers)]
     for worker in fleet:
         await worker.start()
-        listing.add(worker)
-    told["known"] = listing.told()
-    program = DispatcherProcess(read({}, told))
+        toy_discovery.add(worker)
+    config_document["known"] = toy_discovery.told()
+    program = DispatcherProcess(read({}, config_document))
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
     await program.start()
-    here = Site(program, listing, fleet)
+    here = Site(program, toy_discovery, fleet)
     for worker in fleet:
         worker.dispatcher = here.address
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield here
     finally:
         program.hot_restart.stop()
         for part in (program.tasks, program.operators, program.discovery, program.server, program.workers):
             await part.stop()
-        for server in (listing, *fleet, *([discovery] if discovery else [])):
+        for server in (toy_discovery, *fleet, *([discovery] if discovery else [])):
             server.stop()
     assert not failures and not program.counters.counts["client_connections_failed"]
     assert (
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: which failures CI accepts, and which entries it rejects."""
+"""Tests of KNOWN-RED.txt: which failures a run accepts, and which entries it rejects."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_pytest(folder: Path, tests: str, entries: str | None) -> subprocess.CompletedProcess[str]:
-    """Run pytest in a repository of one test file and this repository's conftest.py."""
+    """Run pytest in a folder with one test file and the conftest.py of this repository."""
     (folder / "tests").mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
         shutil.copy(ROOT / "tests" / name, folder / "tests")
@@ -58,13 +58,13 @@
     ],
 )
 def test_only_listed_tests_may_fail(entries: str | None, status: int, expected: str, tmp_path: Path) -> None:
-    """A listed test has to exist and to fail; the run prints it with its entry."""
+    """A listed test must exist and fail; the run prints its entry."""
     result = run_pytest(tmp_path, TESTS, entries)
     assert result.returncode == status and expected in result.stdout + result.stderr
 
 
 def test_four_entries_are_accepted(tmp_path: Path) -> None:
-    """The number of entries is not limited, and each one is printed."""
+    """The number of entries is not limited, and each entry is printed."""
     entries = [f"tests/test_some.py::test_{number} | c | seen {number} | {number}" for number in range(4)]
     result = run_pytest(tmp_path, FOUR_RED_TESTS, "\n".join(entries))
     assert result.returncode == 0 and "4 xfailed" in result.stdout
@@ -72,22 +72,22 @@
         assert f"XFAIL tests/test_some.py::test_{number} - seen {number} (issue {number}; c)" in result.stdout
 
 
-def test_the_fifth_failure_beside_four_entries_fails_the_run(tmp_path: Path) -> None:
-    """Listed failures do not excuse another one."""
+def test_an_unlisted_failure_fails_the_run_despite_four_entries(tmp_path: Path) -> None:
+    """Listed failures do not make the run accept an unlisted one."""
     entries = [f"tests/test_some.py::test_{number} | c | a | 1" for number in range(4)]
     result = run_pytest(tmp_path, FOUR_RED_TESTS + TESTS, "\n".join(entries))
     assert result.returncode == 1 and "1 failed, 1 passed, 4 xfailed" in result.stdout
 
 
 def test_the_entries_of_this_repository_are_valid() -> None:
-    """Each is well-formed and names a function of a test file that exists."""
+    """Each entry is well-formed and names an existing test function."""
     text = known_red.PATH.read_text() if known_red.PATH.exists() else ""
     for entry in known_red.parse(text).values():
         file, function = entry.test_id.split("::", 1)
         assert f"def {function.split('[')[0]}(" in (ROOT / file).read_text()
 
 
-def test_an_issue_and_a_command_are_kept_apart() -> None:
-    """The four fields are stripped and keep their order."""
+def test_fields_are_stripped_and_keep_their_order() -> None:
+    """The four fields are stripped of whitespace and keep their order."""
     (entry,) = known_red.parse("  a::b  |  pytest a, seed 1 | late by 2 s |  #9 \n\n").values()
     assert entry == known_red.KnownFailure("a::b", "pytest a, seed 1", "late by 2 s", "#9")
