--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -78,7 +78,7 @@
         for number in range(max(ROUNDS) + 1):
             if number:
                 discovery.members = listing(count, number).members
-                await discovery.tell()
+                await discovery.notify_watches()
             await asyncio.sleep(SETTLE_S)
             if number in ROUNDS:
                 sizes.append(resident_mb(process.pid))
--- a/example/toy.py
+++ b/example/toy.py
@@ -82,7 +82,7 @@
     async def change(self, worker: Worker, phase: str) -> None:
         """Change a worker's phase and notify the watches."""
         self.add(worker, phase)
-        await self.tell()
+        await self.notify_watches()
 
 
 async def main(config: dict[str, Any]) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -294,7 +294,7 @@
             await until(lambda: any(worker_id == first.name for _, worker_id in attempts.by_worker))
             if phase is None:
                 del here.discovery.members[first.name]
-                await here.discovery.tell()
+                await here.discovery.notify_watches()
             else:
                 await here.discovery.change(first, phase)
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -244,7 +244,7 @@
             fleet = Fleet()
             await fleet.start()
             fleet.list_at(here.discovery, 1100, pad)
-            await here.discovery.tell()
+            await here.discovery.notify_watches()
             named = {member["id"] for member in here.discovery.members.values()}
             await until(lambda: {worker.id for worker in here.program.workers.listed_endpoints()} == named)
             here.discovery.stop()
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -157,7 +157,7 @@
             "up_since_ms": up_since_ms,
         }
 
-    async def tell(self) -> None:
+    async def notify_watches(self) -> None:
         """Send the changed list to all watches, with a new revision."""
         self.revision += 1
         changed, self.changed = self.changed, asyncio.Event()
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -206,7 +206,7 @@
         self.drained[worker_id] = time.monotonic()
         if self.is_up:
             self.drain_visible_at.setdefault(worker_id, time.monotonic())
-        await self.tell()
+        await self.notify_watches()
 
     async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
         """Serve a watch until it is closed; send nothing while it is silenced."""
