--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -70,14 +70,14 @@
             self.received.append(ReceivedJob(message.headers["x-correlation-id"], time.monotonic()))
         await super().answer(message, writer)
 
-    async def run(self, call: str, body: bytes) -> None:
+    async def run(self, request_id: str, body: bytes) -> None:
         """Run one job without a line on standard output."""
-        await self.tell(call, state="started")
+        await self.send_callback(request_id, state="started")
         await asyncio.sleep(RUN_S)
-        self.jobs.pop(call, None)
-        await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
+        self.jobs.pop(request_id, None)
+        await self.send_callback(request_id, state="done", result=body.decode().upper(), load=self.load())
 
-    async def tell(self, call: str, **what: Any) -> Message:
+    async def send_callback(self, request_id: str, **what: Any) -> Message:
         """Send one call-back until it is answered.
 
         Raises:
@@ -85,7 +85,7 @@
         """
         for _ in range(CALLBACK_ATTEMPTS):
             with suppress(OSError, asyncio.IncompleteReadError):
-                return await super().tell(call, **what)
+                return await super().send_callback(request_id, **what)
             await asyncio.sleep(POLL_S)
         self.failed_callbacks += 1
         raise ConnectionError("no dispatcher answered a call-back")
--- a/example/toy.py
+++ b/example/toy.py
@@ -37,8 +37,8 @@
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Start a job (POST), cancel one (DELETE) or report the load (GET)."""
         if message.method == "POST":
-            call = message.headers["x-correlation-id"]
-            self.jobs[call] = task = asyncio.create_task(self.run(call, message.body))
+            request_id = message.headers["x-correlation-id"]
+            self.jobs[request_id] = task = asyncio.create_task(self.run(request_id, message.body))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             writer.write(write_message("HTTP/1.1 202 Accepted"))
@@ -58,17 +58,17 @@
             "pending": max(0, len(self.jobs) - SLOTS),
         }
 
-    async def run(self, call: str, body: bytes) -> None:
+    async def run(self, request_id: str, body: bytes) -> None:
         """Run one job and send its call-backs."""
-        await self.tell(call, state="started")
+        await self.send_callback(request_id, state="started")
         await asyncio.sleep(RUN_S)
-        self.jobs.pop(call, None)
-        print(f"{self.name} ran {call}", flush=True)
-        await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
+        self.jobs.pop(request_id, None)
+        print(f"{self.name} ran {request_id}", flush=True)
+        await self.send_callback(request_id, state="done", result=body.decode().upper(), load=self.load())
 
-    async def tell(self, call: str, **fields: Any) -> Message:
+    async def send_callback(self, request_id: str, **fields: Any) -> Message:
         """Send one call-back and return the dispatcher's response."""
-        body = json.dumps({"id": call, "from": self.name, **fields}).encode()
+        body = json.dumps({"id": request_id, "from": self.name, **fields}).encode()
         return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", body))
 
 
--- a/tests/site.py
+++ b/tests/site.py
@@ -43,7 +43,7 @@
 
     async def run(self, request_id: str, body: bytes) -> None:
         """Complete a job immediately."""
-        await self.tell(request_id, state="done", result=body.decode().upper())
+        await self.send_callback(request_id, state="done", result=body.decode().upper())
 
     async def accept(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """A script that accepts a job and sends no call-back."""
@@ -54,7 +54,7 @@
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(ACCEPTED)
-            await self.tell(message.headers["x-correlation-id"], state="done", result=result)
+            await self.send_callback(message.headers["x-correlation-id"], state="done", result=result)
 
         return script
 
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -96,7 +96,7 @@
                         )
                     )
                     writer.write(OVERLOADED)
-                await worker.tell(call, state="done", result="one")
+                await worker.send_callback(call, state="done", result="one")
 
             worker.script = twice
             assert (await here.post("c1")).body == b"one"
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -306,7 +306,7 @@
             await worker.until("POST")
             second = await here.post("c2")
             assert (second.start.split()[1], second.headers["retry-after"]) == ("503", "2.000")
-            await worker.tell("c1", state="done", result="ok")
+            await worker.send_callback("c1", state="done", result="ok")
             assert (await first).body == b"ok"
 
     play(scenario())
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -219,7 +219,7 @@
             async def later(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(ACCEPTED)
                 await may_finish.wait()
-                await worker.tell(message.headers["x-correlation-id"], state="done", result="late")
+                await worker.send_callback(message.headers["x-correlation-id"], state="done", result="late")
 
             worker.script = later
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -41,7 +41,7 @@
             await worker.until("POST", "POST")
             await until(lambda: here.program.phase is Phase.CLOSING)
             for call in ("c1", "c2"):
-                await worker.tell(call, state="done", result=call)
+                await worker.send_callback(call, state="done", result=call)
             for call, answer in (("c1", await open_request), ("c2", await late)):
                 assert (answer.body.decode(), answer.headers["connection"]) == (call, "close")
             await ending
@@ -120,7 +120,7 @@
             await newer.change(next(worker for worker in here.workers if worker is not busy), "DRAINING")
             await until(lambda: here.program.discovery.revision == 8)
             assert here.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
-            await busy.tell("c1", state="done", result="kept")
+            await busy.send_callback("c1", state="done", result="kept")
             assert (await open_request).body == b"kept"
             if ending is not None:
                 await ending
@@ -162,7 +162,7 @@
             for (call, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
                 worker = next(worker for worker in here.workers if worker.name == attempt.worker_id)
                 worker.script = None
-                await worker.tell(call, state="lost")
+                await worker.send_callback(call, state="lost")
             assert [(await answer).start.split()[1] for answer in answers] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
                 for worker in here.workers:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -39,7 +39,7 @@
             job_reader, job_writer = await asyncio.open_connection("127.0.0.1", port)
             job_writer.write(job("c1"))
             await until(lambda: len(older.coordinator.attempts) == 1)
-            await worker.tell("c1", state="started")
+            await worker.send_callback("c1", state="started")
             async with newer_process(here) as newer:
                 assert newer.service.is_ready() and older.phase is Phase.MIGRATING
                 assert newer.coordinator.bans == {"w0"} and newer.server.context.peer_request_ids == {"c1"}
@@ -53,7 +53,7 @@
                     assert (await read_message(reader)).body == b"TEXT"
                 ending = asyncio.create_task(older.shut_down())
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
-                await worker.tell("c1", state="done", result="kept")
+                await worker.send_callback("c1", state="done", result="kept")
                 assert (await read_message(job_reader)).body == b"kept"
                 assert older.counters.counts["attempts_ok"] == 1
                 job_writer.write(job("d9"))
@@ -89,12 +89,12 @@
             await until(lambda: len(worker.methods()) == 2)
             async with newer_process(here) as newer:
                 for _ in range(2):
-                    await worker.tell("c0", state="done", result="early")
+                    await worker.send_callback("c0", state="done", result="early")
                 assert (await answers[0]).body == b"early"
                 assert older.counters.counts["attempts_ok"] == 1
                 gate.set()
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
-                await worker.tell("c1", state="done", result="late")
+                await worker.send_callback("c1", state="done", result="late")
                 assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
                 # A callback that matches at neither process comes back once, after the earlier messages.
                 assert newer.counters.counts["hot_restart_callbacks"] == 1
@@ -116,7 +116,7 @@
             )
             async with newer_process(here) as newer:
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
-                await first_worker.tell("c1", state="lost")
+                await first_worker.send_callback("c1", state="lost")
                 await until(lambda: sum(len(worker.methods()) for worker in here.workers) == 2)
                 last_worker = next(
                     worker
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -110,7 +110,7 @@
             async with start(tmp_path, second, "file", discovery) as other:
                 await wait_until_serving(other)
                 assert process.returncode is None
-                await worker.tell("c1", state="done", result="late")
+                await worker.send_callback("c1", state="done", result="late")
                 assert (await waiting).body == b"late" and await process.wait() == 0
                 await until_healthy(second)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -56,7 +56,7 @@
             await until(lambda: here.program.server.context.is_rejecting)
             late = await here.post("late")
             assert (late.start.split()[1], late.headers["connection"]) == ("503", "close")
-            await worker.tell("c1", state="done", result="kept")
+            await worker.send_callback("c1", state="done", result="kept")
             assert ((answer := await open_request).body, answer.headers["connection"]) == (b"kept", "close")
             assert await here.operate("in-service") == await here.health() == 200
             worker.script = None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -179,7 +179,7 @@
                 stranger = Scripted("stranger", here.address)
                 for sender, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
                     call = message.headers["x-correlation-id"]
-                    answer = await sender.tell(call, state="done", result=result)
+                    answer = await sender.send_callback(call, state="done", result=result)
                     assert answer.start.split()[1] == "204"
                 writer.write(ACCEPTED)
                 reported.set()
@@ -227,9 +227,9 @@
                     other.script = None
                 call = message.headers["x-correlation-id"]
                 if begun:
-                    await worker.tell(call, state="started")
+                    await worker.send_callback(call, state="started")
                     await until(lambda: here.program.counters.counts["worker_responses_missing"])
-                    await worker.tell(call, state="done", result="late")
+                    await worker.send_callback(call, state="done", result="late")
                 await asyncio.sleep(3600)
 
             for worker in here.workers:
@@ -364,7 +364,7 @@
                     return
                 used.add(writer)
                 writer.write(ACCEPTED)
-                await worker.tell(message.headers["x-correlation-id"], state="done", result="ok")
+                await worker.send_callback(message.headers["x-correlation-id"], state="done", result="ok")
 
             worker.script = once
             for number in range(6):
