--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -48,7 +48,7 @@
         "listen": "127.0.0.1:0",
         "mgmt": None,
         "discovery": discovery.address,
-        "known": discovery.told(),
+        "known": discovery.list_document(),
     }
     path = Path(folder) / "config.json"
     path.write_text(json.dumps(document))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -249,7 +249,7 @@
         document |= {
             "listen": self.address,
             "discovery": self.discovery.address,
-            "known": self.discovery.told(),
+            "known": self.discovery.list_document(),
         }
         self.config.write_text(json.dumps(document))
 
--- a/tests/site.py
+++ b/tests/site.py
@@ -165,7 +165,7 @@
     for worker in fleet:
         await worker.start()
         toy_discovery.add(worker)
-    config_document["known"] = toy_discovery.told()
+    config_document["known"] = toy_discovery.list_document()
     program = DispatcherProcess(read({}, config_document))
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -31,7 +31,7 @@
         "listen": in_file,
         "mgmt": f"127.0.0.1:{free_port()}",
         "discovery": discovery.address,
-        "known": discovery.told(),
+        "known": discovery.list_document(),
     }
     path.write_text(json.dumps(contents))
     variables = {"GW_CONFIG": str(path)} | ({} if by == "file" else {"GW_LISTEN": listen})
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -303,7 +303,12 @@
     await fleet.start()
     await discovery.start()
     fleet.list_at(discovery, workers)
-    contents |= {"listen": listen, "mgmt": None, "discovery": discovery.address, "known": discovery.told()}
+    contents |= {
+        "listen": listen,
+        "mgmt": None,
+        "discovery": discovery.address,
+        "known": discovery.list_document(),
+    }
     contents["settings"]["services"][0] |= {
         "aim_ns": 20 * SECOND,
         "give_up_ns": 30 * SECOND,
--- a/weldquay/lab/scale/discovery.py
+++ b/weldquay/lab/scale/discovery.py
@@ -53,7 +53,7 @@
         since = int(message.target.rpartition("since=")[2] or 0)
         if not self.log or since < self.log[0][0] - 1:
             if self.full[0] != self.revision:
-                self.full = self.revision, json.dumps(self.told()).encode()
+                self.full = self.revision, json.dumps(self.list_document()).encode()
             since = self._line(side, "lists", writer, self.full)
         while not writer.is_closing():
             changed = self.changed
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -163,7 +163,7 @@
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def told(self, caller: int = 0) -> dict[str, Any]:
+    def list_document(self, caller: int = 0) -> dict[str, Any]:
         """Return the complete list document with the addresses for a caller."""
         members = []
         for worker_id, member in self.members.items():
@@ -178,7 +178,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             changed = self.changed
-            write_line(writer, json.dumps(self.told(caller)).encode())
+            write_line(writer, json.dumps(self.list_document(caller)).encode())
             await self.wait_for_change(writer, changed)
 
     async def wait_for_change(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -244,7 +244,7 @@
         "discovery": discovery.address_for(number),
         "seed": f"{0x5EED + number:x}",
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": discovery.told(number),
+        "known": discovery.list_document(number),
         "settings": settings,
     }
 
--- a/weldquay/lab/soak/round.py
+++ b/weldquay/lab/soak/round.py
@@ -125,7 +125,7 @@
             "listen": self.addresses[number],
             "mgmt": None,
             "discovery": self.discovery.addresses_by_caller[number],
-            "known": self.discovery.told(number),
+            "known": self.discovery.list_document(number),
             "seed": f"{self.plan.seed + number:x}",
         }
         document["settings"] |= {"group_size": DISPATCHERS, "me": number}
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -218,7 +218,7 @@
             if started_at < self._silenced_at:
                 await asyncio.sleep(1)
                 continue
-            write_line(writer, json.dumps(self.told(caller)).encode())
+            write_line(writer, json.dumps(self.list_document(caller)).encode())
             await self._wait_for_change(writer, changed, started_at)
 
     async def _wait_for_change(
