--- a/tests/site.py
+++ b/tests/site.py
@@ -22,18 +22,18 @@
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Scripted(Worker):
+class ScriptedWorker(Worker):
     """A worker whose script handles each job; it records the messages that it receives."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__(name, dispatcher)
-        self.seen: list[Message] = []
+        self.received: list[Message] = []
         self.message_received = asyncio.Condition()
         self.script: Script | None = None
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Record the message, then run the script; without a script, serve the job."""
-        self.seen.append(message)
+        self.received.append(message)
         async with self.message_received:
             self.message_received.notify_all()
         if message.method == "POST" and self.script is not None:
@@ -49,7 +49,7 @@
         """A script that accepts a job and sends no call-back."""
         writer.write(ACCEPTED)
 
-    def telling(self, result: str) -> Script:
+    def completing_with(self, result: str) -> Script:
         """Return a script that accepts a job and completes it immediately with a result."""
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -60,7 +60,7 @@
 
     def methods(self) -> list[str]:
         """Return the methods of the received requests, except health checks."""
-        return [message.method for message in self.seen if message.method != "GET"]
+        return [message.method for message in self.received if message.method != "GET"]
 
     async def until(self, *methods: str) -> None:
         """Wait until exactly these methods have been received, in this order."""
@@ -105,7 +105,9 @@
 class Site:
     """A dispatcher with the configuration of the example, its workers and discovery."""
 
-    def __init__(self, program: DispatcherProcess, discovery: Discovery, workers: list[Scripted]) -> None:
+    def __init__(
+        self, program: DispatcherProcess, discovery: Discovery, workers: list[ScriptedWorker]
+    ) -> None:
         self.program, self.discovery, self.workers = program, discovery, workers
         self.address = f"127.0.0.1:{program.server.port}"
 
@@ -161,7 +163,7 @@
     config_document.update(
         listen="127.0.0.1:0", mgmt="127.0.0.1:0", discovery=(discovery or toy_discovery).address
     )
-    fleet = [Scripted(f"w{number}", "") for number in range(workers)]
+    fleet = [ScriptedWorker(f"w{number}", "") for number in range(workers)]
     for worker in fleet:
         await worker.start()
         toy_discovery.add(worker)
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from example.toy import Message, write_message
-from tests.site import ACCEPTED, Script, Scripted, Site, job, site, until
+from tests.site import ACCEPTED, Script, ScriptedWorker, Site, job, site, until
 from weldquay.net import attempt_runner
 
 OVERLOADED = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
@@ -108,7 +108,7 @@
     asyncio.run(scenario())
 
 
-def completion_callback(call: str, worker: Scripted, result: str) -> bytes:
+def completion_callback(call: str, worker: ScriptedWorker, result: str) -> bytes:
     """The bytes of a callback."""
     told = json.dumps({"id": call, "from": worker.name, "state": "done", "result": result}).encode()
     return write_message("POST /callback HTTP/1.1", told)
@@ -181,7 +181,7 @@
     async def scenario() -> None:
         async with site() as here:
             worker = here.workers[0]
-            worker.script = worker.telling("q" * 60_000)
+            worker.script = worker.completing_with("q" * 60_000)
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.setblocking(False)
             sock.send(job(path=path))
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -20,7 +20,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            here.workers[0].script = here.workers[0].telling("x" * 60_000)
+            here.workers[0].script = here.workers[0].completing_with("x" * 60_000)
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", here.program.server.port))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,7 +13,7 @@
 from example.toy import request, write_message
 from tests.failing_discovery import Failing, revision_then_reset
 from tests.processes import free_port, wait_until_serving
-from tests.site import Scripted, document, job
+from tests.site import ScriptedWorker, document, job
 from weldquay.lab.site import reserve
 from weldquay.limits import MIN_SOCKETS
 
@@ -30,7 +30,7 @@
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
-        worker, failing = Scripted("w0", listen), Failing(revision_then_reset, 1)
+        worker, failing = ScriptedWorker("w0", listen), Failing(revision_then_reset, 1)
         await worker.start()
         await failing.start()
         failing.address_told = worker.address
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -57,7 +57,7 @@
                     )
                 except (asyncio.IncompleteReadError, ConnectionResetError):
                     # Closed before the request was read: the client can retry it, as no worker received it.
-                    seen = [message.headers.get("x-correlation-id") for message in here.workers[0].seen]
+                    seen = [message.headers.get("x-correlation-id") for message in here.workers[0].received]
                     assert fraction >= 0.5 and f"c{number}" not in seen
             await ending
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -39,7 +39,7 @@
         async with site() as here:
             answer = await request(here.address, job_request("c1", target))
             assert answer.status == 200
-            (job,) = jobs(here.workers[0].seen)
+            (job,) = jobs(here.workers[0].received)
             assert job.start == f"POST {target} HTTP/1.1"
             assert job.body == b'{"route": [1, 2, 3]}'
             assert job.headers["x-correlation-id"] == "c1"
@@ -61,7 +61,7 @@
                 worker.script = return_unstarted
             answer = await request(here.address, job_request("c2", "/lookup/a"))
             assert answer.status in (429, 503)
-            attempts = [job for worker in here.workers for job in jobs(worker.seen)]
+            attempts = [job for worker in here.workers for job in jobs(worker.received)]
             assert len(attempts) >= 2, "both workers returned it, so it was sent to both"
             assert {job.headers.get("idempotency-key") for job in attempts} == {IDEMPOTENCY_KEY}
             assert {job.body for job in attempts} == {b'{"route": [1, 2, 3]}'}
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -11,7 +11,7 @@
 
 from example.toy import Message
 from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
-from tests.site import Scripted, Site, site, until
+from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
 KEYED: list[dict[str, Any]] = [
@@ -87,17 +87,17 @@
     asyncio.run(scenario())
 
 
-OnDelete = Callable[[Scripted, asyncio.StreamWriter], Awaitable[bool]]
+OnDelete = Callable[[ScriptedWorker, asyncio.StreamWriter], Awaitable[bool]]
 
 
-def cut_first_attempt(here: Site, on_delete: OnDelete) -> list[Scripted]:
+def cut_first_attempt(here: Site, on_delete: OnDelete) -> list[ScriptedWorker]:
     """Reset the first POST, have the retry go to another worker, and return the receivers of POSTs.
 
     on_delete: handles a DELETE; True if the worker is to respond to it.
     """
-    posts = list[Scripted]()
+    posts = list[ScriptedWorker]()
 
-    def play(worker: Scripted) -> None:
+    def play(worker: ScriptedWorker) -> None:
         answer = worker.answer
 
         async def take(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -125,7 +125,7 @@
         async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as here:
             gate = asyncio.Event()
 
-            async def wait(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
+            async def wait(_worker: ScriptedWorker, _writer: asyncio.StreamWriter) -> bool:
                 return await gate.wait()
 
             posts = cut_first_attempt(here, wait)
@@ -185,9 +185,9 @@
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as here:
-            deletes = list[Scripted]()
+            deletes = list[ScriptedWorker]()
 
-            async def lose(worker: Scripted, writer: asyncio.StreamWriter) -> bool:
+            async def lose(worker: ScriptedWorker, writer: asyncio.StreamWriter) -> bool:
                 deletes.append(worker)
                 if len(deletes) > 3:
                     return True
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -29,7 +29,7 @@
 
 def return_large_results(here: Site) -> None:
     """The worker returns large results, and the dispatcher has small send buffers."""
-    here.workers[0].script = here.workers[0].telling(LARGE_RESULT)
+    here.workers[0].script = here.workers[0].completing_with(LARGE_RESULT)
     assert here.program.server.server is not None
     for sock in here.program.server.server.sockets:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -15,7 +15,7 @@
 
 from example.toy import Discovery, request, write_message
 from tests.processes import free_port, wait_until_serving
-from tests.site import Scripted, document, job
+from tests.site import ScriptedWorker, document, job
 
 TIMEOUT_S = 30.0
 
@@ -49,9 +49,9 @@
 @asynccontextmanager
 async def first_process(
     folder: Path, listen: str, by: str
-) -> AsyncIterator[tuple[asyncio.subprocess.Process, Discovery, Scripted]]:
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, Discovery, ScriptedWorker]]:
     """A dispatcher with a worker, and its discovery."""
-    discovery, worker = Discovery(), Scripted("w0", listen)
+    discovery, worker = Discovery(), ScriptedWorker("w0", listen)
     await discovery.start()
     await worker.start()
     discovery.add(worker)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -88,7 +88,7 @@
                 await until(lambda: here.program.discovery.revision == here.discovery.revision)
                 for number in range(4):
                     assert (await here.post(f"{phase}{number}")).body == b"TEXT"
-            assert first.seen == [] and second.methods() == ["POST"] * 8
+            assert first.received == [] and second.methods() == ["POST"] * 8
             assert BanList("toy-dispatcher").read() == {"w0"}
             second.script = second.accept
             assert await here.operate("match-workers/w0/online") == 200
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 import pytest
 
 from example.toy import Message, write_message
-from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
+from tests.site import ACCEPTED, Script, ScriptedWorker, job, play, site, until
 from weldquay.net import attempt_runner, endpoint_list_adapter
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 from weldquay.net.worker_connection import WorkerConnection
@@ -51,7 +51,7 @@
         async with site() as here:
             answer = await here.post("id-7")
             assert (answer.start.split()[1], answer.body) == ("200", b"TEXT")
-            (seen,) = [message for message in here.workers[0].seen if message.method == "POST"]
+            (seen,) = [message for message in here.workers[0].received if message.method == "POST"]
             assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
                 b"text",
@@ -176,7 +176,7 @@
             worker, reported = here.workers[0], asyncio.Event()
 
             async def early(message: Message, writer: asyncio.StreamWriter) -> None:
-                stranger = Scripted("stranger", here.address)
+                stranger = ScriptedWorker("stranger", here.address)
                 for sender, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
                     call = message.headers["x-correlation-id"]
                     answer = await sender.send_callback(call, state="done", result=result)
@@ -204,7 +204,7 @@
             await here.workers[0].until("POST")
             writer.close()
             await here.workers[0].until("POST", "DELETE")
-            assert here.workers[0].seen[-1].target == "/jobs/c1"
+            assert here.workers[0].received[-1].target == "/jobs/c1"
             assert here.program.counters.counts["clients_disconnected"] == 1
 
     play(scenario())
@@ -218,10 +218,10 @@
 
     async def scenario() -> None:
         async with site(workers=2) as here:
-            first: list[Scripted] = []
+            first: list[ScriptedWorker] = []
 
             async def silent(message: Message, _writer: asyncio.StreamWriter) -> None:
-                worker = next(candidate for candidate in here.workers if message in candidate.seen)
+                worker = next(candidate for candidate in here.workers if message in candidate.received)
                 first.append(worker)
                 for other in here.workers:
                     other.script = None
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -21,7 +21,7 @@
 from tests.helpers import MS, SECOND, Drive, sends, settings
 from tests.newer_process import newer_process
 from tests.processes import free_port, wait_until_serving
-from tests.site import ACCEPTED, Scripted, document, site, until
+from tests.site import ACCEPTED, ScriptedWorker, document, site, until
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
@@ -37,7 +37,7 @@
 READY, GONE = api.WorkerState.READY, api.WorkerState.GONE
 
 
-class Fleet(Scripted):
+class Fleet(ScriptedWorker):
     """Any number of workers in one server; the address of a request selects the worker."""
 
     def __init__(self, dispatcher: str = "") -> None:
@@ -152,10 +152,10 @@
             accepted: list[Message] = []
             answer = asyncio.Event()
 
-            async def hold(worker: Scripted, message: Message, writer: asyncio.StreamWriter) -> None:
+            async def hold(worker: ScriptedWorker, message: Message, writer: asyncio.StreamWriter) -> None:
                 accepted.append(message)
                 await answer.wait()
-                await worker.telling("late")(message, writer)
+                await worker.completing_with("late")(message, writer)
 
             for worker in here.workers:
                 worker.script = partial(hold, worker)
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -182,7 +182,7 @@
             posts = [
                 message.headers["x-correlation-id"]
                 for worker in here.workers
-                for message in worker.seen
+                for message in worker.received
                 if message.method == "POST"
             ]
             assert len(posts) == len(set(posts)) == 12
