--- a/tests/site.py
+++ b/tests/site.py
@@ -190,6 +190,6 @@
     )
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Run a scenario in an event loop of its own."""
     asyncio.run(scenario)
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -9,7 +9,7 @@
 import pytest
 
 from example.toy import read_message, request, write_message
-from tests.site import job, play, site, until
+from tests.site import job, run_scenario, site, until
 from weldquay.net import client_server, connection_table, http_channel
 from weldquay.net import dispatcher_process as program
 from weldquay.net.connection_state import ConnectionState
@@ -35,7 +35,7 @@
 
     monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.1)
-    play(scenario())
+    run_scenario(scenario())
 
 
 HEAD = b"POST /lookup HTTP/1.1\r\nHost: a\r\n"
@@ -94,7 +94,7 @@
             assert here.program.counters.counts["requests"] == statuses.count("200")
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 PARTIAL_REQUESTS = [b"", b"POST /loo", HEAD, HEAD + b"X-Correlation-Id: a\r\nContent-Length: 9\r\n\r\nhalf"]
@@ -123,7 +123,7 @@
             writer.close()
 
     monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_that_arrived_while_the_process_stood_still_is_answered() -> None:
@@ -143,7 +143,7 @@
             assert (await read_message(reader)).status == 200
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_sends_without_end_is_rejected_all_the_same() -> None:
@@ -164,7 +164,7 @@
             assert (await read_message(reader)).status == 408
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def send_megabytes(writer: asyncio.StreamWriter, count: int) -> None:
@@ -186,7 +186,7 @@
                 await send_megabytes(writer, 60)
             assert not here.program.server.connections
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_many_idle_connections_block_neither_requests_nor_callbacks() -> None:
@@ -209,7 +209,7 @@
             for _, other_writer in [*others, (reader, writer)]:
                 other_writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_that_arrives_in_pieces_is_evicted_after_silent_ones() -> None:
@@ -231,7 +231,7 @@
             for _, other_writer in [*others, (reader, writer)]:
                 other_writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_idle_connection_with_an_unread_request_is_not_evicted() -> None:
@@ -254,7 +254,7 @@
             assert not idle.has_unread_data() and server.table.evict_one()
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_few_connections_are_accepted_in_one_turn_of_the_loop() -> None:
@@ -272,7 +272,7 @@
             for sock in others:
                 sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_malformed_input_does_not_affect_another_connection() -> None:
@@ -292,7 +292,7 @@
                 assert (await read_message(reader)).body == b"TEXT"
             assert http_channel.MAX_HEAD_BYTES < 20_000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_above_the_limit_are_rejected_at_once() -> None:
@@ -309,4 +309,4 @@
             await worker.send_callback("c1", state="done", result="ok")
             assert (await first).body == b"ok"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -13,7 +13,7 @@
 import pytest
 
 from example.toy import Discovery, Message, Server, read_message, request, write_message
-from tests.site import document, job, play, site, until
+from tests.site import document, job, run_scenario, site, until
 from weldquay.net import dispatcher_process as program
 from weldquay.net.lifecycle import Phase
 
@@ -48,7 +48,7 @@
             assert here.program.phase is Phase.STOPPED
 
     monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_shutdown_keeps_client_connections_for_a_while() -> None:
@@ -67,7 +67,7 @@
             writer.close()
             await ending
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("path", "status"), [("/lookup", "503"), ("/import", "502")])
@@ -87,7 +87,7 @@
 
     monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     monkeypatch.setattr(program, "MAX_CLIENT_TIMEOUT_S", 0.0)
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("is_draining", [False, True])
@@ -130,7 +130,7 @@
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
     monkeypatch.setenv("GW_DISCOVERY", "127.0.0.1:1")  # a reload does not use the variable of the start
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_settings_change_while_requests_are_open(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -171,7 +171,7 @@
 
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_signals_of_a_system_process(tmp_path: Any) -> None:
@@ -215,4 +215,4 @@
                         os.kill(process.pid, signal.SIGHUP)
             assert b"counters {" in last_lines and await process.wait() == 0
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 import pytest
 
 from example.toy import Message, write_message
-from tests.site import ACCEPTED, Script, ScriptedWorker, job, play, site, until
+from tests.site import ACCEPTED, Script, ScriptedWorker, job, run_scenario, site, until
 from weldquay.net import attempt_runner, endpoint_list_adapter
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 from weldquay.net.worker_connection import WorkerConnection
@@ -59,7 +59,7 @@
             )
             assert 4000 < int(seen.headers["x-time-left-ms"]) <= 5000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
             assert answer.start.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
             assert answer.start.split()[1] == ("200" if posts == 2 else "502")
             assert sum(worker.methods().count("POST") for worker in here.workers) == posts
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def stall(duration_s: float) -> None:
@@ -152,7 +152,7 @@
             assert here.workers[1].methods() == ["POST"] * 4
             assert here.program.counters.counts["worker_connections_failed"] >= 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_rejection_has_retry_after() -> None:
@@ -165,7 +165,7 @@
             assert answer.start.split()[1] == "503"
             assert 0 < float(answer.headers["retry-after"]) <= 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_callback_counts_once_and_only_from_worker_of_attempt() -> None:
@@ -190,7 +190,7 @@
             assert here.program.counters.counts["attempts_ok"] == 1
             assert here.program.counters.counts["callbacks_unmatched"] == 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_client_disconnection_cancels_attempts() -> None:
@@ -207,7 +207,7 @@
             assert here.workers[0].received[-1].target == "/jobs/c1"
             assert here.program.counters.counts["clients_disconnected"] == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("begun", [False, True])
@@ -239,7 +239,7 @@
             await until(lambda: first[0].methods()[:2] == reported)  # it may be drawn again
 
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_after_stall_decision_step_answers_before_overdue_timer() -> None:
@@ -254,7 +254,7 @@
             assert (await answer).start.split()[1] == "503"
             assert not here.program.counters.counts["requests_past_deadline"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_draining_worker_gets_no_new_attempts() -> None:
@@ -268,7 +268,7 @@
                 await here.post(f"c{number}")
             assert here.workers[0].methods() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", None])
@@ -302,7 +302,7 @@
             assert {(await answer).start.split()[1] for answer in answers} == {"200"}
             assert first.methods() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_departed_workers_are_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -332,7 +332,7 @@
 
     monkeypatch.setattr(worker_table, "MAX_DEPARTED", 2)
     monkeypatch.setattr(endpoint_list_adapter, "MAX_DEPARTED", 2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_closed_by_worker_is_not_reused() -> None:
@@ -347,7 +347,7 @@
                     await writer.wait_closed()
             assert here.program.counters.counts["attempts_reset"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_non_idempotent_job_uses_new_connection() -> None:
@@ -373,7 +373,7 @@
                 len(next(iter(here.program.workers.workers.values())).idle_connections) <= MAX_IDLE_PER_WORKER
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_worker_has_one_attempt_of_request_at_a_time() -> None:
@@ -391,4 +391,4 @@
             assert (await here.post()).body == b"TEXT"
             assert worker.methods() == ["POST", "DELETE", "POST"]
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from example.toy import Message, Server, write_message
-from tests.site import play, site, until
+from tests.site import run_scenario, site, until
 from weldquay.net import discovery_client
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
@@ -57,4 +57,4 @@
 
     for name, limit_s in limits.items():
         monkeypatch.setattr(discovery_client, name, limit_s)
-    play(scenario())
+    run_scenario(scenario())
