--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -71,7 +71,7 @@
         data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
-                await pool.ask(data)
+                await pool.send_request(data)
                 break
             except (OSError, asyncio.IncompleteReadError):  # its connection made room for another
                 await asyncio.sleep(CALLBACK_RETRY_S)
@@ -328,7 +328,7 @@
         pool = Pool(listen)
         for call in range(calls):
             head = f"X-Correlation-Id: c{number}-{call}", "X-Time-Left-Ms: 30000"
-            answer = await pool.ask(write_message("POST /lookup/a HTTP/1.1", body, *head))
+            answer = await pool.send_request(write_message("POST /lookup/a HTTP/1.1", body, *head))
             answers[answer.status] += 1
             max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
         pool.close()
--- a/weldquay/lab/http.py
+++ b/weldquay/lab/http.py
@@ -69,7 +69,7 @@
         self.port = int(port)
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def ask(self, data: bytes) -> Message:
+    async def send_request(self, data: bytes) -> Message:
         """Send a request and return the response; repeat it if a reused connection was closed."""
         while self.idle:
             reused = self.idle.pop()
--- a/weldquay/lab/scale/counts.py
+++ b/weldquay/lab/scale/counts.py
@@ -85,11 +85,11 @@
         local = (self.source, 0) if self.source else None
         return await asyncio.open_connection(self.host, self.port, local_addr=local)
 
-    async def ask(self, data: bytes) -> Message:
+    async def send_request(self, data: bytes) -> Message:
         """Send a request and read its answer; both count under the kind of request."""
         name = kind_of(data)
         self.tally.note(self.side, name, len(data))
-        answer = await super().ask(data)
+        answer = await super().send_request(data)
         self.tally.more(self.side, name, size_of(answer))
         while len(self.idle) > MAX_IDLE:
             self.idle.pop(0)[1].transport.abort()
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -158,7 +158,7 @@
 
     async def _probe(self, name: str, address: str) -> None:
         try:
-            answer = await self._pool(address).ask(
+            answer = await self._pool(address).send_request(
                 b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % address.encode()
             )
             self._hear(name, json.loads(answer.body))
@@ -213,7 +213,7 @@
         left_ns = begun_ns + CLIENT_TIMEOUT_NS - time.monotonic_ns()
         lines = [b"POST %s HTTP/1.1" % job.target]
         lines += [b"%s: %s" % pair for pair in job_headers(call, job, left_ns, address)]
-        answer = await self._pool(address).ask(b"\r\n".join([*lines, b"", body]))
+        answer = await self._pool(address).send_request(b"\r\n".join([*lines, b"", body]))
         return answer.status == 202
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -77,7 +77,7 @@
         data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
-                answer = await self.pools[number].ask(data)
+                answer = await self.pools[number].send_request(data)
         except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
             self.tally["lost"] += 1
             return
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -110,7 +110,7 @@
         data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                if (await self.pool(caller).ask(data)).status in (200, 204):
+                if (await self.pool(caller).send_request(data)).status in (200, 204):
                     return
             await asyncio.sleep(CALLBACK_RETRY_S)
         self.unanswered_callbacks += 1
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -158,7 +158,7 @@
         facts = {"slots": arrival.slots, "memory": round(arrival.memory, 6)}
         body = json.dumps({"work_ns": arrival.work_ns, **facts}).encode()
         hint = [] if arrival.hint_ns is None else [f"X-Weight-Hint: {arrival.hint_ns // 1000}"]
-        return await self.pools[arrival.dispatcher].ask(
+        return await self.pools[arrival.dispatcher].send_request(
             write_message(
                 f"POST /{job_class.name}/run HTTP/1.1",
                 body,
