--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from tests.failing_discovery import Failing, revision_then_reset
 from tests.processes import free_port, wait_until_serving
 from tests.site import ScriptedWorker, document, job
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.limits import MIN_SOCKETS
 
 IDLE_CLIENTS = MIN_SOCKETS + 60  # more than there are descriptors
@@ -65,7 +65,7 @@
                 await wait_until_serving(process)
                 assert (await request(listen, job("c0"))).body == b"TEXT"  # with the configuration's list
                 failing.stop()
-                down, _ = reserve(address)
+                down, _ = reserve_address(address)
                 host, number = listen.split(":")
                 for _ in range(IDLE_CLIENTS):
                     idle_clients.append(socket.create_connection((host, int(number))))
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -21,7 +21,7 @@
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, MAX_UNOBSERVED_NS
 from weldquay.interface import DiscoveryFailure
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net.config import Address
 from weldquay.net.discovery_client import CONNECT_TIMEOUT_S, SAMPLED_FAILURES
 from weldquay.net.reachability_sampler import SAMPLE_INTERVAL_S, SAMPLE_TIMEOUT_S
@@ -207,7 +207,7 @@
         await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
         address = here.discovery.address
         here.discovery.stop()
-        bound, _ = reserve(address)
+        bound, _ = reserve_address(address)
         with bound:
             await until(lambda: here.program.counters.counts["discovery_polls_refused"])
             yield here, address
@@ -216,7 +216,7 @@
 async def open_for_a_moment(address: str, seconds: float) -> None:
     """Have a discovery accept connections at the address for a time."""
     moment = Unanswering()
-    sock, _ = reserve(address)
+    sock, _ = reserve_address(address)
     await moment.start_on(sock)
     await asyncio.sleep(seconds)
     moment.stop()
@@ -271,7 +271,7 @@
 
     async def scenario() -> None:
         async with site_in_an_outage() as (here, _):
-            other, other_address = reserve()
+            other, other_address = reserve_address()
             host, port = other_address.split(":")
             here.program.discovery.reconfigure(
                 replace(here.program.config, discovery=Address(host, int(port)))
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -30,7 +30,7 @@
 from weldquay import interface as api
 from weldquay.discovery.backoff import MAX_QUEUE_NS, RESPONSE_MARGIN_NS, Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net import discovery_client
 
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "discovery.md"
@@ -173,7 +173,7 @@
             failing.address_told = here.workers[0].address
             address = failing.address
             failing.stop()
-            down, _ = reserve(address)
+            down, _ = reserve_address(address)
             here.program.discovery.watch()
             await until(lambda: here.program.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(down)
--- a/tests/test_reachability_sampler.py
+++ b/tests/test_reachability_sampler.py
@@ -13,7 +13,7 @@
 from tests.site import until
 from weldquay import interface as api
 from weldquay.discovery.list_lease import MAX_UNOBSERVED_NS
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net.config import Address
 from weldquay.net.counters import Counters
 from weldquay.net.reachability_sampler import SAMPLE_TIMEOUT_S, ReachabilitySampler
@@ -39,7 +39,7 @@
 
 def test_refused_attempts_are_one_observation() -> None:
     """From the first to the last attempt; the next report goes on from there."""
-    bound, _ = reserve()
+    bound, _ = reserve_address()
 
     async def scenario(sampler: ReachabilitySampler) -> None:
         await asyncio.sleep(0.4)
@@ -55,7 +55,7 @@
 
 def test_attempt_that_comes_up_ends_the_sampling() -> None:
     """Discovery was reachable; no more attempts are made before the next update."""
-    bound, _ = reserve()
+    bound, _ = reserve_address()
     bound.listen(5)
 
     async def scenario(sampler: ReachabilitySampler) -> None:
@@ -69,7 +69,7 @@
 
 def test_attempts_that_time_out_show_that_discovery_is_unreachable() -> None:
     """A listener whose queue is full answers no SYN."""
-    bound, _ = reserve()
+    bound, _ = reserve_address()
     bound.listen(0)
     fillers = [socket.socket() for _ in range(4)]
     for filler in fillers:
@@ -87,7 +87,7 @@
 
 def test_time_in_which_nothing_was_sampled_counts_as_reachable(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process ran out of descriptors for longer than the bound, and was able to sample again later."""
-    bound, _ = reserve()
+    bound, _ = reserve_address()
     real_socket = socket.socket
     is_exhausted = False
 
@@ -112,7 +112,7 @@
 
 def test_update_starts_the_sampling_anew() -> None:
     """After a reset the next failure samples again, also where discovery was reachable before."""
-    bound, _ = reserve()
+    bound, _ = reserve_address()
     bound.listen(5)
     seen: list[int] = []
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -12,7 +12,7 @@
 from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
 from tests.newer_process import newer_process
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net import readiness
 
 
@@ -197,7 +197,7 @@
             lease = here.program.coordinator.dispatcher.lease
             address = here.discovery.address
             here.discovery.stop()
-            down, _ = reserve(address)
+            down, _ = reserve_address(address)
             await until(lambda: here.program.counters.counts["discovery_failures"])
             if has_expired:  # it was reached meanwhile, and brought no news
                 lease.poll_missed, lease.expiry_ns = True, time.monotonic_ns()
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -20,7 +20,7 @@
 from weldquay.lab.scale import proc
 from weldquay.lab.scale.child import LINE
 from weldquay.lab.scale.points import Point
-from weldquay.lab.site import ended
+from weldquay.lab.site import wait_for_exit
 
 START_S, END_S = 30.0, 25.0
 MEMORY_PART = 0.5  # of the machine's memory: a run that comes to it is ended
@@ -67,7 +67,7 @@
         """Have it end; by force where it does not."""
         assert self.process.stdin is not None
         self.process.stdin.close()
-        await ended(self.process, END_S)
+        await wait_for_exit(self.process, END_S)
 
 
 @contextlib.asynccontextmanager
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -14,7 +14,7 @@
 
 from weldquay.lab.http import Pool, write_message
 from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body, settings
-from weldquay.lab.site import Node, make_node, reserve
+from weldquay.lab.site import Node, make_node, reserve_address
 
 
 class RealDispatchers:
@@ -28,7 +28,7 @@
         self.tally: Counter[str] = Counter()
         self.took_ms: list[float] = []
         for number in range(point.real):
-            sock, address = reserve()
+            sock, address = reserve_address()
             self.held.enter_context(sock)
             document = {
                 "name": f"r{number}",
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -29,7 +29,7 @@
 ANSWER_GRACE_S = 1.0  # how long after its timeout a client still waits for a response
 
 
-def reserve(address: str = "127.0.0.1:0") -> tuple[socket.socket, str]:
+def reserve_address(address: str = "127.0.0.1:0") -> tuple[socket.socket, str]:
     """Return a bound socket that does not listen, and its address, which stays reserved while it is open.
 
     address: HOST:PORT, for example of a stopped server; port 0 is one that the system chooses.
@@ -42,7 +42,7 @@
     return sock, "{}:{}".format(*sock.getsockname())
 
 
-async def ended(process: asyncio.subprocess.Process, within_s: float) -> None:
+async def wait_for_exit(process: asyncio.subprocess.Process, within_s: float) -> None:
     """Wait for a process to exit, and kill it after a timeout."""
     try:
         async with asyncio.timeout(within_s):
@@ -92,7 +92,7 @@
         if self.process is None or self.process.returncode is not None:
             return
         self.process.send_signal(signal.SIGTERM)
-        await ended(self.process, EXIT_TIMEOUT_S)
+        await wait_for_exit(self.process, EXIT_TIMEOUT_S)
         for line in (self.folder / "log").read_text().splitlines():
             _, separator, text = line.partition(" counters {")
             if separator:
@@ -207,7 +207,7 @@
     with tempfile.TemporaryDirectory(prefix="weldquay-lab-") as folder, contextlib.ExitStack() as sockets:
         addresses = []
         for _ in range(dispatchers):
-            sock, address = reserve()
+            sock, address = reserve_address()
             sockets.enter_context(sock)
             addresses.append(address)
         discovery, workers = Discovery(), [MatchWorker(spec, addresses) for spec in specs]
--- a/weldquay/lab/soak/round.py
+++ b/weldquay/lab/soak/round.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.lab.soak.checks import Records, check
 from weldquay.lab.soak.clients import RequestOutcome, SoakClients
 from weldquay.lab.soak.plan import (
@@ -64,7 +64,7 @@
     with tempfile.TemporaryDirectory(prefix="weldquay-soak-") as folder, ExitStack() as sockets:
         addresses = []
         for _ in range(DISPATCHERS):
-            sock, address = reserve()
+            sock, address = reserve_address()
             sockets.enter_context(sock)
             addresses.append(address)
         soak_round = Round(plan, Path(folder), addresses)
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -13,7 +13,7 @@
 
 from weldquay.lab import servers
 from weldquay.lab.http import Message, Server, read_message, request, write_line, write_message
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.lab.soak.plan import WorkerFault
 
 RUN_S = 0.03  # running time of a job
@@ -175,7 +175,7 @@
     async def open(self, callers: int) -> None:
         """Listen at one address for each caller."""
         for _ in range(callers):
-            sock, address = reserve()
+            sock, address = reserve_address()
             self._reserved_sockets.append(sock)
             self.addresses_by_caller.append(address)
         await self.come_up()
@@ -184,7 +184,7 @@
         """Accept connections."""
         self.stopping = False
         for address in self.addresses_by_caller:
-            sock, _ = reserve(address)
+            sock, _ = reserve_address(address)
             await self.start_on(sock)
         self.is_up = True
         for worker_id in self.drained:
