--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -152,7 +152,7 @@
     assert {reserved.worker for reserved in drive.dispatcher.scheduler.by_request.values()} == {2}
 
 
-TROUBLES = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.vanish}
+TROUBLES = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.remove_worker}
 
 
 @pytest.mark.parametrize("trouble", list(TROUBLES))
@@ -168,7 +168,7 @@
     if trouble == "restart":
         assert not any(worker.has_failed for worker in run.fleet.workers)
     else:  # the list is updated at once in virtual time: one step may be under way
-        late = [w for at, w in run.sends if at > run.begun_ns + 4 * SECOND + 5 * MS]
+        late = [w for at, w in run.sends if at > run.start_ns + 4 * SECOND + 5 * MS]
         assert 1 not in late and len(late) > 50
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -475,13 +475,13 @@
     restarts = [Fault(2 * SECOND, partial(Simulation.restart, worker=worker)) for worker in range(1, 21)]
     run = RecordedRun(Scenario(arrivals, specs, dispatcher_settings, 3, kinds, 1, restarts))
     run.run()
-    begun_ns = run.begun_ns + 2 * SECOND
+    start_ns = run.start_ns + 2 * SECOND
     used = 0.0
     for worker in range(1, 21):
         sent = [
-            (sent_ns - begun_ns, work_ns)
+            (sent_ns - start_ns, work_ns)
             for sent_ns, number, work_ns in run.work
-            if number == worker and begun_ns <= sent_ns < begun_ns + POLICY.slow_start_ns
+            if number == worker and start_ns <= sent_ns < start_ns + POLICY.slow_start_ns
         ]
         assert sent, worker
         used += sum(work_ns for _, work_ns in sent)
--- a/weldquay/lab/virtual_time.py
+++ b/weldquay/lab/virtual_time.py
@@ -174,7 +174,7 @@
         self.scenario = scenario
         self.random = np.random.Generator(np.random.PCG64(scenario.seed))
         self.timeline = Timeline()
-        self.begun_ns = self.timeline.now_ns
+        self.start_ns = self.timeline.now_ns
         self.fleet = Fleet(scenario.specs, self.timeline, self._handle_worker_event)
         self.dispatchers = [
             Dispatcher(settings, scenario.seed * 1000 + index)
@@ -188,7 +188,7 @@
         self._send_endpoint_list(api.EndpointListKind.CACHED)
         self.clients = Clients(scenario, self.timeline, self.random, self._enqueue_event)
         for fault in scenario.faults:
-            self.timeline.schedule_at(self.begun_ns + fault.at_ns, partial(fault.apply, self))
+            self.timeline.schedule_at(self.start_ns + fault.at_ns, partial(fault.apply, self))
 
     @property
     def now_ns(self) -> int:
@@ -197,12 +197,12 @@
 
     def run(self, until_ns: int | None = None) -> SimulationResult:
         """Run until all requests are answered, or until a time that counts from the start."""
-        end_ns = None if until_ns is None else self.begun_ns + until_ns
+        end_ns = None if until_ns is None else self.start_ns + until_ns
         while self.timeline.has_action_until(end_ns):
             self.timeline.run_next()
             if end_ns is None and not self.attempts and self.clients.are_all_answered():
                 break
-        busy = self.fleet.busy_fraction(self.begun_ns)
+        busy = self.fleet.busy_fraction(self.start_ns)
         return SimulationResult(self.clients.records, self.counts, busy, self.fleet.starts_by_job())
 
     # --- dispatchers ---
@@ -348,7 +348,7 @@
             self._end_attempt(self.attempts_by_job[job.id], api.Outcome.RESET)
         self._send_endpoint_list()
 
-    def vanish(self, worker: int) -> None:
+    def remove_worker(self, worker: int) -> None:
         """Stop a worker permanently; its connections are reset, and the list changes immediately."""
         self.restart(worker)
         self.fleet.mark_gone(worker)
