--- a/tests/failing_discovery.py
+++ b/tests/failing_discovery.py
@@ -14,7 +14,7 @@
 from weldquay.discovery import backoff, list_lease
 from weldquay.net import discovery_client
 
-Manner = Callable[[asyncio.StreamWriter, str], Awaitable[None]]
+FailureMode = Callable[[asyncio.StreamWriter, str], Awaitable[None]]
 
 
 def chunk(data: bytes) -> bytes:
@@ -32,7 +32,7 @@
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-async def mute(writer: asyncio.StreamWriter, _address: str) -> None:
+async def no_response(writer: asyncio.StreamWriter, _address: str) -> None:
     """Send nothing and keep the connection open."""
 
 
@@ -79,29 +79,29 @@
     writer.write(b"\x00\x01\x02\r\n\r\n")
 
 
-class Failing(Server):
+class FailingDiscovery(Server):
     """Discovery whose first polls fail; later ones get a list with a draining worker."""
 
-    def __init__(self, manner: Manner, failures: int) -> None:
+    def __init__(self, failure_mode: FailureMode, failures: int) -> None:
         super().__init__()
-        self.manner = manner
-        self.left = failures  # number of polls that still fail
-        self.address_told = "127.0.0.1:1"  # address of the worker in the list
-        self.asked: list[float] = []  # monotonic times of the polls (s)
+        self.failure_mode = failure_mode
+        self.failures_left = failures  # number of polls that still fail
+        self.worker_address = "127.0.0.1:1"  # address of the worker in the list
+        self.poll_times: list[float] = []  # monotonic times of the polls (s)
         self.targets: list[str] = []
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Fail, or send the list."""
-        self.asked.append(time.monotonic())
+        self.poll_times.append(time.monotonic())
         self.targets.append(message.target)
-        self.left -= 1
-        if self.left >= 0:
-            await self.manner(writer, self.address_told)
+        self.failures_left -= 1
+        if self.failures_left >= 0:
+            await self.failure_mode(writer, self.worker_address)
         else:
-            writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "DRAINING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, "DRAINING", self.worker_address) + b"\n"))
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
+def reduce_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reduce the times of the discovery client and of the lease to a tenth."""
     for name in (
         "MIN_REFUSED_DELAY_NS",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from example.toy import request, write_message
-from tests.failing_discovery import Failing, revision_then_reset
+from tests.failing_discovery import FailingDiscovery, revision_then_reset
 from tests.processes import free_port, wait_until_serving
 from tests.site import ScriptedWorker, document, job
 from weldquay.lab.site import reserve_address
@@ -30,10 +30,10 @@
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
-        worker, failing = ScriptedWorker("w0", listen), Failing(revision_then_reset, 1)
+        worker, failing = ScriptedWorker("w0", listen), FailingDiscovery(revision_then_reset, 1)
         await worker.start()
         await failing.start()
-        failing.address_told = worker.address
+        failing.worker_address = worker.address
         address = failing.address
         path = tmp_path / "config.json"
         config = document()
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -11,17 +11,17 @@
 import pytest
 
 from tests.failing_discovery import (
-    Failing,
-    Manner,
+    FailingDiscovery,
+    FailureMode,
     busy,
     empty_response,
     endless_value,
     garbage,
     half_value,
     head_only,
-    hurry,
-    mute,
+    no_response,
     older_revision,
+    reduce_timeouts,
     reset,
     revision_then_reset,
 )
@@ -113,11 +113,11 @@
 
 
 @pytest.mark.parametrize(
-    "manner",
+    "failure_mode",
     [
         reset,
         busy,
-        mute,
+        no_response,
         head_only,
         half_value,
         endless_value,
@@ -129,19 +129,19 @@
 )
 @pytest.mark.parametrize("dispatcher_count", [3, 200])
 def test_a_drain_is_applied_after_failed_polls(
-    manner: Manner, dispatcher_count: int, monkeypatch: pytest.MonkeyPatch
+    failure_mode: FailureMode, dispatcher_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two polls fail; the time from the second to the third, with all times at a tenth."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        failing = Failing(manner, 2)
+        failing = FailingDiscovery(failure_mode, 2)
         async with site(discovery=failing, group_size=dispatcher_count) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             await drain_applied(here)
             # 0.4 s by the page's table; the rest is for a busy machine.
-            assert failing.asked[2] - failing.asked[1] < 2
-            if manner is older_revision:
+            assert failing.poll_times[2] - failing.poll_times[1] < 2
+            if failure_mode is older_revision:
                 assert failing.targets[2].endswith("since=0")
 
     asyncio.run(scenario())
@@ -149,12 +149,12 @@
 
 def test_a_poll_that_hangs_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """Discovery would respond to a new one at once."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        failing = Failing(mute, 1)
+        failing = FailingDiscovery(no_response, 1)
         async with site(discovery=failing, group_size=3) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             begun = time.monotonic()
             await drain_applied(here)
             assert time.monotonic() - begun < 2  # 0.3 s by the page's table
@@ -165,12 +165,12 @@
 
 def test_discovery_is_polled_soon_after_an_outage(monkeypatch: pytest.MonkeyPatch) -> None:
     """The delay does not depend on the length of the outage."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        failing = Failing(mute, 0)
+        failing = FailingDiscovery(no_response, 0)
         async with site(discovery=failing, group_size=200) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             address = failing.address
             failing.stop()
             down, _ = reserve_address(address)
@@ -186,15 +186,15 @@
 
 def test_a_change_of_address_abandons_a_poll_that_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
     """The new address is polled at once for its complete list, and no pending delay replaces that watch."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        old = Failing(mute, 99)
-        new = Failing(mute, 0)
+        old = FailingDiscovery(no_response, 99)
+        new = FailingDiscovery(no_response, 0)
         await new.start()
         async with site(discovery=old, group_size=3) as here:
-            new.address_told = here.workers[0].address
-            await until(lambda: old.asked)
+            new.worker_address = here.workers[0].address
+            await until(lambda: old.poll_times)
             host, port = new.address.split(":")
             config = here.program.config
             moved = replace(config, discovery=type(config.discovery)(host, int(port)))
@@ -202,7 +202,7 @@
             await drain_applied(here)
             begun = time.monotonic()
             await until(lambda: time.monotonic() - begun > 0.5)
-            assert len(new.asked) <= 4 and new.targets[0].endswith("since=0")
+            assert len(new.poll_times) <= 4 and new.targets[0].endswith("since=0")
         new.stop()
 
     asyncio.run(scenario())
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -10,7 +10,7 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.failing_discovery import Failing, Manner, busy, chunk, mute, reset
+from tests.failing_discovery import FailingDiscovery, FailureMode, busy, chunk, no_response, reset
 from tests.site import WATCH_HEAD, list_of_one_worker, site, until
 from weldquay.discovery.backoff import Backoff
 from weldquay.net import readiness
@@ -36,13 +36,13 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("manner", [mute, busy, reset, None])
-def test_a_process_is_ready_soon(mode: str, manner: Manner | None) -> None:
+@pytest.mark.parametrize("failure_mode", [no_response, busy, reset, None])
+def test_a_process_is_ready_soon(mode: str, failure_mode: FailureMode | None) -> None:
     """With discovery silent, overloaded, resetting or slow: from the start to /_health and `ready`."""
 
     async def scenario() -> None:
         started_at = time.monotonic()
-        discovery = SlowDiscovery() if manner is None else Failing(manner, 99)
+        discovery = SlowDiscovery() if failure_mode is None else FailingDiscovery(failure_mode, 99)
         async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
             await wait_for_yes(here.health)
             assert time.monotonic() - started_at < READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
@@ -63,9 +63,9 @@
     """One of few dispatchers polls discovery at once."""
 
     async def scenario() -> None:
-        failing = Failing(mute, 0)
+        failing = FailingDiscovery(no_response, 0)
         async with site(discovery=failing, group_size=3) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             started_at = time.monotonic()
             await until(lambda: here.program.discovery.revision == 9)
             assert time.monotonic() - started_at < 2 and (await here.post(left_ms=300)).status == 503
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,7 +9,16 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
+from tests.failing_discovery import (
+    FailingDiscovery,
+    FailureMode,
+    busy,
+    chunk,
+    no_response,
+    reduce_timeouts,
+    reset,
+    revision_then_reset,
+)
 from tests.newer_process import newer_process
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 from weldquay.lab.site import reserve_address
@@ -21,14 +30,14 @@
 
     def __init__(self, phase: str) -> None:
         super().__init__()
-        self.phase, self.address_told, self.asked = phase, "127.0.0.1:1", 0
+        self.phase, self.worker_address, self.asked = phase, "127.0.0.1:1", 0
         self.may_answer = asyncio.Event()
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
         """Send the list, once it is allowed."""
         self.asked += 1
         await self.may_answer.wait()
-        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.address_told) + b"\n"))
+        writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.worker_address) + b"\n"))
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -42,7 +51,7 @@
     async def scenario() -> None:
         discovery = DelayedDiscovery(phase)
         async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as here:
-            discovery.address_told = here.workers[0].address
+            discovery.worker_address = here.workers[0].address
             waiting = asyncio.create_task(here.post(left_ms=3000))
             await until(lambda: discovery.asked)
             await asyncio.sleep(0.2)
@@ -68,7 +77,7 @@
     asyncio.run(scenario())
 
 
-async def wait_for_lease_and_its_end(here: Site, _failing: Failing) -> None:
+async def wait_for_lease_and_its_end(here: Site, _failing: FailingDiscovery) -> None:
     """Wait until the list is confirmed, then until its lease has ended."""
     endpoint_list = here.program.coordinator.endpoint_list
     await until(lambda: endpoint_list.expires_ns > time.monotonic_ns())
@@ -76,38 +85,38 @@
     await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
 
 
-class ListThenFailures(Failing):
+class ListThenFailures(FailingDiscovery):
     """A discovery that first sends a serving worker, then fails, and at last sends its drain."""
 
-    def __init__(self, manner: Manner, closes: bool) -> None:
-        super().__init__(manner, 10**6)
+    def __init__(self, failure_mode: FailureMode, closes: bool) -> None:
+        super().__init__(failure_mode, 10**6)
         self.first, self.closes = True, closes
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Send the list, with a reset if the watch is to close; later polls follow the script."""
-        await until(lambda: not self.address_told.endswith(":1"))  # known a moment later
+        await until(lambda: not self.worker_address.endswith(":1"))  # known a moment later
         if not self.first:
             await super().answer(message, writer)
         elif self.closes:
-            await revision_then_reset(writer, self.address_told)
+            await revision_then_reset(writer, self.worker_address)
         else:
-            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.worker_address) + b"\n"))
         self.first = False
 
 
 def test_requests_wait_once_lease_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a silent watch and polls without response, no attempt starts once the lease has ended."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        failing = ListThenFailures(mute, closes=False)
+        failing = ListThenFailures(no_response, closes=False)
         async with site(discovery=failing, group_size=3) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             await wait_for_lease_and_its_end(here, failing)
             assert (await here.post("after", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 1
-            failing.left = 0
+            failing.failures_left = 0
             await until(lambda: here.program.discovery.revision == 9)
             assert (await here.post("drained", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
@@ -143,10 +152,10 @@
 
 def test_reload_with_new_discovery_address_limits_lease(monkeypatch: pytest.MonkeyPatch) -> None:
     """If the new address accepts polls without responding, the old list is valid for the lease's time."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        silent = Failing(mute, 10**6)
+        silent = FailingDiscovery(no_response, 10**6)
         await silent.start()
         async with site(group_size=3) as here:
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
@@ -158,27 +167,29 @@
             endpoint_list = here.program.coordinator.endpoint_list
             await until(lambda: endpoint_list.expires_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
-            silent.address_told = here.workers[0].address
-            silent.left = 0
+            silent.worker_address = here.workers[0].address
+            silent.failures_left = 0
             await until(lambda: here.program.discovery.revision == 9)
         silent.stop()
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("manner", [reset, busy])
-def test_list_stays_valid_while_discovery_is_down(manner: Manner, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("failure_mode", [reset, busy])
+def test_list_stays_valid_while_discovery_is_down(
+    failure_mode: FailureMode, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Polls that are reset or get 503 after a closed watch mean that no change can have been missed."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        down = ListThenFailures(manner, closes=True)
+        down = ListThenFailures(failure_mode, closes=True)
         async with site(discovery=down, group_size=3) as here:
-            down.address_told = here.workers[0].address
+            down.worker_address = here.workers[0].address
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
             begun = time.monotonic()
             await until(
-                lambda: len(down.asked) > 8 and time.monotonic() - begun > 1.5
+                lambda: len(down.poll_times) > 8 and time.monotonic() - begun > 1.5
             )  # more than two clocks
             assert (await here.post()).body == b"TEXT"
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 0
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -33,7 +33,7 @@
     drips: bytes keep arriving, but no value is ever complete.
     """
 
-    class Failing(Server):
+    class FailingDiscovery(Server):
         polls = 0
         is_healthy = False
 
@@ -45,7 +45,7 @@
                 await asyncio.sleep(0.02)
 
     async def scenario() -> None:
-        failing = Failing()
+        failing = FailingDiscovery()
         async with site(discovery=failing) as here:
             waiting = asyncio.create_task(here.post())
             await until(lambda: failing.polls >= 2)
