--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,7 +42,7 @@
     return api.JobClass(**{**values, **changes})
 
 
-class Drive:
+class DispatcherDriver:
     """Runs one dispatcher with given events and records its actions."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self.dispatcher = Dispatcher(dispatcher_settings or settings(), seed)
         self.now = 1000 * SECOND
         self.worker_ids = list(range(1, workers + 1))
-        self.all: list[api.Action] = []
+        self.actions: list[api.Action] = []
         self.step(self.list_of())
 
     def list_of(self, kind: api.EndpointListKind = api.EndpointListKind.CACHED) -> api.EndpointListUpdate:
@@ -63,25 +63,27 @@
         """Run one step, `after` nanoseconds after the last one."""
         self.now += after
         actions = self.dispatcher.step(self.now, list(events))
-        self.all += actions
+        self.actions += actions
         return actions
 
     def report(self, worker: int, free: float, **more: Any) -> list[api.Action]:
         """Report free slots in the result of a probe."""
         return self.step(api.ProbeEnded(worker, api.Outcome.OK, MS, api.LoadReport(free, **more)))
 
-    def run(self, span: int, every: int = 50 * MS) -> list[api.Action]:
-        """Run for `span` nanoseconds, with a step every `every` nanoseconds."""
+    def run(self, duration_ns: int, interval_ns: int = 50 * MS) -> list[api.Action]:
+        """Run for a time, with one step per interval."""
         actions: list[api.Action] = []
-        for _ in range(span // every):
-            actions += self.step(api.TimerDue(1), after=every)
+        for _ in range(duration_ns // interval_ns):
+            actions += self.step(api.TimerDue(1), after=interval_ns)
         return actions
 
     def end(
-        self, send: api.Send, outcome: api.Outcome, attempt: int = 0, over: bool = False
+        self, send: api.Send, outcome: api.Outcome, attempt: int = 0, request_finished: bool = False
     ) -> list[api.Action]:
         """Report the outcome of an attempt."""
-        return self.step(api.AttemptEnded(send.request_id, attempt, send.worker, outcome, MS, over))
+        return self.step(
+            api.AttemptEnded(send.request_id, attempt, send.worker, outcome, MS, request_finished)
+        )
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
@@ -89,26 +91,26 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def finals(actions: list[api.Action]) -> list[api.Action]:
+def final_answers(actions: list[api.Action]) -> list[api.Action]:
     """Return the actions that reject or fail a request."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
 def started(
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
-) -> tuple[Drive, api.Send]:
+) -> tuple[DispatcherDriver, api.Send]:
     """Return a driver with four workers, and the first attempt of request 7."""
     rules = job_class(
         idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
-    drive = Drive(settings(classes=(rules,)), workers=4)
+    drive = DispatcherDriver(settings(classes=(rules,)), workers=4)
     for worker in drive.worker_ids:
         drive.report(worker, 3.0)
     (send,) = sends(drive.step(api.RequestReceived(7, 0, 10 * SECOND)))
     return drive, send
 
 
-class Discovery:
+class DiscoveryModel:
     """A model of discovery that serves polls in order; one that times out costs the same."""
 
     def __init__(self, work_ns: int, busy_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
@@ -116,7 +118,7 @@
         self.free_ns = busy_ns
         self.max_wait_ns = max_wait_ns
 
-    def ask(self, now_ns: int) -> tuple[int, bool]:
+    def poll(self, now_ns: int) -> tuple[int, bool]:
         """Return the end of a poll, in ns, and whether it got a response."""
         begin_ns = max(self.free_ns, now_ns)
         self.free_ns = begin_ns + self.work_ns
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Drive, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, sends, settings
 from weldquay import interface as api
 from weldquay.interface import Outcome
 from weldquay.policy.dispatcher import Dispatcher
@@ -24,7 +24,7 @@
     kind: api.EndpointListKind, entry: api.WorkerEntry
 ) -> None:
     """This holds from the step with the update on."""
-    drive = Drive(settings(may_probe=False), workers=2)
+    drive = DispatcherDriver(settings(may_probe=False), workers=2)
     drive.step(api.EndpointListUpdate(kind, (entry,)))
     actions = drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)])
     assert {send.worker for send in sends(actions)} == {2}
@@ -32,13 +32,13 @@
 
 def test_warming_worker_gets_its_budget_only() -> None:
     """A worker that has just started gets few requests at once, and more as it warms up."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     fresh = api.WorkerEntry(1, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)))
     drive.report(1, 4.0)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)]
     assert len(sends(drive.step(*jobs))) == 2  # 0.6 x 3 x 0.2 x 4 slots x 2 s = 2.9 s of work
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=21 * SECOND)
     drive.report(1, 4.0)
     assert len(sends(drive.step(*jobs))) == 4
@@ -46,39 +46,39 @@
 
 def test_worker_without_report_has_the_mean_load_of_its_zone() -> None:
     """Incident i35f28b: workers that answer and never report must not look like the least loaded ones."""
-    drive = Drive(settings(may_probe=False), workers=3)
+    drive = DispatcherDriver(settings(may_probe=False), workers=3)
     for worker in (1, 2):
         drive.report(worker, 0.0)
     assert not sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     for worker in (1, 2):
         drive.report(worker, 3.0)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(2, 8)]
-    assert 3 in {send.worker for send in sends(drive.all + drive.step(*jobs))}
+    assert 3 in {send.worker for send in sends(drive.actions + drive.step(*jobs))}
 
 
 def test_idle_dispatcher_sends_no_probes_and_sets_no_timers() -> None:
     """With many dispatchers and workers, regular probes would have most of the cost."""
-    drive = Drive(settings(dispatcher_count=150), workers=80)
+    drive = DispatcherDriver(settings(dispatcher_count=150), workers=80)
     drive.step(*[api.TimerDue(1)] * 3, after=SECOND)
-    assert not drive.all
+    assert not drive.actions
 
 
 def test_request_waits_for_probes_and_goes_to_a_worker_with_room() -> None:
     """A few random workers are probed for it."""
-    drive = Drive(settings(dispatcher_count=150), workers=80)
+    drive = DispatcherDriver(settings(dispatcher_count=150), workers=80)
     actions = drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     probed = [action.worker for action in actions if isinstance(action, api.Probe)]
     assert 2 <= len(probed) <= 5 and not sends(actions)
     for worker in probed[1:]:
         drive.report(worker, 0.0)
-    assert not sends(drive.all)
+    assert not sends(drive.actions)
     (send,) = sends(drive.report(probed[0], 2.0))
     assert send.worker == probed[0]
 
 
 def test_lost_probes_delay_a_request_only_briefly() -> None:
     """The request is placed by what is known."""
-    drive = Drive(settings(dispatcher_count=150), workers=80)
+    drive = DispatcherDriver(settings(dispatcher_count=150), workers=80)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     assert len(sends(drive.run(100 * MS))) == 1
 
@@ -86,7 +86,7 @@
 def test_requests_cross_zones_only_when_the_own_zone_is_full() -> None:
     """This holds where crossing zones has a cost."""
     for seed in range(20):
-        drive = Drive(settings(cross_zone_cost=0.03), workers=1, seed=seed)
+        drive = DispatcherDriver(settings(cross_zone_cost=0.03), workers=1, seed=seed)
         far = api.WorkerEntry(9, api.WorkerState.READY, zone=1)
         drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (far,)))
         drive.report(1, 3.0)
@@ -102,7 +102,7 @@
     workers = tuple(api.WorkerEntry(w, api.WorkerState.READY, zone=w % 2, start_id=w) for w in range(1, 61))
     probed_before: set[int] = set()
     for dispatcher_index in range(12):
-        drive = Drive(
+        drive = DispatcherDriver(
             settings(
                 cross_zone_cost=0.03, dispatcher_count=40, dispatcher_index=dispatcher_index, max_attempts=1
             ),
@@ -111,18 +111,18 @@
         drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, workers))
         for number in range(4):
             drive.step(api.RequestReceived(number, 0, SECOND))
-        own = {action.worker for action in drive.all if isinstance(action, api.Probe)}
+        own = {action.worker for action in drive.actions if isinstance(action, api.Probe)}
         assert len(own) <= 5 and own.isdisjoint(probed_before)
         probed_before |= own
         for worker in own:
             drive.report(worker, 0.0)
         drive.run(100 * MS)
-        assert {action.worker for action in drive.all if isinstance(action, api.Probe)} - own
+        assert {action.worker for action in drive.actions if isinstance(action, api.Probe)} - own
 
 
 def test_faster_machine_kind_gets_more_requests() -> None:
     """Workers of one kind take half the time: once that is learnt they get about twice the requests."""
-    drive = Drive(settings(may_probe=False, reports_start=True), workers=0)
+    drive = DispatcherDriver(settings(may_probe=False, reports_start=True), workers=0)
     entries = tuple(api.WorkerEntry(w, api.WorkerState.READY, kind=w % 2) for w in range(1, 9))
     drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, entries))
     counts = [0, 0]
@@ -130,14 +130,14 @@
         (send,) = sends(drive.step(api.RequestReceived(number, 0, 10 * SECOND), after=MS))
         drive.step(api.AttemptProgress(number, 0, send.worker), after=300 * MS)
         drive.now += 500 * MS if send.worker % 2 else 1000 * MS
-        drive.end(send, Outcome.OK, over=True)
+        drive.end(send, Outcome.OK, request_finished=True)
         counts[send.worker % 2] += number >= 200
     assert 1.6 < counts[1] / counts[0] < 2.5
 
 
 def test_report_interval_is_learnt_from_repeated_reports() -> None:
     """Reports are refreshed every 0.9 s and read every 0.1 s."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     for number in range(1, 400):
         drive.now += 100 * MS
         drive.report(1, 3.0 + number // 9 / 100)
@@ -146,29 +146,29 @@
 
 def test_repeated_report_does_not_hide_own_sends() -> None:
     """A request sent after the report was made is not in it, however often it is repeated."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     for _ in range(20):
         drive.now += 50 * MS
         assert not sends(drive.report(1, 1.0))
     assert not sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))
-    assert sends(drive.end(first, Outcome.OK, over=True))
+    assert sends(drive.end(first, Outcome.OK, request_finished=True))
 
 
 def test_overloaded_probes_stop_sends_to_workers_without_reports() -> None:
     """Rejected probes mean full workers; otherwise the old mean load would apply."""
-    drive = Drive(settings(dispatcher_count=150), workers=40)
+    drive = DispatcherDriver(settings(dispatcher_count=150), workers=40)
     for worker in drive.worker_ids:
         drive.step(api.ProbeEnded(worker, Outcome.OVERLOADED, MS))
-    drive.all.clear()
+    drive.actions.clear()
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
     assert not sends(drive.run(500 * MS))
 
 
 def test_worker_without_report_has_no_fresh_report_near_clock_zero() -> None:
     """The clock has no special start, so the first moments after zero need probes too."""
-    drive = Drive(workers=0)
+    drive = DispatcherDriver(workers=0)
     drive.dispatcher = Dispatcher(settings(), 1)
     drive.worker_ids = [1, 2, 3]
     drive.dispatcher.step(0, [drive.list_of()])
@@ -180,7 +180,7 @@
     """After a mass crash, 150 dispatchers with more requests than room take turns at the warming workers."""
     sent: Counter[int] = Counter()
     for dispatcher_index in range(150):
-        drive = Drive(
+        drive = DispatcherDriver(
             settings(dispatcher_count=150, dispatcher_index=dispatcher_index, may_probe=False), workers=0
         )
         warming = tuple(
@@ -200,7 +200,9 @@
 
 def test_worker_with_an_unstarted_attempt_gets_no_further_request() -> None:
     """Its report still shows free slots, but the attempt that has not started shows a queue."""
-    drive = Drive(settings(reports_start=True, may_probe=False, workers_queue_in_order=True), workers=2)
+    drive = DispatcherDriver(
+        settings(reports_start=True, may_probe=False, workers_queue_in_order=True), workers=2
+    )
     drive.report(2, 0.0)
     drive.report(1, 4.0)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
@@ -214,7 +216,7 @@
 
 def test_report_interval_is_learnt_from_rare_reports() -> None:
     """The reports are refreshed every second and read every 0.8 s."""
-    drive = Drive(settings(may_probe=False), workers=1)
+    drive = DispatcherDriver(settings(may_probe=False), workers=1)
     for number in range(40):
         drive.report(1, 3.0 + int(number * 0.8) * 0.001)
         drive.run(800 * MS)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
+from tests.helpers import MS, SECOND, WORKERS, DiscoveryModel, settings
 from weldquay import interface as api
 from weldquay.discovery.backoff import Backoff
 from weldquay.fleet.subset import MIN_DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE, subset
@@ -19,7 +19,7 @@
 DISPATCHERS = 40
 
 
-def restart_all(discovery: Discovery, until_ns: int) -> dict[int, int]:
+def restart_all(discovery: DiscoveryModel, until_ns: int) -> dict[int, int]:
     """Start all dispatchers at once with an old list; return the ns until each had an update."""
     heard: dict[int, int] = {}
     queue: list[tuple[int, int, int, api.Event]] = []
@@ -54,7 +54,7 @@
                     queue, (now_ns + action.delay_ns, number, dispatcher_index, api.TimerDue(action.token))
                 )
             elif isinstance(action, api.WatchEndpoints):
-                end_ns, is_answered = discovery.ask(now_ns)
+                end_ns, is_answered = discovery.poll(now_ns)
                 kind = api.EndpointListKind.DELTA if is_answered else api.EndpointListKind.FAILED
                 heapq.heappush(queue, (end_ns, number, dispatcher_index, api.EndpointListUpdate(kind)))
     return heard
@@ -62,13 +62,13 @@
 
 def test_restarted_fleet_gets_updates_from_an_overloaded_discovery() -> None:
     """Discovery has 2 s of requests queued, and forty dispatchers that retry together would keep it so."""
-    heard = restart_all(Discovery(120 * MS, 4 * SECOND), 60 * SECOND)
+    heard = restart_all(DiscoveryModel(120 * MS, 4 * SECOND), 60 * SECOND)
     assert len(heard) == DISPATCHERS and max(heard.values()) < 25 * SECOND
 
 
 def test_first_polls_are_spread_over_less_than_two_seconds() -> None:
     """All dispatchers start at once, and discovery is not overloaded."""
-    heard = restart_all(Discovery(10 * MS, 0), 60 * SECOND)
+    heard = restart_all(DiscoveryModel(10 * MS, 0), 60 * SECOND)
     assert len(heard) == DISPATCHERS and max(heard.values()) < 2 * SECOND
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, WORKERS, Discovery, settings
+from tests.helpers import MS, SECOND, WORKERS, DiscoveryModel, settings
 from tests.site import SilentDiscovery, list_of_one_worker, site, until
 from weldquay import interface as api
 from weldquay.discovery import backoff as backoff_module
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("work_ms", [1, 5, 10])
 def test_watches_that_fail_together_reopen_in_time(work_ms: int) -> None:
     """200 dispatchers, one discovery; each ends its watch 0.6 s to 2.6 s after the silence began."""
-    draw, discovery, begun_ns = random.Random(work_ms), Discovery(work_ms * MS, 0), 100 * SECOND
+    draw, discovery, begun_ns = random.Random(work_ms), DiscoveryModel(work_ms * MS, 0), 100 * SECOND
     fleet = [
         Dispatcher(settings(dispatcher_count=FLEET, dispatcher_index=me, polls_endpoint_list=True), me)
         for me in range(FLEET)
@@ -113,7 +113,7 @@
             if isinstance(action, api.SetTimer) and action.token == 3:
                 heapq.heappush(queue, (now_ns + action.delay_ns, number, me, api.TimerDue(3)))
             elif isinstance(action, api.WatchEndpoints):
-                at_ns, answered = discovery.ask(now_ns)
+                at_ns, answered = discovery.poll(now_ns)
                 kind = api.EndpointListKind.DELTA if answered else api.EndpointListKind.FAILED
                 heapq.heappush(queue, (at_ns, number, me, api.EndpointListUpdate(kind)))
     assert len(received_ns) == FLEET and max(received_ns.values()) < 5600 * MS
--- a/tests/test_leaving_workers.py
+++ b/tests/test_leaving_workers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from example.toy import Message
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
 from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
@@ -157,20 +157,20 @@
         idempotency_window_ns=SECOND,
         latency_objective_ns=8 * SECOND,
     )
-    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
+    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     for worker in drive.worker_ids:  # no room anywhere by the time that the attempt is lost
         drive.step(api.WorkerBanChanged(worker))
     assert not sends(drive.end(first, api.Outcome.RESET))
     actions = drive.run(2 * SECOND)
-    assert not sends(actions) and finals(actions) == [api.Fail(1)]
+    assert not sends(actions) and final_answers(actions) == [api.Fail(1)]
     assert not sends(drive.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
 
 
 def test_retry_has_latest_send_time() -> None:
     """Its limit is nine tenths of the window from the first possible execution; a first attempt has none."""
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
-    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
+    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     sent_ns = drive.now
     (retry,) = sends(
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings, started
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings, started
 from weldquay import interface as api
 from weldquay.interface import DeduplicationScope, Idempotency, Outcome
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
@@ -45,8 +45,8 @@
     """
     drive, send = started(idempotency)
     actions = drive.end(send, outcome)
-    assert finals(actions) == [api.Fail(7)] and not sends(actions)
-    assert not finals(drive.run(12 * SECOND))
+    assert final_answers(actions) == [api.Fail(7)] and not sends(actions)
+    assert not final_answers(drive.run(12 * SECOND))
 
 
 def test_shutdown_accepts_only_requests_that_can_finish() -> None:
@@ -55,10 +55,12 @@
     drive.step(api.ShutdownStarted(3 * SECOND))
     drive.report(2, 4.0)
     long_request = drive.step(api.RequestReceived(8, 0, 10 * SECOND, runtime_hint_ns=5 * SECOND))
-    assert [type(action) for action in finals(long_request)] == [api.Reject] and not sends(long_request)
+    assert [type(action) for action in final_answers(long_request)] == [api.Reject] and not sends(
+        long_request
+    )
     assert sends(drive.step(api.RequestReceived(9, 0, 10 * SECOND, runtime_hint_ns=SECOND)))
     answered = [
-        action.request_id for action in finals(drive.run(3 * SECOND)) if isinstance(action, api.Reject)
+        action.request_id for action in final_answers(drive.run(3 * SECOND)) if isinstance(action, api.Reject)
     ]
     assert sorted(answered) == [send.request_id, 9]
 
@@ -70,20 +72,20 @@
     (again,) = sends(drive.end(send, outcome))
     assert again.worker // 2 == send.worker // 2
     drive.run(4 * SECOND)
-    assert finals(drive.end(again, outcome, attempt=1)) == [api.Fail(7)]
+    assert final_answers(drive.end(again, outcome, attempt=1)) == [api.Fail(7)]
 
 
 def test_success_is_final() -> None:
     """After the answer, later events of the request cause nothing."""
     drive, send = started(Idempotency.IDEMPOTENT)
-    drive.end(send, Outcome.OK, over=True)
+    drive.end(send, Outcome.OK, request_finished=True)
     later = drive.end(send, Outcome.ERROR) + drive.step(api.ClientDisconnected(7)) + drive.run(11 * SECOND)
-    assert not sends(later) and not finals(later)
+    assert not sends(later) and not final_answers(later)
 
 
 def test_unknown_ids_are_ignored() -> None:
     """Late, repeated and unknown events change nothing and raise nothing, but for an unknown class."""
-    drive = Drive()
+    drive = DispatcherDriver()
     drive.step(
         api.AttemptEnded(5, 0, 99, Outcome.OK, 1, True),
         api.ClientDisconnected(5),
@@ -101,7 +103,7 @@
 def test_request_is_answered_by_its_deadline(idempotency: Idempotency) -> None:
     """A request whose attempt hangs is answered in time; a non-idempotent one in flight is never rejected."""
     drive, _ = started(idempotency)
-    answers = finals(drive.run(10 * SECOND, every=5 * MS))
+    answers = final_answers(drive.run(10 * SECOND, interval_ns=5 * MS))
     assert len(answers) == 1
     assert idempotency is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
 
@@ -115,7 +117,7 @@
         if not again:
             break
         send, count = again[0], count + 1
-    assert count == 4 and len(finals(drive.all)) == 1
+    assert count == 4 and len(final_answers(drive.actions)) == 1
 
 
 def test_queued_request_with_the_highest_weight_is_placed_first() -> None:
@@ -124,29 +126,29 @@
         job_class(priority_weight=1.0, latency_objective_ns=5 * SECOND),
         job_class(priority_weight=9.0, latency_objective_ns=5 * SECOND),
     )
-    drive = Drive(settings(classes=classes), workers=1)
+    drive = DispatcherDriver(settings(classes=classes), workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     assert not sends(
         drive.step(api.RequestReceived(2, 0, 10 * SECOND), api.RequestReceived(3, 1, 10 * SECOND))
     )
-    drive.end(first, Outcome.OK, over=True)
-    assert [send.request_id for send in sends(drive.all)][:2] == [1, 3]
+    drive.end(first, Outcome.OK, request_finished=True)
+    assert [send.request_id for send in sends(drive.actions)][:2] == [1, 3]
 
 
 def test_queued_request_that_can_only_be_late_is_rejected() -> None:
     """It has no value when late, and a repeat by the client does no harm."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     drive.report(1, 0.0)
     drive.step(api.RequestReceived(1, 0, 10 * SECOND))
-    assert finals(drive.run(4 * SECOND)) == [api.Reject(1)]
+    assert final_answers(drive.run(4 * SECOND)) == [api.Reject(1)]
 
 
 def test_failed_poll_is_repeated() -> None:
     """Discovery is polled again within two seconds of a failure."""
-    drive = Drive(settings(polls_endpoint_list=True))
-    assert api.WatchEndpoints() in drive.all
-    drive.all.clear()
+    drive = DispatcherDriver(settings(polls_endpoint_list=True))
+    assert api.WatchEndpoints() in drive.actions
+    drive.actions.clear()
     drive.step(api.EndpointListUpdate(api.EndpointListKind.FAILED))
     assert drive.run(2 * SECOND).count(api.WatchEndpoints()) == 1
 
@@ -154,12 +156,12 @@
 def test_same_seed_and_events_give_same_actions() -> None:
     """All random choices follow from the seed."""
     one, two = started(Idempotency.IDEMPOTENT)[0], started(Idempotency.IDEMPOTENT)[0]
-    assert one.all == two.all
+    assert one.actions == two.actions
 
 
 def test_second_overload_delays_the_next_attempt() -> None:
     """Incident i7b06d9: with every worker full, a request used up 4 to 10 attempts within moments."""
-    drive = Drive(settings(may_probe=False), workers=8)
+    drive = DispatcherDriver(settings(may_probe=False), workers=8)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     (again,) = sends(drive.end(send, Outcome.OVERLOADED))
     assert not sends(drive.end(again, Outcome.OVERLOADED, attempt=1))
@@ -171,17 +173,17 @@
 
     A shorter timeout alone does not mark a repeat.
     """
-    drive = Drive(settings(may_probe=False, max_retry_after_ns=2 * SECOND), workers=1)
+    drive = DispatcherDriver(settings(may_probe=False, max_retry_after_ns=2 * SECOND), workers=1)
     drive.report(1, 1.0)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
     drive.step(api.RequestReceived(2, 0, 10 * SECOND, key=7))
-    (refusal,) = finals(drive.run(2 * SECOND))
+    (refusal,) = final_answers(drive.run(2 * SECOND))
     assert isinstance(refusal, api.Reject) and 0 < refusal.retry_after_ns <= 2 * SECOND
-    drive.end(first, Outcome.OK, over=True)
+    drive.end(first, Outcome.OK, request_finished=True)
     actions = drive.step(
         api.RequestReceived(3, 0, 7 * SECOND, key=7), api.RequestReceived(4, 0, 7 * SECOND, key=8)
     )
-    assert [final.request_id for final in finals(actions) if isinstance(final, api.Reject)] == [3]
+    assert [final.request_id for final in final_answers(actions) if isinstance(final, api.Reject)] == [3]
     assert [send.request_id for send in sends(actions)] == [4]
 
 
@@ -189,18 +191,18 @@
     """It is answered at once instead of at its deadline."""
     drive, send = started(Idempotency.IDEMPOTENT)
     drive.now += 3 * SECOND
-    assert finals(drive.end(send, Outcome.ERROR)) == [api.Reject(7)]
+    assert final_answers(drive.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
 
 def test_snapshots_restore_load_and_slow_start() -> None:
     """A new process has the loads and the slow start budgets of the process that it replaces."""
-    drive = Drive(workers=2)
+    drive = DispatcherDriver(workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
     drive.step(api.WorkerBanChanged(2), api.WorkerBanChanged(2, False))
     for number in range(3):
         drive.step(api.RequestReceived(number, 0, 5 * SECOND, runtime_hint_ns=100 * MS))
-    later = Drive(workers=2)
+    later = DispatcherDriver(workers=2)
     later.now = drive.now
     snapshots = {
         worker: decode_worker_state(json.loads(json.dumps(encode_worker_state(snapshot))))
@@ -219,14 +221,14 @@
 
 def test_requests_keep_the_settings_they_were_accepted_with() -> None:
     """Changed settings apply to later requests only."""
-    drive = Drive(settings(max_attempts=2), workers=2)
+    drive = DispatcherDriver(settings(max_attempts=2), workers=2)
     for worker in drive.worker_ids:
         drive.report(worker, 4.0)
     (old,) = sends(drive.step(api.RequestReceived(1, 0, 5 * SECOND)))
     non_idempotent = job_class(idempotency=Idempotency.NON_IDEMPOTENT)
     drive.step(api.SettingsChanged(settings(classes=(non_idempotent, job_class()), max_attempts=1)))
     (new,) = sends(drive.step(api.RequestReceived(2, 1, 5 * SECOND)))
-    assert finals(drive.end(new, Outcome.RESET))
+    assert final_answers(drive.end(new, Outcome.RESET))
     assert [send.request_id for send in sends(drive.end(old, Outcome.RESET))] == [1]
 
 
@@ -242,7 +244,7 @@
     waits_ms: tuple[int, ...], hint_ns: int, order: list[int]
 ) -> None:
     """It does not fall within half of the objective, nor with a runtime hint."""
-    drive = Drive(settings(classes=(job_class(),), may_probe=False), workers=1)
+    drive = DispatcherDriver(settings(classes=(job_class(),), may_probe=False), workers=1)
     drive.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # these fill the worker
     begun_ns = drive.now
     for number, wait_ms in enumerate(waits_ms, start=1):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from tests.helpers import MS, SECOND, Drive, finals, sends
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, sends
 from weldquay import interface as api
 
 
-def send_and_reject(drive: Drive, request: api.RequestReceived) -> None:
+def send_and_reject(drive: DispatcherDriver, request: api.RequestReceived) -> None:
     """Let a request find the only worker full, until it can only be late and is rejected."""
     drive.report(1, 0.0)
     drive.step(request)
-    assert finals(drive.run(4 * SECOND)) == [api.Reject(request.request_id)]
+    assert final_answers(drive.run(4 * SECOND)) == [api.Reject(request.request_id)]
 
 
 def test_equal_requests_without_key_and_hint_are_not_repeats() -> None:
     """A new request that equals a rejected one is placed where there is room."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND))
     drive.report(1, 1.0)
     assert [send.request_id for send in sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND)))] == [2]
@@ -23,10 +23,10 @@
 
 def test_repeat_with_the_same_hint_keeps_its_age() -> None:
     """It is as late as the rejected request and is rejected; one with another hint is a new request."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     send_and_reject(drive, api.RequestReceived(1, 0, 10 * SECOND, runtime_hint_ns=200 * MS))
     drive.report(1, 1.0)
-    assert finals(drive.step(api.RequestReceived(2, 0, 10 * SECOND, runtime_hint_ns=200 * MS))) == [
+    assert final_answers(drive.step(api.RequestReceived(2, 0, 10 * SECOND, runtime_hint_ns=200 * MS))) == [
         api.Reject(2)
     ]
     other = api.RequestReceived(3, 0, 10 * SECOND, runtime_hint_ns=300 * MS)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
@@ -180,10 +180,12 @@
     return api.RequestReceived(number, 0, 10 * SECOND, slots=4.0, runtime_hint_ns=SECOND, **changes)
 
 
-def busy_pair(old: bool = False, room: ReservationSettings | None = None) -> tuple[Drive, list[api.Send]]:
+def busy_pair(
+    old: bool = False, room: ReservationSettings | None = None
+) -> tuple[DispatcherDriver, list[api.Send]]:
     """Return two workers of four slots, each with two own running requests of 0.8 s, and the sends."""
     rules = job_class(idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0)
-    drive = Drive(
+    drive = DispatcherDriver(
         settings(
             classes=(rules, job_class()),
             reports_start=True,
@@ -211,7 +213,7 @@
     return drive, started
 
 
-def reservation(drive: Drive) -> Any:
+def reservation(drive: DispatcherDriver) -> Any:
     """Return the only reservation."""
     (only,) = drive.dispatcher.scheduler.by_request.values()
     return only
@@ -229,12 +231,12 @@
     worker = reservation(drive).worker
     first, second = (send for send in started if send.worker == worker)
     drive.now += 780 * MS
-    drive.end(first, api.Outcome.OK, over=True)
+    drive.end(first, api.Outcome.OK, request_finished=True)
     other = drive.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
     )
     assert not sends(other), "its two slots are free, but reserved"
-    actions = drive.end(second, api.Outcome.OK, over=True)
+    actions = drive.end(second, api.Outcome.OK, request_finished=True)
     assert api.Send(100, worker) in actions and end_reasons(actions) == ["placed"]
 
 
@@ -243,7 +245,7 @@
     drive, started = busy_pair()
     drive.step(large_request(), after=MS)
     worker = reservation(drive).worker
-    drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, over=True)
+    drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, request_finished=True)
     drive.dispatcher.scheduler.hint_bias = 0.0
     (send,) = sends(
         drive.step(api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=100 * MS, slots=1.0), after=MS)
@@ -265,7 +267,7 @@
     drive.step(large_request(), after=MS)
     received_ns, answers = drive.now, list[api.Action]()
     while not answers:
-        answers = finals(drive.step(api.TimerDue(1), after=50 * MS))
+        answers = final_answers(drive.step(api.TimerDue(1), after=50 * MS))
     assert [type(answer) for answer in answers] == [api.Reject]
     assert drive.now - received_ns <= 3 * SECOND and not drive.dispatcher.scheduler.by_request
 
@@ -290,7 +292,7 @@
     worker = reservation(drive).worker
     actions = drive.step(event(worker), after=MS)
     for send in started:
-        actions += drive.end(send, api.Outcome.OK, over=True)
+        actions += drive.end(send, api.Outcome.OK, request_finished=True)
     assert "worker_out" in end_reasons(actions) and worker not in {send.worker for send in sends(actions)}
 
 
@@ -301,11 +303,11 @@
     worker = reservation(drive).worker
     fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
-    drive.all.clear()
+    drive.actions.clear()
     drive.report(worker, 4.0)
     for number in range(200, 240):
         drive.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=SECOND), after=MS)
-    work = SECOND * sum(send.worker == worker for send in sends(drive.all))
+    work = SECOND * sum(send.worker == worker for send in sends(drive.actions))
     assert 0 < work <= 3.0 * 0.21 * 4 * 2 * SECOND
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,7 +18,7 @@
 import pytest
 
 from example.toy import NO_LOAD, Discovery, Message, Server, write_message
-from tests.helpers import MS, SECOND, Drive, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, sends, settings
 from tests.newer_process import newer_process
 from tests.processes import free_port, wait_until_serving
 from tests.site import ACCEPTED, ScriptedWorker, document, site, until
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("count", [1100, 1500])
 def test_long_list_is_complete_and_departed_workers_are_bounded(count: int) -> None:
     """No departed worker with an attempt is dropped, and one that returns has its state."""
-    drive = Drive(settings(may_probe=False), workers=count)
+    drive = DispatcherDriver(settings(may_probe=False), workers=count)
     here = drive.dispatcher
     drive.step(api.ProbeEnded(7, api.Outcome.CONNECT_FAILED, MS))
     assert len(here.ready_workers) == count and here.workers[7].is_ejected
@@ -113,7 +113,7 @@
 
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sorting 1,400 workers anew for each of 1,400 changes would take seconds."""
-    drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
     drive.step(*(changes(range(number, number + 1), GONE) for number in range(1, 701)))
@@ -130,7 +130,7 @@
     kind: api.EndpointListKind, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An empty line comes every 2 s."""
-    drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     counted = Mock(side_effect=drive.dispatcher.parts.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.parts.endpoint_list, "refresh_ready_workers", counted)
     drive.step(api.EndpointListUpdate(kind))
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Drive, job_class, sends, settings, started
+from tests.helpers import MS, SECOND, DispatcherDriver, job_class, sends, settings, started
 from weldquay import interface as api
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.interface import Idempotency, Outcome
@@ -16,34 +16,34 @@
 def test_worker_that_fails_repeatedly_backs_off() -> None:
     """It reports free slots all the while; it is tried again with idempotent requests first."""
     classes = (job_class(), job_class(idempotency=Idempotency.NON_IDEMPOTENT))
-    drive = Drive(settings(classes=classes, max_attempts=2), workers=1)
+    drive = DispatcherDriver(settings(classes=classes, max_attempts=2), workers=1)
     for number in range(2):
         drive.report(1, 4.0)
         (send,) = sends(drive.step(api.RequestReceived(number, 0, 10 * SECOND)))
-        drive.end(send, Outcome.ERROR, over=True)
+        drive.end(send, Outcome.ERROR, request_finished=True)
         assert not sends(drive.step(api.RequestReceived(10 + number, 1, SECOND)) + drive.run(300 * MS))
     drive.report(1, 4.0)
     assert not sends(drive.step(api.RequestReceived(3, 0, 5 * SECOND)))
     drive.run(700 * MS)
     (send,) = sends(drive.report(1, 4.1) + drive.run(200 * MS))
     assert send.request_id == 3
-    drive.end(send, Outcome.OK, over=True)
+    drive.end(send, Outcome.OK, request_finished=True)
 
 
 def test_one_success_does_not_clear_the_failure_score() -> None:
     """A worker that fails half of its requests gets non-idempotent ones only after two successes."""
     classes = (job_class(), job_class(idempotency=Idempotency.NON_IDEMPOTENT))
-    drive = Drive(settings(classes=classes, may_probe=False), workers=1)
+    drive = DispatcherDriver(settings(classes=classes, may_probe=False), workers=1)
     drive.report(1, 4.0)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
-    drive.end(send, Outcome.ERROR, over=True)
+    drive.end(send, Outcome.ERROR, request_finished=True)
     for number in (2, 3):
         assert not sends(
             drive.report(1, 4.0 + number) + drive.step(api.RequestReceived(10 + number, 1, SECOND))
         )
         drive.step(api.ClientDisconnected(10 + number))
         (send,) = sends(drive.step(api.RequestReceived(number, 0, 10 * SECOND)))
-        drive.end(send, Outcome.OK, over=True)
+        drive.end(send, Outcome.OK, request_finished=True)
     assert sends(drive.report(1, 4.0) + drive.step(api.RequestReceived(20, 1, SECOND)))
 
 
@@ -64,7 +64,7 @@
 
 def test_backoff_grows_with_rejections_in_a_row() -> None:
     """Incident i35f28b: reports showed room that was not there."""
-    drive = Drive(workers=1)
+    drive = DispatcherDriver(workers=1)
     gaps = []
     drive.report(1, 3.0)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
@@ -80,7 +80,7 @@
 
 def test_rejected_probe_is_not_a_failure() -> None:
     """Workers limit probes: a rejection shows that the worker is alive."""
-    drive = Drive(workers=2)
+    drive = DispatcherDriver(workers=2)
     drive.report(2, 1.0)
     for _ in range(5):
         drive.step(api.ProbeEnded(1, Outcome.OVERLOADED, MS), after=10 * MS)
@@ -89,7 +89,7 @@
 
 def test_slow_worker_gets_no_requests() -> None:
     """It reports free slots as before. A running request shows it, and for a while after its end."""
-    drive = Drive(settings(reports_start=True), workers=3)
+    drive = DispatcherDriver(settings(reports_start=True), workers=3)
     slow: api.Send | None = None
     for number in range(60):
         for worker in drive.worker_ids:
@@ -101,9 +101,9 @@
             slow = send  # this one does not end
         elif send.worker != slow.worker:
             drive.step(after=100 * MS)
-            drive.end(send, Outcome.OK, over=True)
+            drive.end(send, Outcome.OK, request_finished=True)
     assert slow is not None
-    drive.end(slow, Outcome.OK, over=True)
+    drive.end(slow, Outcome.OK, request_finished=True)
     for number in range(60, 70):
         drive.report(slow.worker, 4.0)
         assert all(
@@ -114,11 +114,11 @@
         )
 
 
-def attempt_on_idle_connection(**changes: Any) -> tuple[Drive, api.Send]:
+def attempt_on_idle_connection(**changes: Any) -> tuple[DispatcherDriver, api.Send]:
     """Return a worker that served one request, and the send of another after two idle seconds."""
-    drive = Drive(settings(may_probe=False, **changes), workers=1)
+    drive = DispatcherDriver(settings(may_probe=False, **changes), workers=1)
     (send,) = sends(drive.step(api.RequestReceived(1, 0, 10 * SECOND)))
-    drive.end(send, Outcome.OK, over=True)
+    drive.end(send, Outcome.OK, request_finished=True)
     return drive, sends(drive.step(api.RequestReceived(2, 0, 10 * SECOND), after=2 * SECOND))[0]
 
 
@@ -126,7 +126,7 @@
     """Connections are dropped without notice while idle; later they are reused again."""
     drive, send = attempt_on_idle_connection()
     (again,) = sends(drive.end(send, Outcome.RESET)) or sends(drive.run(100 * MS))
-    drive.end(again, Outcome.OK, attempt=1, over=True)
+    drive.end(again, Outcome.OK, attempt=1, request_finished=True)
     actions = drive.step(api.RequestReceived(3, 0, 10 * SECOND), after=2 * SECOND)
     assert actions.index(api.CloseIdleConnections(1)) < actions.index(api.Send(3, 1))
     drive.step(api.AttemptEnded(3, 0, 1, Outcome.OK, MS, True), after=60 * SECOND)
@@ -136,14 +136,16 @@
 
 def test_banned_worker_gets_nothing_until_its_ban_is_lifted() -> None:
     """Neither requests nor probes, whatever the list says; then it is probed at once and warms up."""
-    drive = Drive(settings(initial_capacity_fraction=0.2, overload_window_ns=2 * SECOND), workers=1)
+    drive = DispatcherDriver(
+        settings(initial_capacity_fraction=0.2, overload_window_ns=2 * SECOND), workers=1
+    )
     drive.report(1, 4.0)
     drive.step(api.WorkerBanChanged(1))
     drive.step(
         drive.list_of(api.EndpointListKind.FULL),
         api.RequestReceived(1, 0, 5 * SECOND, runtime_hint_ns=100 * MS),
     )
-    assert not sends(drive.run(SECOND)) and not any(isinstance(action, api.Probe) for action in drive.all)
+    assert not sends(drive.run(SECOND)) and not any(isinstance(action, api.Probe) for action in drive.actions)
     assert api.Probe(1) in drive.step(api.WorkerBanChanged(1, False))
     (send,) = sends(drive.report(1, 4.0))
     assert send.worker == 1
@@ -157,18 +159,18 @@
 
 def test_ban_of_an_unlisted_worker_applies_once_it_is_listed() -> None:
     """This is the order at the start of a process after an upgrade."""
-    drive = Drive(workers=0)
+    drive = DispatcherDriver(workers=0)
     drive.step(api.WorkerBanChanged(1))
     drive.worker_ids = [1]
     drive.step(drive.list_of(), api.RequestReceived(1, 0, 5 * SECOND))
     drive.report(1, 4.0)
-    assert not sends(drive.all)
+    assert not sends(drive.actions)
 
 
 def test_reinstated_worker_gets_the_next_eligible_request() -> None:
     """Otherwise a water-fill over many workers may leave it unused for long."""
     for seed in range(8):
-        drive = Drive(workers=6, seed=seed)
+        drive = DispatcherDriver(workers=6, seed=seed)
         drive.step(api.WorkerBanChanged(6))
         for worker in range(1, 6):
             drive.report(worker, 9.0)
@@ -180,7 +182,7 @@
 
 def test_reported_service_time_excludes_a_slow_worker_before_own_attempts() -> None:
     """All dispatchers detect it by its reports, without attempts of their own."""
-    drive = Drive(workers=4)
+    drive = DispatcherDriver(workers=4)
     for number in range(6):  # a report with the same figures again would not count
         for worker in drive.worker_ids:
             drive.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
@@ -210,7 +212,7 @@
 
 def test_service_time_of_a_warming_worker_is_ignored() -> None:
     """A worker that has just started is slow by design."""
-    drive = Drive(workers=4)
+    drive = DispatcherDriver(workers=4)
     entries = [
         api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=drive.now if w == 1 else 0)
         for w in drive.worker_ids
