--- a/tests/site.py
+++ b/tests/site.py
@@ -119,12 +119,12 @@
         """Send an operator request and return the status of its response."""
         address = f"127.0.0.1:{self.program.operators.port}"
         answer = await request(address, write_message(f"{method} /control/{operation} HTTP/1.1"))
-        return int(answer.start.split()[1])
+        return int(answer.start_line.split()[1])
 
     async def health(self) -> int:
         """Return the status of /_health."""
         answer = await request(self.address, write_message("GET /_health HTTP/1.1"))
-        return int(answer.start.split()[1])
+        return int(answer.start_line.split()[1])
 
 
 async def until(condition: Callable[[], Any]) -> Any:
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -88,7 +88,7 @@
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(data)
-            assert [(await read_message(reader)).start.split()[1] for _ in statuses] == statuses
+            assert [(await read_message(reader)).start_line.split()[1] for _ in statuses] == statuses
             assert await reader.read() == b""
             assert here.workers[0].methods() == ["POST"] * statuses.count("200")
             assert here.program.counters.counts["requests"] == statuses.count("200")
@@ -181,7 +181,7 @@
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(HEAD + b"X-Correlation-Id: a\r\nContent-Length: 60000000\r\n\r\n")
-            assert (await read_message(reader)).start.split()[1] == "413"
+            assert (await read_message(reader)).start_line.split()[1] == "413"
             with pytest.raises(ConnectionError):
                 await send_megabytes(writer, 60)
             assert not here.program.server.connections
@@ -285,7 +285,7 @@
                 bad_reader, bad_writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
                 bad_writer.write(data)
                 answer = await read_message(bad_reader)
-                assert int(answer.start.split()[1]) == status, data[:80]
+                assert int(answer.start_line.split()[1]) == status, data[:80]
                 assert await bad_reader.read() == b"", data[:80]
                 bad_writer.close()
                 writer.write(job(f"c{number}"))
@@ -305,7 +305,7 @@
             first = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
             second = await here.post("c2")
-            assert (second.start.split()[1], second.headers["retry-after"]) == ("503", "2.000")
+            assert (second.start_line.split()[1], second.headers["retry-after"]) == ("503", "2.000")
             await worker.send_callback("c1", state="done", result="ok")
             assert (await first).body == b"ok"
 
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -36,7 +36,7 @@
             ending = asyncio.create_task(here.program.shut_down())
             await asyncio.sleep(0)
             health = await request(here.address, write_message("GET /_health HTTP/1.1"))
-            assert health.start.split()[1] == "503"
+            assert health.start_line.split()[1] == "503"
             late = asyncio.create_task(here.post("c2"))
             await worker.until("POST", "POST")
             await until(lambda: here.program.phase is Phase.CLOSING)
@@ -82,7 +82,7 @@
             open_request = asyncio.create_task(here.post(path=path))
             await here.workers[0].until("POST")
             await here.program.shut_down()
-            assert (await open_request).start.split()[1] == status
+            assert (await open_request).start_line.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
     monkeypatch.setattr(program, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
@@ -158,16 +158,16 @@
             path.write_text(json.dumps(config))
             here.program.reloader.requested.set()
             await until(lambda: here.program.counters.counts["reloads"])
-            assert (await here.post("c9", "/import")).start.split()[1] == "404"
+            assert (await here.post("c9", "/import")).start_line.split()[1] == "404"
             for (call, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
                 worker = next(worker for worker in here.workers if worker.name == attempt.worker_id)
                 worker.script = None
                 await worker.send_callback(call, state="lost")
-            assert [(await answer).start.split()[1] for answer in answers] == ["200", "502"]
+            assert [(await answer).start_line.split()[1] for answer in answers] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
                 for worker in here.workers:
                     worker.script = abort_once
-                assert (await here.post(f"d{job_path[1:]}", job_path)).start.split()[1] == status
+                assert (await here.post(f"d{job_path[1:]}", job_path)).start_line.split()[1] == status
 
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -43,7 +43,7 @@
             async with newer_process(here) as newer:
                 assert newer.service.is_ready() and older.phase is Phase.MIGRATING
                 assert newer.coordinator.bans == {"w0"} and newer.server.context.peer_request_ids == {"c1"}
-                assert (await here.post("c1")).start.split()[1] == "409"
+                assert (await here.post("c1")).start_line.split()[1] == "409"
                 await until(lambda: newer.counters.counts["client_connections"] >= 2)
                 worker.script = None
                 for number, (reader, writer) in enumerate(
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -40,7 +40,7 @@
             answer = await request(here.address, job_request("c1", target))
             assert answer.status == 200
             (job,) = jobs(here.workers[0].received)
-            assert job.start == f"POST {target} HTTP/1.1"
+            assert job.start_line == f"POST {target} HTTP/1.1"
             assert job.body == b'{"route": [1, 2, 3]}'
             assert job.headers["x-correlation-id"] == "c1"
             assert job.headers["idempotency-key"] == IDEMPOTENCY_KEY
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -32,7 +32,7 @@
             assert await here.operate("ready", "POST") == 404
             assert await here.operate("in-service/x") == 404
             address = f"127.0.0.1:{here.program.operators.port}"
-            assert (await request(address, b"nonsense\r\n\r\n")).start.split()[1] == "400"
+            assert (await request(address, b"nonsense\r\n\r\n")).start_line.split()[1] == "400"
 
     monkeypatch.setattr(operators, "REQUEST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
@@ -55,7 +55,7 @@
             assert await idle_reader.read() == b""
             await until(lambda: here.program.server.context.is_rejecting)
             late = await here.post("late")
-            assert (late.start.split()[1], late.headers["connection"]) == ("503", "close")
+            assert (late.start_line.split()[1], late.headers["connection"]) == ("503", "close")
             await worker.send_callback("c1", state="done", result="kept")
             assert ((answer := await open_request).body, answer.headers["connection"]) == (b"kept", "close")
             assert await here.operate("in-service") == await here.health() == 200
@@ -118,7 +118,7 @@
             await until(lambda: any(name == "w0" for _, name in here.program.coordinator.attempts.by_worker))
             assert await here.operate("match-workers/w0/offline") == 200
             gate.set()
-            assert {(await answer).start.split()[1] for answer in answers} == {"200"}
+            assert {(await answer).start_line.split()[1] for answer in answers} == {"200"}
             assert here.workers[0].methods() == []
 
     asyncio.run(scenario())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,7 @@
     async def scenario() -> None:
         async with site() as here:
             answer = await here.post("id-7")
-            assert (answer.start.split()[1], answer.body) == ("200", b"TEXT")
+            assert (answer.start_line.split()[1], answer.body) == ("200", b"TEXT")
             (seen,) = [message for message in here.workers[0].received if message.method == "POST"]
             assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
@@ -83,7 +83,7 @@
         async with site() as here:
             here.workers[0].script = script
             answer = await here.post(path=path, left_ms=left_ms)  # site() checks that it was not overdue
-            assert answer.start.split()[1] == status
+            assert answer.start_line.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
     run_scenario(scenario())
@@ -113,7 +113,7 @@
             for worker in here.workers:
                 worker.script = once
             answer = await here.post(path=path)
-            assert answer.start.split()[1] == ("200" if posts == 2 else "502")
+            assert answer.start_line.split()[1] == ("200" if posts == 2 else "502")
             assert sum(worker.methods().count("POST") for worker in here.workers) == posts
 
     run_scenario(scenario())
@@ -148,7 +148,7 @@
                 else:
                     here.workers[0].stop()
                 answers = [await here.post(f"c{number}", "/import") for number in range(4)]
-            assert {answer.start.split()[1] for answer in answers} == {"200"}
+            assert {answer.start_line.split()[1] for answer in answers} == {"200"}
             assert here.workers[1].methods() == ["POST"] * 4
             assert here.program.counters.counts["worker_connections_failed"] >= 1
 
@@ -162,7 +162,7 @@
         async with site() as here:
             here.workers[0].script = reject_as_overloaded
             answer = await here.post(left_ms=300)
-            assert answer.start.split()[1] == "503"
+            assert answer.start_line.split()[1] == "503"
             assert 0 < float(answer.headers["retry-after"]) <= 2
 
     run_scenario(scenario())
@@ -180,7 +180,7 @@
                 for sender, result in ((stranger, "forged"), (worker, "mine"), (worker, "mine")):
                     call = message.headers["x-correlation-id"]
                     answer = await sender.send_callback(call, state="done", result=result)
-                    assert answer.start.split()[1] == "204"
+                    assert answer.start_line.split()[1] == "204"
                 writer.write(ACCEPTED)
                 reported.set()
 
@@ -251,7 +251,7 @@
             answer = asyncio.create_task(here.post(left_ms=300))
             await here.workers[0].until("POST")
             stall(0.5)
-            assert (await answer).start.split()[1] == "503"
+            assert (await answer).start_line.split()[1] == "503"
             assert not here.program.counters.counts["requests_past_deadline"]
 
     run_scenario(scenario())
@@ -299,7 +299,7 @@
                 await here.discovery.change(first, phase)
             await until(lambda: here.program.discovery.revision == here.discovery.revision)
             gate.set()
-            assert {(await answer).start.split()[1] for answer in answers} == {"200"}
+            assert {(await answer).start_line.split()[1] for answer in answers} == {"200"}
             assert first.methods() == []
 
     run_scenario(scenario())
@@ -341,7 +341,7 @@
     async def scenario() -> None:
         async with site() as here:
             for number in range(3):
-                assert (await here.post(f"c{number}", "/import")).start.split()[1] == "200"
+                assert (await here.post(f"c{number}", "/import")).start_line.split()[1] == "200"
                 for writer in list(here.workers[0].writers):
                     writer.close()
                     await writer.wait_closed()
--- a/weldquay/lab/http.py
+++ b/weldquay/lab/http.py
@@ -11,24 +11,24 @@
 class Message:
     """An HTTP request or response."""
 
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def method(self) -> str:
         """The method of a request."""
-        return self.start.split()[0]
+        return self.start_line.split()[0]
 
     @property
     def target(self) -> str:
         """Path and query of a request."""
-        return self.start.split()[1]
+        return self.start_line.split()[1]
 
     @property
     def status(self) -> int:
         """The status code of a response."""
-        return int(self.start.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -39,9 +39,9 @@
     return Message(head[0], headers, body)
 
 
-def write_message(start: str, body: bytes = b"", *headers: str) -> bytes:
+def write_message(start_line: str, body: bytes = b"", *headers: str) -> bytes:
     """Return the bytes of a message."""
-    lines = [start, "Host: toy", f"Content-Length: {len(body)}", *headers, "", ""]
+    lines = [start_line, "Host: toy", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
--- a/weldquay/lab/scale/counts.py
+++ b/weldquay/lab/scale/counts.py
@@ -30,7 +30,7 @@
 def size_of(message: Message) -> int:
     """The bytes of a message that was read."""
     lines = sum(len(name) + len(value) + 4 for name, value in message.headers.items())
-    return len(message.start) + 2 + lines + 2 + len(message.body)
+    return len(message.start_line) + 2 + lines + 2 + len(message.body)
 
 
 def kind_of(data: bytes) -> str:
