--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -35,7 +35,7 @@
     count_between,
     count_repeated,
 )
-from example.toy import RUN_S, Discovery, Message, Worker, read_message, request, write_message
+from example.toy import RUN_S, Discovery, Message, Worker, encode_message, read_message, request
 
 CONFIG_PATH = ROOT / "example" / "config.json"
 WORKERS = 4
@@ -127,7 +127,7 @@
 
     async def operate(self, method: str, path: str) -> int:
         """Send an operator's request and return the status of its answer."""
-        data = write_message(f"{method} /control/{path} HTTP/1.1")
+        data = encode_message(f"{method} /control/{path} HTTP/1.1")
         return (await request(self.operators_address, data)).status
 
     async def is_ready(self) -> bool:
@@ -196,7 +196,7 @@
         headers = (f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {LEFT_MS}")
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                writer.write(write_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
+                writer.write(encode_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
                 answer = await read_message(reader)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.figures.results[RequestResult.LOST] += 1
--- a/example/toy.py
+++ b/example/toy.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from weldquay.lab import servers
-from weldquay.lab.http import Message, Server, read_message, request, write_message
+from weldquay.lab.http import Message, Server, encode_message, read_message, request
 
-__all__ = ["Discovery", "Message", "Server", "Worker", "read_message", "request", "write_message"]
+__all__ = ["Discovery", "Message", "Server", "Worker", "encode_message", "read_message", "request"]
 
 SLOTS = 4  # concurrent jobs of a worker, according to its load report
 RUN_S = 0.2  # running time of a job
@@ -41,14 +41,14 @@
             self.jobs[request_id] = task = asyncio.create_task(self.run(request_id, message.body))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-            writer.write(write_message("HTTP/1.1 202 Accepted"))
+            writer.write(encode_message("HTTP/1.1 202 Accepted"))
         elif message.method == "DELETE":
             job = self.jobs.pop(message.target.rsplit("/", 1)[1], None)
             if job is not None:
                 job.cancel()
-            writer.write(write_message("HTTP/1.1 204 No Content"))
+            writer.write(encode_message("HTTP/1.1 204 No Content"))
         else:
-            writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self.load()).encode()))
+            writer.write(encode_message("HTTP/1.1 200 OK", json.dumps(self.load()).encode()))
 
     def load(self) -> dict[str, float]:
         """Return the load report."""
@@ -69,7 +69,7 @@
     async def send_callback(self, request_id: str, **fields: Any) -> Message:
         """Send one call-back and return the dispatcher's response."""
         body = json.dumps({"id": request_id, "from": self.name, **fields}).encode()
-        return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", body))
+        return await request(self.dispatcher, encode_message("POST /callback HTTP/1.1", body))
 
 
 class Discovery(servers.Discovery):
--- a/tests/site.py
+++ b/tests/site.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from example.toy import Discovery, Message, Server, Worker, request, write_message
+from example.toy import Discovery, Message, Server, Worker, encode_message, request
 from weldquay.net.config import read
 from weldquay.net.dispatcher_process import DispatcherProcess
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
 TEST_TIMEOUT_S = 20.0  # timeout of a test
-ACCEPTED = write_message("HTTP/1.1 202 Accepted")
+ACCEPTED = encode_message("HTTP/1.1 202 Accepted")
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -118,12 +118,12 @@
     async def operate(self, operation: str, method: str = "POST") -> int:
         """Send an operator request and return the status of its response."""
         address = f"127.0.0.1:{self.program.operators.port}"
-        answer = await request(address, write_message(f"{method} /control/{operation} HTTP/1.1"))
+        answer = await request(address, encode_message(f"{method} /control/{operation} HTTP/1.1"))
         return int(answer.start_line.split()[1])
 
     async def health(self) -> int:
         """Return the status of /_health."""
-        answer = await request(self.address, write_message("GET /_health HTTP/1.1"))
+        answer = await request(self.address, encode_message("GET /_health HTTP/1.1"))
         return int(answer.start_line.split()[1])
 
 
@@ -138,7 +138,7 @@
 
 def job(request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> bytes:
     """Return the bytes of a client's request."""
-    return write_message(
+    return encode_message(
         f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {left_ms}"
     )
 
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from example.toy import Message, write_message
+from example.toy import Message, encode_message
 from tests.site import ACCEPTED, Script, ScriptedWorker, Site, job, site, until
 from weldquay.net import attempt_runner
 
-OVERLOADED = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
+OVERLOADED = encode_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
 
 async def cut_head(_message: Message, writer: asyncio.StreamWriter) -> None:
@@ -111,7 +111,7 @@
 def completion_callback(call: str, worker: ScriptedWorker, result: str) -> bytes:
     """The bytes of a callback."""
     told = json.dumps({"id": call, "from": worker.name, "state": "done", "result": result}).encode()
-    return write_message("POST /callback HTTP/1.1", told)
+    return encode_message("POST /callback HTTP/1.1", told)
 
 
 async def connect(here: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from example.toy import read_message, request, write_message
+from example.toy import encode_message, read_message, request
 from tests.site import job, run_scenario, site, until
 from weldquay.net import client_server, connection_table, http_channel
 from weldquay.net import dispatcher_process as program
@@ -203,7 +203,7 @@
                 for _ in range(20):
                     others.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
                     others[-1][1].write(b"GET /_he")
-                assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
+                assert (await request(here.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
                 assert len(here.program.server.connections) <= 10
             assert here.program.counters.counts["client_connections_evicted_reading"] >= 80
             for _, other_writer in [*others, (reader, writer)]:
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from example.toy import Message, write_message
+from example.toy import Message, encode_message
 from tests.site import ACCEPTED, Site, job, site, until
 from weldquay.net.hot_restart_messages import MigratedConnection
 from weldquay.net.worker_connection import WorkerConnection
@@ -196,7 +196,7 @@
             big = b"y" * 30_000
             for number in range(4):
                 writer.write(
-                    write_message(
+                    encode_message(
                         "POST /lookup HTTP/1.1", big, f"X-Correlation-Id: c{number}", "X-Time-Left-Ms: 5000"
                     )
                 )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from example.toy import request, write_message
+from example.toy import encode_message, request
 from tests.failing_discovery import FailingDiscovery, revision_then_reset
 from tests.processes import free_port, wait_until_serving
 from tests.site import ScriptedWorker, document, job
@@ -72,8 +72,8 @@
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
                 assert open_descriptors <= MIN_SOCKETS - 20  # the reserve is free
                 assert (await request(listen, job("c1"))).body == b"TEXT"
-                assert (await request(listen, write_message("GET /_health HTTP/1.1"))).status == 200
-                ready = await request(mgmt, write_message("GET /control/ready HTTP/1.1"))
+                assert (await request(listen, encode_message("GET /_health HTTP/1.1"))).status == 200
+                ready = await request(mgmt, encode_message("GET /control/ready HTTP/1.1"))
                 assert ready.status in (200, 503)
                 await failing.start_on(down)
                 # Until the endpoint list has the worker as draining.
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from example.toy import Discovery, Message, Server, read_message, request, write_message
+from example.toy import Discovery, Message, Server, encode_message, read_message, request
 from tests.site import document, job, run_scenario, site, until
 from weldquay.net import dispatcher_process as program
 from weldquay.net.lifecycle import Phase
@@ -32,10 +32,10 @@
             worker.script = worker.accept
             open_request = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
-            assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
+            assert (await request(here.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
             ending = asyncio.create_task(here.program.shut_down())
             await asyncio.sleep(0)
-            health = await request(here.address, write_message("GET /_health HTTP/1.1"))
+            health = await request(here.address, encode_message("GET /_health HTTP/1.1"))
             assert health.start_line.split()[1] == "503"
             late = asyncio.create_task(here.post("c2"))
             await worker.until("POST", "POST")
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -12,7 +12,7 @@
 import pytest
 
 import weldquay
-from example.toy import request, write_message
+from example.toy import encode_message, request
 from tests.site import CONFIG, site
 from weldquay.errors import OperatorError
 from weldquay.net.config import ConfigError, ConfigUnreadable, ConfigUnset, ReloadRefused, load, reload
@@ -97,7 +97,7 @@
     async def scenario() -> None:
         async with site() as here:
             address = f"127.0.0.1:{here.program.operators.port}"
-            answer = await request(address, write_message(f"{call} HTTP/1.1"))
+            answer = await request(address, encode_message(f"{call} HTTP/1.1"))
             document = json.loads(answer.body)
             assert answer.status == 404 and document["error"] == code and len(document["remedy"]) > 20
 
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from example.toy import Message, request, write_message
+from example.toy import Message, encode_message, request
 from tests.site import site
 
 IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-RETURNED_UNSTARTED = write_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
+RETURNED_UNSTARTED = encode_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
 
 
 def job_request(call: str, target: str) -> bytes:
     """A job request with all headers of PROTOCOL."""
-    return write_message(
+    return encode_message(
         f"POST {target} HTTP/1.1",
         b'{"route": [1, 2, 3]}',
         f"X-Correlation-Id: {call}",
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from example.toy import write_message
+from example.toy import encode_message
 from tests.site import Site, job, site, until
 from weldquay.net import connection_table
 from weldquay.net.client_connection import ClientConnection
@@ -182,11 +182,11 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (write_message("GET /lookup HTTP/1.1"), b"405"),
-        (write_message("POST /unknown HTTP/1.1"), b"404"),
+        (encode_message("GET /lookup HTTP/1.1"), b"405"),
+        (encode_message("POST /unknown HTTP/1.1"), b"404"),
         (b"nonsense\r\n\r\n", b"400"),
         (b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", b"413"),
-        (write_message("GET /_health HTTP/1.1"), b"200"),
+        (encode_message("GET /_health HTTP/1.1"), b"200"),
     ],
 )
 def test_the_last_answer_arrives_whatever_follows_the_request(
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from example.toy import Discovery, request, write_message
+from example.toy import Discovery, encode_message, request
 from tests.processes import free_port, wait_until_serving
 from tests.site import ScriptedWorker, document, job
 
@@ -67,7 +67,7 @@
 async def health(listen: str) -> int:
     """The status of a health check; 0 where no connection is accepted."""
     try:
-        return (await request(listen, write_message("GET /_health HTTP/1.1"))).status
+        return (await request(listen, encode_message("GET /_health HTTP/1.1"))).status
     except OSError:
         return 0
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from example.toy import Message, write_message
+from example.toy import Message, encode_message
 from tests.site import ACCEPTED, Script, ScriptedWorker, job, run_scenario, site, until
 from weldquay.net import attempt_runner, endpoint_list_adapter
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
@@ -26,12 +26,12 @@
 
 async def reject_as_overloaded(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: reject the job as overloaded, without starting it."""
-    writer.write(write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
+    writer.write(encode_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
 
 
 async def reject(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: reject the job as invalid for any worker."""
-    writer.write(write_message("HTTP/1.1 400 Bad Request"))
+    writer.write(encode_message("HTTP/1.1 400 Bad Request"))
 
 
 async def accept(_message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from example.toy import NO_LOAD, Discovery, Message, Server, write_message
+from example.toy import NO_LOAD, Discovery, Message, Server, encode_message
 from tests.helpers import MS, SECOND, DispatcherDriver, sends, settings
 from tests.newer_process import newer_process
 from tests.processes import free_port, wait_until_serving
@@ -68,7 +68,7 @@
         """Send the callback on the connection that this worker keeps, in ten attempts at most."""
         pool = self.pools.setdefault(name, Pool(self.dispatcher))
         callback = {"id": call, "from": name, "state": "done", "result": "done"}
-        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
                 await pool.send_request(data)
@@ -328,7 +328,7 @@
         pool = Pool(listen)
         for call in range(calls):
             head = f"X-Correlation-Id: c{number}-{call}", "X-Time-Left-Ms: 30000"
-            answer = await pool.send_request(write_message("POST /lookup/a HTTP/1.1", body, *head))
+            answer = await pool.send_request(encode_message("POST /lookup/a HTTP/1.1", body, *head))
             answers[answer.status] += 1
             max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
         pool.close()
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from example.toy import Message, Server, write_message
+from example.toy import Message, Server, encode_message
 from tests.site import run_scenario, site, until
 from weldquay.net import discovery_client
 
@@ -18,7 +18,7 @@
     ("answer", "drips", "limits"),
     [
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT),  # no heartbeat after it
-        (write_message("HTTP/1.1 503 Busy"), False, SHORT),
+        (encode_message("HTTP/1.1 503 Busy"), False, SHORT),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", False, SHORT),
         (b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revision":7,"mem', False, SHORT),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{", True, {"VALUE_TIMEOUT_S": 0.2}),
--- a/weldquay/lab/http.py
+++ b/weldquay/lab/http.py
@@ -39,7 +39,7 @@
     return Message(head[0], headers, body)
 
 
-def write_message(start_line: str, body: bytes = b"", *headers: str) -> bytes:
+def encode_message(start_line: str, body: bytes = b"", *headers: str) -> bytes:
     """Return the bytes of a message."""
     lines = [start_line, "Host: toy", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from weldquay.lab.http import Pool, write_message
+from weldquay.lab.http import Pool, encode_message
 from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body, settings
 from weldquay.lab.site import Node, make_node, reserve_address
 
@@ -74,7 +74,7 @@
         self.tally["requests"] += 1
         begun = time.monotonic()
         figures = (f"X-Correlation-Id: {call}", f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}")
-        data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
+        data = encode_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *figures)
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
                 answer = await self.pools[number].send_request(data)
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from weldquay.lab import model
-from weldquay.lab.http import Message, Pool, Server, write_line, write_message
+from weldquay.lab.http import Message, Pool, Server, encode_message, write_line
 
 HEARTBEAT_S = 2.0
 MAX_CALLBACK_ATTEMPTS = 10
@@ -45,9 +45,9 @@
             self._accept_job(message, writer, now_ns)
         elif message.method == "DELETE":
             self.model.cancel(now_ns, message.target.rsplit("/", 1)[1])
-            writer.write(write_message("HTTP/1.1 204 No Content"))
+            writer.write(encode_message("HTTP/1.1 204 No Content"))
         else:
-            writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self._load(now_ns)).encode()))
+            writer.write(encode_message("HTTP/1.1 200 OK", json.dumps(self._load(now_ns)).encode()))
         self._process_events()
 
     def _accept_job(self, message: Message, writer: asyncio.StreamWriter, now_ns: int) -> None:
@@ -56,10 +56,10 @@
         job = model.Job(request_id, needs["work_ns"], needs["slots"], needs["memory"])
         if self.model.offer(now_ns, job):
             self.callers[request_id] = self.caller(writer)
-            writer.write(write_message("HTTP/1.1 202 Accepted"))
+            writer.write(encode_message("HTTP/1.1 202 Accepted"))
         else:
             load = f"X-Backend-Load: {json.dumps(self._load(now_ns))}"
-            writer.write(write_message("HTTP/1.1 503 Full", b"", "X-Unprocessed: 1", load))
+            writer.write(encode_message("HTTP/1.1 503 Full", b"", "X-Unprocessed: 1", load))
 
     def _load(self, now_ns: int) -> dict[str, float]:
         report = self.model.report(now_ns)
@@ -107,7 +107,7 @@
 
     async def _send_callback(self, caller: int, callback: dict[str, Any]) -> None:
         """Send a call-back until it is acknowledged, with a limited number of attempts."""
-        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await self.pool(caller).send_request(data)).status in (200, 204):
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -19,7 +19,7 @@
 
 from weldquay.lab import load as loads
 from weldquay.lab import model
-from weldquay.lab.http import Message, Pool, request, write_message
+from weldquay.lab.http import Message, Pool, encode_message, request
 from weldquay.lab.servers import Discovery, MatchWorker
 
 READY_TIMEOUT_S = 10.0
@@ -83,7 +83,7 @@
 
     async def _is_healthy(self) -> bool:
         try:
-            return (await request(self.address, write_message("GET /_health HTTP/1.1"))).status == 200
+            return (await request(self.address, encode_message("GET /_health HTTP/1.1"))).status == 200
         except (OSError, asyncio.IncompleteReadError):
             return False
 
@@ -159,7 +159,7 @@
         body = json.dumps({"work_ns": arrival.work_ns, **facts}).encode()
         hint = [] if arrival.hint_ns is None else [f"X-Weight-Hint: {arrival.hint_ns // 1000}"]
         return await self.pools[arrival.dispatcher].send_request(
-            write_message(
+            encode_message(
                 f"POST /{job_class.name}/run HTTP/1.1",
                 body,
                 f"X-Correlation-Id: {arrival.number:x}-{number}",
--- a/weldquay/lab/soak/clients.py
+++ b/weldquay/lab/soak/clients.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from weldquay.lab.http import read_message, write_message
+from weldquay.lab.http import encode_message, read_message
 
 CLIENTS = 10
 PAUSE_S = 0.04  # mean time between two requests of a client
@@ -121,7 +121,7 @@
         status, is_result_correct, outcome = 0, True, RequestOutcome.ANSWERED
         try:
             async with asyncio.timeout(self.client_timeout_s + ANSWER_GRACE_S):
-                writer.write(write_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
+                writer.write(encode_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
                 answer = await read_message(reader)
                 status = answer.status
                 is_result_correct = status != 200 or answer.body == request_id.upper().encode()
--- a/weldquay/lab/soak/processes.py
+++ b/weldquay/lab/soak/processes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from weldquay.lab.http import request, write_message
+from weldquay.lab.http import encode_message, request
 from weldquay.lab.soak.plan import ProcessFault, TimedFault
 
 MAX_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL further
@@ -91,7 +91,7 @@
     async def _is_healthy(self) -> bool:
         with suppress(OSError, asyncio.IncompleteReadError):  # TimeoutError is an OSError
             async with asyncio.timeout(HEALTH_TIMEOUT_S):
-                return (await request(self.address, write_message("GET /_health HTTP/1.1"))).status == 200
+                return (await request(self.address, encode_message("GET /_health HTTP/1.1"))).status == 200
         return False
 
     async def terminate(self, process: asyncio.subprocess.Process, signals: int = 2) -> None:
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from weldquay.lab import servers
-from weldquay.lab.http import Message, Server, read_message, request, write_line, write_message
+from weldquay.lab.http import Message, Server, encode_message, read_message, request, write_line
 from weldquay.lab.site import reserve_address
 from weldquay.lab.soak.plan import WorkerFault
 
@@ -96,10 +96,10 @@
             self._accept(message, writer)
         elif message.method == "DELETE":
             self._cancel(message.target.rsplit("/", 1)[1])
-            writer.write(write_message("HTTP/1.1 204 No Content"))
+            writer.write(encode_message("HTTP/1.1 204 No Content"))
         elif self.fault is not WorkerFault.HANG:
             load = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": max(0, SLOTS - len(self.jobs)), "x1": SLOTS}
-            writer.write(write_message("HTTP/1.1 200 OK", json.dumps(load).encode()))
+            writer.write(encode_message("HTTP/1.1 200 OK", json.dumps(load).encode()))
 
     def _accept(self, message: Message, writer: asyncio.StreamWriter) -> None:
         request_id = message.headers["x-correlation-id"]
@@ -110,7 +110,7 @@
         elif self.fault is WorkerFault.HANG:
             self.hung_requests.add(request_id)
         else:
-            writer.write(write_message("HTTP/1.1 202 Accepted"))
+            writer.write(encode_message("HTTP/1.1 202 Accepted"))
             if self.fault is WorkerFault.ACCEPT_AND_HANG:
                 self.hung_requests.add(request_id)
                 return
@@ -144,7 +144,7 @@
             "state": "done",
             "result": body.decode().upper(),
         }
-        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with suppress(OSError, asyncio.IncompleteReadError):
                 async with asyncio.timeout(CALLBACK_TIMEOUT_S):
