--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,14 +100,14 @@
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
 ) -> tuple[DispatcherDriver, api.Send]:
     """Return a driver with four workers, and the first attempt of request 7."""
-    rules = job_class(
+    class_settings = job_class(
         idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
-    drive = DispatcherDriver(settings(classes=(rules,)), workers=4)
-    for worker in drive.worker_ids:
-        drive.report(worker, 3.0)
-    (send,) = sends(drive.step(api.RequestReceived(7, 0, 10 * SECOND)))
-    return drive, send
+    driver = DispatcherDriver(settings(classes=(class_settings,)), workers=4)
+    for worker in driver.worker_ids:
+        driver.report(worker, 3.0)
+    (send,) = sends(driver.step(api.RequestReceived(7, 0, 10 * SECOND)))
+    return driver, send
 
 
 class DiscoveryModel:
--- a/tests/site.py
+++ b/tests/site.py
@@ -147,8 +147,8 @@
     """Return the configuration of the example with changed settings, by group."""
     config_document: dict[str, Any] = json.loads(CONFIG.read_text())
     for group, values in settings.items():
-        before = config_document["settings"].get(group)
-        config_document["settings"][group] = {**before, **values} if isinstance(before, dict) else values
+        current = config_document["settings"].get(group)
+        config_document["settings"][group] = {**current, **values} if isinstance(current, dict) else values
     return config_document
 
 
@@ -172,12 +172,12 @@
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
     await program.start()
-    here = Site(program, toy_discovery, fleet)
+    running_site = Site(program, toy_discovery, fleet)
     for worker in fleet:
-        worker.dispatcher = here.address
+        worker.dispatcher = running_site.address
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield here
+            yield running_site
     finally:
         program.hot_restart.stop()
         for part in (program.tasks, program.operators, program.discovery, program.server, program.workers):
--- a/weldquay/lab/soak/plan.py
+++ b/weldquay/lab/soak/plan.py
@@ -13,7 +13,7 @@
 CLIENT_TIMEOUTS_S = (0.6, 1.5, 3.0)  # SIGKILL follows SIGTERM by the longest timeout plus 0.7 s
 CONNECTION_FLOOD_FRACTION = 0.3  # of all rounds
 CONNECTION_FLOOD_SIZE = 400  # idle connections to each dispatcher, above its connection limit
-BRIEF_RECOVERY_S = 0.7  # longer than discovery can be back without being noticed
+BRIEF_RECOVERY_S = 0.7  # longer than a recovery of discovery can go unnoticed
 
 
 class ProcessFault(Enum):
@@ -23,7 +23,7 @@
     RESTART = "SIGTERM twice, then a new process"
     EARLY_TERMINATION = "SIGTERM twice, then a new process that gets SIGTERM right after its start"
     HOT_RESTART = "hot restart, then SIGTERM to the older process"
-    HOT_RESTART_RACE = "hot restart, with SIGTERM to the older process before the newer one is ready"
+    HOT_RESTART_RACE = "hot restart, with SIGTERM to the older process without waiting for the newer one"
 
 
 class DiscoveryFault(Enum):
@@ -39,7 +39,7 @@
 class WorkerFault(Enum):
     """A fault of a worker."""
 
-    HANG = "responds to no request"
+    HANG = "does not respond to requests"
     ACCEPT_AND_HANG = "accepts jobs and does not run them"
     RESET = "resets the connection of each job"
     DRAIN = "is listed as draining, and completes its jobs"
