--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -51,7 +51,7 @@
         "listen": "127.0.0.1:0",
         "mgmt": None,
         "discovery": discovery.address,
-        "known": discovery.told(),
+        "known": discovery.list_document(),
     }
     path = Path(folder) / "config.json"
     path.write_text(json.dumps(document))
@@ -81,7 +81,7 @@
         for round_number in range(max(MEASURED_AFTER_ROUNDS) + 1):
             if round_number:
                 discovery.members = create_discovery(worker_count, round_number).members
-                await discovery.tell()
+                await discovery.notify_watches()
             await asyncio.sleep(SETTLING_TIME_S)
             if round_number in MEASURED_AFTER_ROUNDS:
                 sizes_mb.append(resident_mb(process.pid))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -35,7 +35,7 @@
     count_received_between,
     count_repeated,
 )
-from example.toy import RUN_S, Discovery, Message, Worker, read_message, request, write_message
+from example.toy import RUN_S, Discovery, Message, Worker, encode_message, read_message, request
 
 CONFIG_PATH = ROOT / "example" / "config.json"
 WORKERS = 4
@@ -70,14 +70,14 @@
             self.received.append(ReceivedJob(message.headers["x-correlation-id"], time.monotonic()))
         await super().answer(message, writer)
 
-    async def run(self, call: str, body: bytes) -> None:
+    async def run(self, request_id: str, body: bytes) -> None:
         """Run one job; unlike the toy worker, print nothing."""
-        await self.tell(call, state="started")
+        await self.send_callback(request_id, state="started")
         await asyncio.sleep(RUN_S)
-        self.jobs.pop(call, None)
-        await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
+        self.jobs.pop(request_id, None)
+        await self.send_callback(request_id, state="done", result=body.decode().upper(), load=self.load())
 
-    async def tell(self, call: str, **fields: Any) -> Message:
+    async def send_callback(self, request_id: str, **fields: Any) -> Message:
         """Send one callback, with retries until there is a response.
 
         Raises:
@@ -85,7 +85,7 @@
         """
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with suppress(OSError, asyncio.IncompleteReadError):
-                return await super().tell(call, **fields)
+                return await super().send_callback(request_id, **fields)
             await asyncio.sleep(POLL_INTERVAL_S)
         self.unanswered_callbacks += 1
         raise ConnectionError("no attempt to send a callback got a response")
@@ -127,7 +127,7 @@
 
     async def send_operator_request(self, method: str, path: str) -> int:
         """Send an operator request and return the status of the response."""
-        data = write_message(f"{method} /control/{path} HTTP/1.1")
+        data = encode_message(f"{method} /control/{path} HTTP/1.1")
         return (await request(self.operator_address, data)).status
 
     async def is_ready(self) -> bool:
@@ -196,7 +196,7 @@
         headers = (f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {CLIENT_TIMEOUT_MS}")
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                writer.write(write_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
+                writer.write(encode_message(f"POST {path} HTTP/1.1", request_id.encode(), *headers))
                 response = await read_message(reader)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.figures.results[RequestResult.LOST] += 1
@@ -249,7 +249,7 @@
         document |= {
             "listen": self.address,
             "discovery": self.discovery.address,
-            "known": self.discovery.told(),
+            "known": self.discovery.list_document(),
         }
         self.config.write_text(json.dumps(document))
 
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,8 +1,9 @@
-"""A toy discovery and three toy match workers, in one process on the loopback.
+"""A toy discovery and three toy match workers, in one process on loopback.
 
-Run it as `python -m example.toy example/config.json`, beside a dispatcher with the same configuration.  It
-is an example to read: it has no limits and no checks, and a job's result is its body in capitals.  The
-servers are those of `weldquay/lab/`, which also has match workers with slots, queues and speeds.
+Run it as `python -m example.toy example/config.json`, together with a dispatcher that has the same
+configuration.  It is a minimal example, without limits and input checks; the result of a job is its body in
+upper case.  Its servers come from `weldquay/lab/`, which also has match workers with slots, queues and
+speeds.
 """
 
 from __future__ import annotations
@@ -15,39 +16,39 @@
 from typing import Any
 
 from weldquay.lab import servers
-from weldquay.lab.http import Message, Server, read_message, request, write_message
+from weldquay.lab.http import Message, Server, encode_message, read_message, request
 
-__all__ = ["Discovery", "Message", "Server", "Worker", "read_message", "request", "write_message"]
+__all__ = ["Discovery", "Message", "Server", "Worker", "encode_message", "read_message", "request"]
 
-SLOTS = 4  # jobs that a worker runs at once, by its report
+SLOTS = 4  # concurrent jobs of a worker, according to its load report
 RUN_S = 0.2  # running time of a job
 NO_LOAD = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
 
 
 class Worker(Server):
-    """A match worker, which answers 202 at once and sends call-backs to the dispatcher."""
+    """A match worker that accepts each job with 202 and sends call-backs to the dispatcher."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__()
         self.name, self.dispatcher = name, dispatcher
         self.jobs: dict[str, asyncio.Task[None]] = {}
-        self.tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
+        self.tasks: set[asyncio.Task[None]] = set()  # the event loop keeps only weak references to tasks
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Start a job (POST), cancel one (DELETE) or report the load (GET)."""
         if message.method == "POST":
-            call = message.headers["x-correlation-id"]
-            self.jobs[call] = task = asyncio.create_task(self.run(call, message.body))
+            request_id = message.headers["x-correlation-id"]
+            self.jobs[request_id] = task = asyncio.create_task(self.run(request_id, message.body))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-            writer.write(write_message("HTTP/1.1 202 Accepted"))
+            writer.write(encode_message("HTTP/1.1 202 Accepted"))
         elif message.method == "DELETE":
             job = self.jobs.pop(message.target.rsplit("/", 1)[1], None)
             if job is not None:
                 job.cancel()
-            writer.write(write_message("HTTP/1.1 204 No Content"))
+            writer.write(encode_message("HTTP/1.1 204 No Content"))
         else:
-            writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self.load()).encode()))
+            writer.write(encode_message("HTTP/1.1 200 OK", json.dumps(self.load()).encode()))
 
     def load(self) -> dict[str, float]:
         """Return the load report."""
@@ -57,35 +58,35 @@
             "pending": max(0, len(self.jobs) - SLOTS),
         }
 
-    async def run(self, call: str, body: bytes) -> None:
+    async def run(self, request_id: str, body: bytes) -> None:
         """Run one job and send its call-backs."""
-        await self.tell(call, state="started")
+        await self.send_callback(request_id, state="started")
         await asyncio.sleep(RUN_S)
-        self.jobs.pop(call, None)
-        print(f"{self.name} ran {call}", flush=True)
-        await self.tell(call, state="done", result=body.decode().upper(), load=self.load())
+        self.jobs.pop(request_id, None)
+        print(f"{self.name} ran {request_id}", flush=True)
+        await self.send_callback(request_id, state="done", result=body.decode().upper(), load=self.load())
 
-    async def tell(self, call: str, **what: Any) -> Message:
-        """Send one call-back and return the dispatcher's answer."""
-        body = json.dumps({"id": call, "from": self.name, **what}).encode()
-        return await request(self.dispatcher, write_message("POST /callback HTTP/1.1", body))
+    async def send_callback(self, request_id: str, **fields: Any) -> Message:
+        """Send one call-back and return the dispatcher's response."""
+        body = json.dumps({"id": request_id, "from": self.name, **fields}).encode()
+        return await request(self.dispatcher, encode_message("POST /callback HTTP/1.1", body))
 
 
 class Discovery(servers.Discovery):
-    """The list of toy workers."""
+    """A discovery that lists toy workers."""
 
     def add(self, worker: Worker, phase: str = "SERVING") -> None:
-        """List a worker, without a message to the watches."""
+        """Add or replace a worker without notifying the watches."""
         self.put(worker.name, [worker.address], phase)
 
     async def change(self, worker: Worker, phase: str) -> None:
-        """Change a worker's phase and send the list to all watches."""
+        """Change a worker's phase and notify the watches."""
         self.add(worker, phase)
-        await self.tell()
+        await self.notify_watches()
 
 
 async def main(config: dict[str, Any]) -> None:
-    """Serve until interrupted, at the addresses of a dispatcher's configuration."""
+    """Serve until interrupted, with the addresses of a dispatcher's configuration."""
     discovery = Discovery()
     await discovery.start(int(config["discovery"].rsplit(":", 1)[1]))
     for number in range(3):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from example.toy import Message, write_message
-from tests.site import ACCEPTED, Script, Scripted, job, play, site, until
+from example.toy import Message, encode_message
+from tests.site import ACCEPTED, Script, ScriptedWorker, job, run_scenario, site, until
 from weldquay.net import attempt_runner, endpoint_list_adapter
 from weldquay.net.connection_pool import MAX_IDLE_PER_WORKER
 from weldquay.net.worker_connection import WorkerConnection
@@ -26,12 +26,12 @@
 
 async def reject_as_overloaded(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: reject the job as overloaded, without starting it."""
-    writer.write(write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
+    writer.write(encode_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1"))
 
 
 async def reject(_message: Message, writer: asyncio.StreamWriter) -> None:
     """A script: reject the job as invalid for any worker."""
-    writer.write(write_message("HTTP/1.1 400 Bad Request"))
+    writer.write(encode_message("HTTP/1.1 400 Bad Request"))
 
 
 async def accept(_message: Message, writer: asyncio.StreamWriter) -> None:
@@ -50,8 +50,8 @@
     async def scenario() -> None:
         async with site() as running_site:
             response = await running_site.post("id-7")
-            assert (response.start.split()[1], response.body) == ("200", b"TEXT")
-            (seen,) = [message for message in running_site.workers[0].seen if message.method == "POST"]
+            assert (response.start_line.split()[1], response.body) == ("200", b"TEXT")
+            (seen,) = [message for message in running_site.workers[0].received if message.method == "POST"]
             assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
                 b"text",
@@ -59,7 +59,7 @@
             )
             assert 4000 < int(seen.headers["x-time-left-ms"]) <= 5000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -85,10 +85,10 @@
             response = await running_site.post(
                 path=path, left_ms=left_ms
             )  # site() asserts that it was not late
-            assert response.start.split()[1] == status
+            assert response.start_line.split()[1] == status
             await running_site.workers[0].until("POST", "DELETE")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -118,10 +118,10 @@
             for worker in running_site.workers:
                 worker.script = fail_once
             response = await running_site.post(path=path)
-            assert response.start.split()[1] == ("200" if posts == 2 else "502")
+            assert response.start_line.split()[1] == ("200" if posts == 2 else "502")
             assert sum(worker.methods().count("POST") for worker in running_site.workers) == posts
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def stall(duration_s: float) -> None:
@@ -155,11 +155,11 @@
                 else:
                     running_site.workers[0].stop()
                 responses = [await running_site.post(f"c{number}", "/import") for number in range(4)]
-            assert {response.start.split()[1] for response in responses} == {"200"}
+            assert {response.start_line.split()[1] for response in responses} == {"200"}
             assert running_site.workers[1].methods() == ["POST"] * 4
             assert running_site.program.counters.counts["worker_connections_failed"] >= 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_rejection_has_retry_after() -> None:
@@ -169,10 +169,10 @@
         async with site() as running_site:
             running_site.workers[0].script = reject_as_overloaded
             response = await running_site.post(left_ms=300)
-            assert response.start.split()[1] == "503"
+            assert response.start_line.split()[1] == "503"
             assert 0 < float(response.headers["retry-after"]) <= 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_is_ended_by_first_callback_of_its_worker() -> None:
@@ -183,11 +183,11 @@
             worker, accepted = running_site.workers[0], asyncio.Event()
 
             async def report_before_accepting(message: Message, writer: asyncio.StreamWriter) -> None:
-                unrelated_worker = Scripted("stranger", running_site.address)
+                unrelated_worker = ScriptedWorker("stranger", running_site.address)
                 for sender, result in ((unrelated_worker, "forged"), (worker, "mine"), (worker, "mine")):
                     request_id = message.headers["x-correlation-id"]
-                    response = await sender.tell(request_id, state="done", result=result)
-                    assert response.start.split()[1] == "204"
+                    response = await sender.send_callback(request_id, state="done", result=result)
+                    assert response.start_line.split()[1] == "204"
                 writer.write(ACCEPTED)
                 accepted.set()
 
@@ -197,7 +197,7 @@
             assert running_site.program.counters.counts["attempts_ok"] == 1
             assert running_site.program.counters.counts["callbacks_unmatched"] == 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_client_disconnection_cancels_attempts() -> None:
@@ -211,10 +211,10 @@
             await running_site.workers[0].until("POST")
             writer.close()
             await running_site.workers[0].until("POST", "DELETE")
-            assert running_site.workers[0].seen[-1].target == "/jobs/c1"
+            assert running_site.workers[0].received[-1].target == "/jobs/c1"
             assert running_site.program.counters.counts["clients_disconnected"] == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("has_started", [False, True])
@@ -225,18 +225,20 @@
 
     async def scenario() -> None:
         async with site(workers=2) as running_site:
-            silent_workers: list[Scripted] = []
+            silent_workers: list[ScriptedWorker] = []
 
             async def stop_responding(message: Message, _writer: asyncio.StreamWriter) -> None:
-                worker = next(candidate for candidate in running_site.workers if message in candidate.seen)
+                worker = next(
+                    candidate for candidate in running_site.workers if message in candidate.received
+                )
                 silent_workers.append(worker)
                 for other in running_site.workers:
                     other.script = None
                 request_id = message.headers["x-correlation-id"]
                 if has_started:
-                    await worker.tell(request_id, state="started")
+                    await worker.send_callback(request_id, state="started")
                     await until(lambda: running_site.program.counters.counts["worker_responses_missing"])
-                    await worker.tell(request_id, state="done", result="late")
+                    await worker.send_callback(request_id, state="done", result="late")
                 await asyncio.sleep(3600)
 
             for worker in running_site.workers:
@@ -247,7 +249,7 @@
             await until(lambda: silent_workers[0].methods()[:2] == expected)
 
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_after_stall_decision_step_runs_before_overdue_timer() -> None:
@@ -259,10 +261,10 @@
             response = asyncio.create_task(running_site.post(left_ms=300))
             await running_site.workers[0].until("POST")
             stall(0.5)
-            assert (await response).start.split()[1] == "503"
+            assert (await response).start_line.split()[1] == "503"
             assert not running_site.program.counters.counts["requests_past_deadline"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_draining_worker_gets_no_new_attempts() -> None:
@@ -276,7 +278,7 @@
                 await running_site.post(f"c{number}")
             assert running_site.workers[0].methods() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", None])
@@ -306,15 +308,15 @@
             )
             if phase is None:
                 del running_site.discovery.members[departing_worker.name]
-                await running_site.discovery.tell()
+                await running_site.discovery.notify_watches()
             else:
                 await running_site.discovery.change(departing_worker, phase)
             await until(lambda: running_site.program.discovery.revision == running_site.discovery.revision)
             list_received.set()
-            assert {(await response).start.split()[1] for response in responses} == {"200"}
+            assert {(await response).start_line.split()[1] for response in responses} == {"200"}
             assert departing_worker.methods() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_departed_workers_are_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -346,7 +348,7 @@
 
     monkeypatch.setattr(worker_table, "MAX_REMOVED_WORKERS", 2)
     monkeypatch.setattr(endpoint_list_adapter, "MAX_REMOVED_WORKERS", 2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_closed_by_worker_is_not_reused() -> None:
@@ -355,13 +357,13 @@
     async def scenario() -> None:
         async with site() as running_site:
             for number in range(3):
-                assert (await running_site.post(f"c{number}", "/import")).start.split()[1] == "200"
+                assert (await running_site.post(f"c{number}", "/import")).start_line.split()[1] == "200"
                 for writer in list(running_site.workers[0].writers):
                     writer.close()
                     await writer.wait_closed()
             assert running_site.program.counters.counts["attempts_reset"] == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_non_idempotent_job_uses_new_connection() -> None:
@@ -378,7 +380,7 @@
                     return
                 used_writers.add(writer)
                 writer.write(ACCEPTED)
-                await worker.tell(message.headers["x-correlation-id"], state="done", result="ok")
+                await worker.send_callback(message.headers["x-correlation-id"], state="done", result="ok")
 
             worker.script = reset_reused_connection
             for number in range(6):
@@ -388,7 +390,7 @@
                 <= MAX_IDLE_PER_WORKER
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_worker_has_at_most_one_attempt_of_request_at_a_time() -> None:
@@ -406,4 +408,4 @@
             assert (await running_site.post()).body == b"TEXT"
             assert worker.methods() == ["POST", "DELETE", "POST"]
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from example.toy import Message, write_message
-from tests.site import ACCEPTED, Script, Scripted, Site, job, site, until
+from example.toy import Message, encode_message
+from tests.site import ACCEPTED, Script, ScriptedWorker, Site, job, site, until
 from weldquay.net import attempt_runner
 
-OVERLOADED = write_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
+OVERLOADED = encode_message("HTTP/1.1 503 Busy", b"", "X-Unprocessed: 1")
 
 
 async def truncated_head(_message: Message, writer: asyncio.StreamWriter) -> None:
@@ -101,7 +101,7 @@
                         )
                     )
                     writer.write(OVERLOADED)
-                await worker.tell(request_id, state="done", result="one")
+                await worker.send_callback(request_id, state="done", result="one")
 
             worker.script = respond_twice
             assert (await here.post("c1")).body == b"one"
@@ -113,10 +113,10 @@
     asyncio.run(scenario())
 
 
-def completion_callback(request_id: str, worker: Scripted, result: str) -> bytes:
+def completion_callback(request_id: str, worker: ScriptedWorker, result: str) -> bytes:
     """Return the bytes of a callback that completes a job."""
     body = json.dumps({"id": request_id, "from": worker.name, "state": "done", "result": result}).encode()
-    return write_message("POST /callback HTTP/1.1", body)
+    return encode_message("POST /callback HTTP/1.1", body)
 
 
 async def connect(here: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -186,7 +186,7 @@
     async def scenario() -> None:
         async with site() as here:
             worker = here.workers[0]
-            worker.script = worker.telling("q" * 60_000)
+            worker.script = worker.completing_with("q" * 60_000)
             sock = socket.create_connection(("127.0.0.1", here.program.server.port))
             sock.setblocking(False)
             sock.send(job(path=path))
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -220,7 +220,9 @@
         )
         for entry in entries[update % 4 :]:
             report = api.LoadReport(float(update % 3), 8.0, 1.0)
-            dispatcher.step(simulation.now_ns, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)])
+            dispatcher.step(
+                simulation.now_ns, [api.ProbeEnded(entry.worker, api.Outcome.OK, 1_000_000, report)]
+            )
         dispatcher.step(simulation.now_ns, simulation.next_request())
         index.begin_step()
         grouped_count = sum(len(group.members) for group in groups.by_key.values())
--- a/tests/test_client_disconnections.py
+++ b/tests/test_client_disconnections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from example.toy import Message, write_message
+from example.toy import Message, encode_message
 from tests.site import ACCEPTED, Site, job, site, until
 from weldquay.net.hot_restart_messages import MigratedConnection
 from weldquay.net.worker_connection import WorkerConnection
@@ -201,7 +201,7 @@
             body = b"y" * 30_000
             for number in range(4):
                 writer.write(
-                    write_message(
+                    encode_message(
                         "POST /lookup HTTP/1.1", body, f"X-Correlation-Id: c{number}", "X-Time-Left-Ms: 5000"
                     )
                 )
@@ -224,7 +224,7 @@
             async def complete_later(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(ACCEPTED)
                 await may_finish.wait()
-                await worker.tell(message.headers["x-correlation-id"], state="done", result="late")
+                await worker.send_callback(message.headers["x-correlation-id"], state="done", result="late")
 
             worker.script = complete_later
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from example.toy import read_message, request, write_message
-from tests.site import job, play, site, until
+from example.toy import encode_message, read_message, request
+from tests.site import job, run_scenario, site, until
 from weldquay.net import client_server, connection_table, dispatcher_process, http_channel
 from weldquay.net.connection_state import ConnectionState
 
@@ -19,7 +19,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            here.workers[0].script = here.workers[0].telling("x" * 60_000)
+            here.workers[0].script = here.workers[0].completing_with("x" * 60_000)
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", here.program.server.port))
@@ -34,7 +34,7 @@
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.1)
-    play(scenario())
+    run_scenario(scenario())
 
 
 HEAD = b"POST /lookup HTTP/1.1\r\nHost: a\r\n"
@@ -89,13 +89,13 @@
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(data)
-            assert [(await read_message(reader)).start.split()[1] for _ in statuses] == statuses
+            assert [(await read_message(reader)).start_line.split()[1] for _ in statuses] == statuses
             assert await reader.read() == b""
             assert here.workers[0].methods() == ["POST"] * statuses.count("200")
             assert here.program.counters.counts["requests"] == statuses.count("200")
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 PARTIAL_REQUESTS = [b"", b"POST /loo", HEAD, HEAD + b"X-Correlation-Id: a\r\nContent-Length: 9\r\n\r\nhalf"]
@@ -124,7 +124,7 @@
             writer.close()
 
     monkeypatch.setattr(connection_table, "REQUEST_TIMEOUT_S", 0.2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_that_arrived_during_a_stall_is_answered() -> None:
@@ -144,7 +144,7 @@
             assert (await read_message(reader)).status == 200
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_keeps_sending_parts_of_a_request_is_rejected() -> None:
@@ -165,7 +165,7 @@
             assert (await read_message(reader)).status == 408
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def send_megabytes(writer: asyncio.StreamWriter, count: int) -> None:
@@ -182,12 +182,12 @@
         async with site() as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
             writer.write(HEAD + b"X-Correlation-Id: a\r\nContent-Length: 60000000\r\n\r\n")
-            assert (await read_message(reader)).start.split()[1] == "413"
+            assert (await read_message(reader)).start_line.split()[1] == "413"
             with pytest.raises(ConnectionError):
                 await send_megabytes(writer, 60)
             assert not here.program.server.connections
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_many_idle_connections_block_neither_requests_nor_callbacks() -> None:
@@ -204,13 +204,13 @@
                 for _ in range(20):
                     incomplete.append(await asyncio.open_connection("127.0.0.1", here.program.server.port))
                     incomplete[-1][1].write(b"GET /_he")
-                assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
+                assert (await request(here.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
                 assert len(here.program.server.connections) <= 10
             assert here.program.counters.counts["client_connections_evicted_reading"] >= 80
             for _, other_writer in [*incomplete, (reader, writer)]:
                 other_writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_silent_connections_are_evicted_before_one_that_receives_a_request_in_pieces() -> None:
@@ -232,7 +232,7 @@
             for _, other_writer in [*silent, (reader, writer)]:
                 other_writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_idle_connection_with_an_unread_request_is_not_evicted() -> None:
@@ -255,7 +255,7 @@
             assert not idle.has_unread_data() and server.table.evict_one()
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_few_connections_are_accepted_per_loop_iteration() -> None:
@@ -273,7 +273,7 @@
             for sock in socks:
                 sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_malformed_input_does_not_affect_another_connection() -> None:
@@ -286,14 +286,14 @@
                 bad_reader, bad_writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
                 bad_writer.write(data)
                 answer = await read_message(bad_reader)
-                assert int(answer.start.split()[1]) == status, data[:80]
+                assert int(answer.start_line.split()[1]) == status, data[:80]
                 assert await bad_reader.read() == b"", data[:80]
                 bad_writer.close()
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
             assert http_channel.MAX_HEAD_BYTES < 20_000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_above_the_limit_are_rejected_at_once() -> None:
@@ -306,8 +306,8 @@
             first = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
             second = await here.post("c2")
-            assert (second.start.split()[1], second.headers["retry-after"]) == ("503", "2.000")
-            await worker.tell("c1", state="done", result="ok")
+            assert (second.start_line.split()[1], second.headers["retry-after"]) == ("503", "2.000")
+            await worker.send_callback("c1", state="done", result="ok")
             assert (await first).body == b"ok"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,11 +10,11 @@
 import sys
 from typing import Any
 
-from example.toy import request, write_message
-from tests.failing_discovery import Failing, revision_then_reset
+from example.toy import encode_message, request
+from tests.failing_discovery import FailingDiscovery, revision_then_reset
 from tests.processes import free_port, wait_until_serving
-from tests.site import Scripted, document, job
-from weldquay.lab.site import reserve
+from tests.site import ScriptedWorker, document, job
+from weldquay.lab.site import reserve_address
 from weldquay.limits import MIN_SOCKETS
 
 IDLE_CLIENTS = MIN_SOCKETS + 60  # more than the descriptor limit
@@ -30,10 +30,10 @@
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
-        worker, failing = Scripted("w0", listen), Failing(revision_then_reset, 1)
+        worker, failing = ScriptedWorker("w0", listen), FailingDiscovery(revision_then_reset, 1)
         await worker.start()
         await failing.start()
-        failing.address_told = worker.address
+        failing.worker_address = worker.address
         address = failing.address
         path = tmp_path / "config.json"
         config = document()
@@ -65,15 +65,15 @@
                 await wait_until_serving(process)
                 assert (await request(listen, job("c0"))).body == b"TEXT"  # by the configuration's list
                 failing.stop()
-                reserved_socket, _ = reserve(address)
+                reserved_socket, _ = reserve_address(address)
                 host, port = listen.split(":")
                 for _ in range(IDLE_CLIENTS):
                     idle_clients.append(socket.create_connection((host, int(port))))
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
                 assert open_descriptors <= MIN_SOCKETS - 20  # the reserved descriptors are free
                 assert (await request(listen, job("c1"))).body == b"TEXT"
-                assert (await request(listen, write_message("GET /_health HTTP/1.1"))).status == 200
-                ready = await request(mgmt, write_message("GET /control/ready HTTP/1.1"))
+                assert (await request(listen, encode_message("GET /_health HTTP/1.1"))).status == 200
+                ready = await request(mgmt, encode_message("GET /control/ready HTTP/1.1"))
                 assert ready.status in (200, 503)
                 await failing.start_on(reserved_socket)
                 # Repeat until the new endpoint list reports the worker as draining.
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -21,7 +21,7 @@
 from weldquay.discovery.backoff import Backoff
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, MAX_UNOBSERVED_NS
 from weldquay.interface import DiscoveryFailure
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net.config import Address
 from weldquay.net.discovery_client import CONNECT_TIMEOUT_S, SAMPLED_FAILURES
 from weldquay.net.reachability_sampler import SAMPLE_INTERVAL_S, SAMPLE_TIMEOUT_S
@@ -211,7 +211,7 @@
         await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
         address = here.discovery.address
         here.discovery.stop()
-        bound, _ = reserve(address)
+        bound, _ = reserve_address(address)
         with bound:
             await until(lambda: here.program.counters.counts["discovery_polls_refused"])
             yield here, address
@@ -220,7 +220,7 @@
 async def accept_briefly(address: str, seconds: float) -> None:
     """Accept connections at discovery's address for some seconds, without a response."""
     server = UnresponsiveDiscovery()
-    sock, _ = reserve(address)
+    sock, _ = reserve_address(address)
     await server.start_on(sock)
     await asyncio.sleep(seconds)
     server.stop()
@@ -275,7 +275,7 @@
 
     async def scenario() -> None:
         async with site_during_outage() as (here, _):
-            other, other_address = reserve()
+            other, other_address = reserve_address()
             host, port = other_address.split(":")
             here.program.discovery.reconfigure(
                 replace(here.program.config, discovery=Address(host, int(port)))
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from example.toy import Discovery, Message, Server, read_message, request, write_message
-from tests.site import document, job, play, site, until
+from example.toy import Discovery, Message, Server, encode_message, read_message, request
+from tests.site import document, job, run_scenario, site, until
 from weldquay.net import dispatcher_process
 from weldquay.net.lifecycle import Phase
 
@@ -32,23 +32,23 @@
             worker.script = worker.accept
             open_request = asyncio.create_task(here.post("c1"))
             await worker.until("POST")
-            assert (await request(here.address, write_message("GET /_health HTTP/1.1"))).body == b"ok"
+            assert (await request(here.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
             shutdown = asyncio.create_task(here.program.shut_down())
             await asyncio.sleep(0)
-            health = await request(here.address, write_message("GET /_health HTTP/1.1"))
-            assert health.start.split()[1] == "503"
+            health = await request(here.address, encode_message("GET /_health HTTP/1.1"))
+            assert health.start_line.split()[1] == "503"
             late_request = asyncio.create_task(here.post("c2"))
             await worker.until("POST", "POST")
             await until(lambda: here.program.phase is Phase.CLOSING)
             for request_id in ("c1", "c2"):
-                await worker.tell(request_id, state="done", result=request_id)
+                await worker.send_callback(request_id, state="done", result=request_id)
             for request_id, answer in (("c1", await open_request), ("c2", await late_request)):
                 assert (answer.body.decode(), answer.headers["connection"]) == (request_id, "close")
             await shutdown
             assert here.program.phase is Phase.STOPPED
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_shutdown_keeps_client_connections_for_a_while() -> None:
@@ -67,7 +67,7 @@
             writer.close()
             await shutdown
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("path", "status"), [("/lookup", "503"), ("/import", "502")])
@@ -82,12 +82,12 @@
             open_request = asyncio.create_task(here.post(path=path))
             await here.workers[0].until("POST")
             await here.program.shut_down()
-            assert (await open_request).start.split()[1] == status
+            assert (await open_request).start_line.split()[1] == status
             await here.workers[0].until("POST", "DELETE")
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     monkeypatch.setattr(dispatcher_process, "MAX_CLIENT_TIMEOUT_S", 0.0)
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("is_draining", [False, True])
@@ -124,7 +124,7 @@
             )
             await until(lambda: here.program.discovery.revision == 8)
             assert here.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
-            await busy_worker.tell("c1", state="done", result="kept")
+            await busy_worker.send_callback("c1", state="done", result="kept")
             assert (await open_request).body == b"kept"
             if shutdown is not None:
                 await shutdown
@@ -134,7 +134,7 @@
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
     monkeypatch.setenv("GW_DISCOVERY", "127.0.0.1:1")  # a reload ignores this variable
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_settings_change_while_requests_are_open(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -162,20 +162,20 @@
             path.write_text(json.dumps(config))
             here.program.reloader.requested.set()
             await until(lambda: here.program.counters.counts["reloads"])
-            assert (await here.post("c9", "/import")).start.split()[1] == "404"
+            assert (await here.post("c9", "/import")).start_line.split()[1] == "404"
             for (request_id, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
                 worker = next(worker for worker in here.workers if worker.name == attempt.worker_id)
                 worker.script = None
-                await worker.tell(request_id, state="lost")
-            assert [(await answer).start.split()[1] for answer in answers] == ["200", "502"]
+                await worker.send_callback(request_id, state="lost")
+            assert [(await answer).start_line.split()[1] for answer in answers] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
                 for worker in here.workers:
                     worker.script = abort_once
-                assert (await here.post(f"d{job_path[1:]}", job_path)).start.split()[1] == status
+                assert (await here.post(f"d{job_path[1:]}", job_path)).start_line.split()[1] == status
 
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_signals_of_a_child_process(tmp_path: Any) -> None:
@@ -219,4 +219,4 @@
                         os.kill(process.pid, signal.SIGHUP)
             assert b"counters {" in shutdown_log and await process.wait() == 0
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -10,8 +10,8 @@
 import pytest
 
 from example.toy import Message
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
-from tests.site import Scripted, Site, site, until
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
+from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
 KEYED: list[dict[str, Any]] = [
@@ -89,17 +89,17 @@
     asyncio.run(scenario())
 
 
-OnDelete = Callable[[Scripted, asyncio.StreamWriter], Awaitable[bool]]
+OnDelete = Callable[[ScriptedWorker, asyncio.StreamWriter], Awaitable[bool]]
 
 
-def reset_first_attempt(here: Site, on_delete: OnDelete) -> list[Scripted]:
+def reset_first_attempt(here: Site, on_delete: OnDelete) -> list[ScriptedWorker]:
     """Reset the first POST, direct the retry to another worker, and return the list of POST receivers.
 
     on_delete: handles a DELETE, and returns whether the worker responds to it.
     """
-    posts = list[Scripted]()
+    posts = list[ScriptedWorker]()
 
-    def intercept(worker: Scripted) -> None:
+    def intercept(worker: ScriptedWorker) -> None:
         answer = worker.answer
 
         async def handle(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -129,7 +129,7 @@
         async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as here:
             gate = asyncio.Event()
 
-            async def wait_for_gate(_worker: Scripted, _writer: asyncio.StreamWriter) -> bool:
+            async def wait_for_gate(_worker: ScriptedWorker, _writer: asyncio.StreamWriter) -> bool:
                 return await gate.wait()
 
             posts = reset_first_attempt(here, wait_for_gate)
@@ -161,20 +161,20 @@
         idempotency_window_ns=SECOND,
         latency_objective_ns=8 * SECOND,
     )
-    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
+    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     for worker in drive.worker_ids:  # no worker has capacity when the attempt is reset
         drive.step(api.WorkerBanChanged(worker))
     assert not sends(drive.end(first, api.Outcome.RESET))
     actions = drive.run(2 * SECOND)
-    assert not sends(actions) and finals(actions) == [api.Fail(1)]
+    assert not sends(actions) and final_answers(actions) == [api.Fail(1)]
     assert not sends(drive.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
 
 
 def test_retry_has_latest_send_time() -> None:
     """It is nine tenths of the window after the first possible execution; a first attempt has no limit."""
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
-    drive = Drive(settings(classes=(job_settings,), may_probe=False), workers=2)
+    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
     first_sent_ns = drive.now
     (retry,) = sends(
@@ -189,9 +189,9 @@
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as here:
-            deletes = list[Scripted]()
+            deletes = list[ScriptedWorker]()
 
-            async def fail_first_deletes(worker: Scripted, writer: asyncio.StreamWriter) -> bool:
+            async def fail_first_deletes(worker: ScriptedWorker, writer: asyncio.StreamWriter) -> bool:
                 deletes.append(worker)
                 if len(deletes) > 3:
                     return True
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from example.toy import Message, request, write_message
+from example.toy import Message, encode_message, request
 from tests.site import site
 
 IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-RETURNED_UNSTARTED = write_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
+RETURNED_UNSTARTED = encode_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
 
 
 def job_request(call: str, target: str) -> bytes:
     """Return a job request with all headers of PROTOCOL."""
-    return write_message(
+    return encode_message(
         f"POST {target} HTTP/1.1",
         b'{"route": [1, 2, 3]}',
         f"X-Correlation-Id: {call}",
@@ -39,8 +39,8 @@
         async with site() as test_site:
             answer = await request(test_site.address, job_request("c1", target))
             assert answer.status == 200
-            (job,) = jobs(test_site.workers[0].seen)
-            assert job.start == f"POST {target} HTTP/1.1"
+            (job,) = jobs(test_site.workers[0].received)
+            assert job.start_line == f"POST {target} HTTP/1.1"
             assert job.body == b'{"route": [1, 2, 3]}'
             assert job.headers["x-correlation-id"] == "c1"
             assert job.headers["idempotency-key"] == IDEMPOTENCY_KEY
@@ -61,7 +61,7 @@
                 worker.script = return_unstarted
             answer = await request(test_site.address, job_request("c2", "/lookup/a"))
             assert answer.status in (429, 503)
-            attempts = [job for worker in test_site.workers for job in jobs(worker.seen)]
+            attempts = [job for worker in test_site.workers for job in jobs(worker.received)]
             assert len(attempts) >= 2, "the job was not retried after the first worker returned it"
             assert {job.headers.get("idempotency-key") for job in attempts} == {IDEMPOTENCY_KEY}
             assert {job.body for job in attempts} == {b'{"route": [1, 2, 3]}'}
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from example.toy import Discovery, request, write_message
+from example.toy import Discovery, encode_message, request
 from tests.processes import free_port, wait_until_serving
-from tests.site import Scripted, document, job
+from tests.site import ScriptedWorker, document, job
 
 TIMEOUT_S = 30.0
 
@@ -31,7 +31,7 @@
         "listen": in_file,
         "mgmt": f"127.0.0.1:{free_port()}",
         "discovery": discovery.address,
-        "known": discovery.told(),
+        "known": discovery.list_document(),
     }
     path.write_text(json.dumps(contents))
     variables = {"GW_CONFIG": str(path)} | ({} if address_source == "file" else {"GW_LISTEN": listen})
@@ -49,9 +49,9 @@
 @asynccontextmanager
 async def first_process(
     folder: Path, listen: str, address_source: str
-) -> AsyncIterator[tuple[asyncio.subprocess.Process, Discovery, Scripted]]:
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, Discovery, ScriptedWorker]]:
     """Start a dispatcher with a worker and a discovery, and wait until it is serving."""
-    discovery, worker = Discovery(), Scripted("w0", listen)
+    discovery, worker = Discovery(), ScriptedWorker("w0", listen)
     await discovery.start()
     await worker.start()
     discovery.add(worker)
@@ -70,7 +70,7 @@
 async def health(listen: str) -> int:
     """Return the status of a health check, or 0 if the connection is refused."""
     try:
-        return (await request(listen, write_message("GET /_health HTTP/1.1"))).status
+        return (await request(listen, encode_message("GET /_health HTTP/1.1"))).status
     except OSError:
         return 0
 
@@ -113,7 +113,7 @@
             async with start_dispatcher(tmp_path, second, "file", discovery) as other:
                 await wait_until_serving(other)
                 assert process.returncode is None
-                await worker.tell("c1", state="done", result="late")
+                await worker.send_callback("c1", state="done", result="late")
                 assert (await waiting).body == b"late" and await process.wait() == 0
                 await until_healthy(second)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -31,7 +31,7 @@
             assert await test_site.operate("ready", "POST") == 404
             assert await test_site.operate("in-service/x") == 404
             address = f"127.0.0.1:{test_site.program.operators.port}"
-            assert (await request(address, b"nonsense\r\n\r\n")).start.split()[1] == "400"
+            assert (await request(address, b"nonsense\r\n\r\n")).start_line.split()[1] == "400"
 
     monkeypatch.setattr(operators, "REQUEST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
@@ -56,8 +56,8 @@
             assert await idle_reader.read() == b""
             await until(lambda: test_site.program.server.context.is_rejecting)
             late = await test_site.post("late")
-            assert (late.start.split()[1], late.headers["connection"]) == ("503", "close")
-            await worker.tell("c1", state="done", result="kept")
+            assert (late.start_line.split()[1], late.headers["connection"]) == ("503", "close")
+            await worker.send_callback("c1", state="done", result="kept")
             assert ((answer := await open_request).body, answer.headers["connection"]) == (b"kept", "close")
             assert await test_site.operate("in-service") == await test_site.health() == 200
             worker.script = None
@@ -89,7 +89,7 @@
                 await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
                 for number in range(4):
                     assert (await test_site.post(f"{phase}{number}")).body == b"TEXT"
-            assert first.seen == [] and second.methods() == ["POST"] * 8
+            assert first.received == [] and second.methods() == ["POST"] * 8
             assert BanList("toy-dispatcher").read() == {"w0"}
             second.script = second.accept
             assert await test_site.operate("match-workers/w0/online") == 200
@@ -121,7 +121,7 @@
             )
             assert await test_site.operate("match-workers/w0/offline") == 200
             gate.set()
-            assert {(await answer).start.split()[1] for answer in answers} == {"200"}
+            assert {(await answer).start_line.split()[1] for answer in answers} == {"200"}
             assert test_site.workers[0].methods() == []
 
     asyncio.run(scenario())
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Drive, finals, job_class, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
@@ -157,7 +157,7 @@
     assert {reserved.worker for reserved in drive.dispatcher.scheduler.by_request.values()} == {2}
 
 
-FAULTS = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.vanish}
+FAULTS = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.remove_worker}
 
 
 @pytest.mark.parametrize("fault", list(FAULTS))
@@ -173,7 +173,7 @@
     if fault == "restart":
         assert not any(worker.has_failed for worker in run.fleet.workers)
     else:  # the simulated list is updated at once, but a send may already be in progress
-        late_targets = [w for at, w in run.sends if at > run.begun_ns + 4 * SECOND + 5 * MS]
+        late_targets = [w for at, w in run.sends if at > run.start_ns + 4 * SECOND + 5 * MS]
         assert 1 not in late_targets and len(late_targets) > 50
 
 
@@ -187,7 +187,7 @@
 
 def two_busy_workers(
     is_first_slow: bool = False, reservations: ReservationSettings | None = None
-) -> tuple[Drive, list[api.Send]]:
+) -> tuple[DispatcherDriver, list[api.Send]]:
     """Return a dispatcher with two workers of four slots, and the sends of its requests that run there.
 
     Each worker runs two requests of two slots and 0.8 s.  If is_first_slow, the first worker is of a slow
@@ -196,7 +196,7 @@
     non_idempotent = job_class(
         idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0
     )
-    drive = Drive(
+    drive = DispatcherDriver(
         settings(
             classes=(non_idempotent, job_class()),
             reports_start=True,
@@ -224,7 +224,7 @@
     return drive, started
 
 
-def reservation(drive: Drive) -> Any:
+def reservation(drive: DispatcherDriver) -> Any:
     """Return the only reservation."""
     (only,) = drive.dispatcher.scheduler.by_request.values()
     return only
@@ -242,12 +242,12 @@
     worker = reservation(drive).worker
     first, second = (send for send in started if send.worker == worker)
     drive.now += 780 * MS
-    drive.end(first, api.Outcome.OK, over=True)
+    drive.end(first, api.Outcome.OK, request_finished=True)
     other = drive.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
     )
     assert not sends(other), "two slots are free, but reserved"
-    actions = drive.end(second, api.Outcome.OK, over=True)
+    actions = drive.end(second, api.Outcome.OK, request_finished=True)
     assert api.Send(100, worker) in actions and end_reasons(actions) == ["placed"]
 
 
@@ -256,7 +256,7 @@
     drive, started = two_busy_workers()
     drive.step(large_request(), after=MS)
     worker = reservation(drive).worker
-    drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, over=True)
+    drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, request_finished=True)
     drive.dispatcher.scheduler.hint_bias = 0.0
     (send,) = sends(
         drive.step(api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=100 * MS, slots=1.0), after=MS)
@@ -278,7 +278,7 @@
     drive.step(large_request(), after=MS)
     received_ns, answers = drive.now, list[api.Action]()
     while not answers:
-        answers = finals(drive.step(api.TimerDue(1), after=50 * MS))
+        answers = final_answers(drive.step(api.TimerDue(1), after=50 * MS))
     assert [type(answer) for answer in answers] == [api.Reject]
     assert drive.now - received_ns <= 3 * SECOND and not drive.dispatcher.scheduler.by_request
 
@@ -303,7 +303,7 @@
     worker = reservation(drive).worker
     actions = drive.step(event(worker), after=MS)
     for send in started:
-        actions += drive.end(send, api.Outcome.OK, over=True)
+        actions += drive.end(send, api.Outcome.OK, request_finished=True)
     assert "worker_out" in end_reasons(actions) and worker not in {send.worker for send in sends(actions)}
 
 
@@ -314,11 +314,11 @@
     worker = reservation(drive).worker
     fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=drive.now)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
-    drive.all.clear()
+    drive.actions.clear()
     drive.report(worker, 4.0)
     for number in range(200, 240):
         drive.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=SECOND), after=MS)
-    work = SECOND * sum(send.worker == worker for send in sends(drive.all))
+    work = SECOND * sum(send.worker == worker for send in sends(drive.actions))
     assert 0 < work <= 3.0 * 0.21 * 4 * 2 * SECOND
 
 
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -57,7 +57,9 @@
                     )
                 except (asyncio.IncompleteReadError, ConnectionResetError):
                     # Closed before the request was read: no worker received it, so the client can retry.
-                    received = [message.headers.get("x-correlation-id") for message in here.workers[0].seen]
+                    received = [
+                        message.headers.get("x-correlation-id") for message in here.workers[0].received
+                    ]
                     assert fraction >= 0.5 and f"c{number}" not in received
             await shutdown
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -17,11 +17,11 @@
 
 import pytest
 
-from example.toy import NO_LOAD, Discovery, Message, Server, write_message
-from tests.helpers import MS, SECOND, Drive, sends, settings
+from example.toy import NO_LOAD, Discovery, Message, Server, encode_message
+from tests.helpers import MS, SECOND, DispatcherDriver, sends, settings
 from tests.newer_process import newer_process
 from tests.processes import free_port, wait_until_serving
-from tests.site import ACCEPTED, Scripted, document, site, until
+from tests.site import ACCEPTED, ScriptedWorker, document, site, until
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
@@ -37,7 +37,7 @@
 READY, GONE = api.WorkerState.READY, api.WorkerState.GONE
 
 
-class FleetServer(Scripted):
+class FleetServer(ScriptedWorker):
     """A server that stands in for any number of workers, selected by the host address of a request."""
 
     def __init__(self, dispatcher: str = "") -> None:
@@ -59,19 +59,19 @@
         """Accept a job and complete it at once, as the worker with the request's host address."""
         if message.method == "POST":
             name, call = message.headers["host"], message.headers["x-correlation-id"]
-            self.jobs[call] = asyncio.create_task(self.send_callback(name, call))
+            self.jobs[call] = asyncio.create_task(self.send_done_callback(name, call))
             writer.write(ACCEPTED)
         else:
             await super().answer(message, writer)
 
-    async def send_callback(self, name: str, call: str) -> None:
+    async def send_done_callback(self, name: str, call: str) -> None:
         """Send the callback on the worker's persistent connection, with retries."""
         pool = self.pools.setdefault(name, Pool(self.dispatcher))
         callback = {"id": call, "from": name, "state": "done", "result": "done"}
-        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
-                await pool.ask(data)
+                await pool.send_request(data)
                 break
             except (OSError, asyncio.IncompleteReadError):  # the dispatcher evicted the connection
                 await asyncio.sleep(CALLBACK_RETRY_S)
@@ -95,7 +95,7 @@
 
     Worker ids that change at each restart do not make the table of departed workers grow without bound.
     """
-    drive = Drive(settings(may_probe=False), workers=count)
+    drive = DispatcherDriver(settings(may_probe=False), workers=count)
     dispatcher = drive.dispatcher
     drive.step(api.ProbeEnded(7, api.Outcome.CONNECT_FAILED, MS))
     assert len(dispatcher.ready_workers) == count and dispatcher.workers[7].is_ejected
@@ -116,7 +116,7 @@
 
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sorting 1,400 workers again for each of 1,400 changes would take seconds."""
-    drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
     drive.step(*(list_update(range(number, number + 1), GONE) for number in range(1, 701)))
@@ -133,7 +133,7 @@
     kind: api.EndpointListKind, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery sends an empty line every 2 s, which must cost little."""
-    drive = Drive(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
     drive.step(api.EndpointListUpdate(kind))
@@ -159,11 +159,11 @@
             respond = asyncio.Event()
 
             async def delay_response(
-                worker: Scripted, message: Message, writer: asyncio.StreamWriter
+                worker: ScriptedWorker, message: Message, writer: asyncio.StreamWriter
             ) -> None:
                 received.append(message)
                 await respond.wait()
-                await worker.telling("late")(message, writer)
+                await worker.completing_with("late")(message, writer)
 
             for worker in running_site.workers:
                 worker.script = partial(delay_response, worker)
@@ -251,7 +251,7 @@
             fleet = FleetServer()
             await fleet.start()
             fleet.add_to_list(running_site.discovery, 1100, min_id_length)
-            await running_site.discovery.tell()
+            await running_site.discovery.notify_watches()
             listed_ids = {member["id"] for member in running_site.discovery.members.values()}
             await until(
                 lambda: (
@@ -323,7 +323,7 @@
         "listen": listen,
         "mgmt": None,
         "discovery": discovery.address,
-        "known": discovery.told(),
+        "known": discovery.list_document(),
     }
     # The timeouts are long enough for a busy machine.
     configuration["settings"]["services"][0] |= {"aim_ns": 20 * SECOND, "give_up_ns": 30 * SECOND}
@@ -342,7 +342,7 @@
         pool = Pool(listen)
         for index in range(requests_per_client):
             headers = f"X-Correlation-Id: c{number}-{index}", "X-Time-Left-Ms: 30000"
-            response = await pool.ask(write_message("POST /lookup/a HTTP/1.1", body, *headers))
+            response = await pool.send_request(encode_message("POST /lookup/a HTTP/1.1", body, *headers))
             responses[response.status] += 1
             max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
         pool.close()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -514,7 +514,7 @@
     restarts = [Fault(2 * SECOND, partial(Simulation.restart, worker=worker)) for worker in range(1, 21)]
     run = RecordedRun(Scenario(arrivals, specs, dispatcher_settings, 3, job_classes, 1, restarts))
     run.run()
-    restart_ns = run.begun_ns + 2 * SECOND
+    restart_ns = run.start_ns + 2 * SECOND
     used = 0.0
     for worker in range(1, 21):
         sent = [
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -9,10 +9,19 @@
 import pytest
 
 from example.toy import Message, Server
-from tests.failing_discovery import Failing, Manner, busy, chunk, hurry, mute, reset, revision_then_reset
+from tests.failing_discovery import (
+    FailingDiscovery,
+    FailureMode,
+    busy,
+    chunk,
+    no_response,
+    reduce_timeouts,
+    reset,
+    revision_then_reset,
+)
 from tests.newer_process import newer_process
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
-from weldquay.lab.site import reserve
+from weldquay.lab.site import reserve_address
 from weldquay.net import readiness
 
 
@@ -68,7 +77,7 @@
     asyncio.run(scenario())
 
 
-async def wait_for_lease_to_expire(here: Site, _failing: Failing) -> None:
+async def wait_for_lease_to_expire(here: Site, _failing: FailingDiscovery) -> None:
     """Wait until the list is confirmed, send a request, and wait until the lease has expired."""
     endpoint_list = here.program.coordinator.endpoint_list
     await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
@@ -76,38 +85,38 @@
     await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
 
 
-class FailingAfterList(Failing):
+class FailingAfterList(FailingDiscovery):
     """A discovery that first lists a serving worker, then fails, and finally lists it as draining."""
 
-    def __init__(self, manner: Manner, closes_watch: bool) -> None:
-        super().__init__(manner, 10**6)
+    def __init__(self, failure_mode: FailureMode, closes_watch: bool) -> None:
+        super().__init__(failure_mode, 10**6)
         self.is_first_poll, self.closes_watch = True, closes_watch
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        """Send the list, and reset the watch if `closes_watch` is set; later polls fail as in `Failing`."""
-        await until(lambda: not self.address_told.endswith(":1"))  # it is set after the start
+        """Send the list, and reset the watch if `closes_watch` is set; then fail as the base class does."""
+        await until(lambda: not self.worker_address.endswith(":1"))  # it is set after the start
         if not self.is_first_poll:
             await super().answer(message, writer)
         elif self.closes_watch:
-            await revision_then_reset(writer, self.address_told)
+            await revision_then_reset(writer, self.worker_address)
         else:
-            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.address_told) + b"\n"))
+            writer.write(WATCH_HEAD + chunk(list_of_one_worker(7, "SERVING", self.worker_address) + b"\n"))
         self.is_first_poll = False
 
 
 def test_requests_are_held_once_the_lease_has_expired(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a heartbeat timeout and polls without response, no attempt starts on an expired lease."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        failing = FailingAfterList(mute, closes_watch=False)
+        failing = FailingAfterList(no_response, closes_watch=False)
         async with site(discovery=failing, group_size=3) as here:
-            failing.address_told = here.workers[0].address
+            failing.worker_address = here.workers[0].address
             await wait_for_lease_to_expire(here, failing)
             assert (await here.post("after", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 1
-            failing.left = 0
+            failing.failures_left = 0
             await until(lambda: here.program.discovery.revision == 9)
             assert (await here.post("drained", left_ms=200)).status == 503
             assert here.workers[0].methods() == ["POST"]
@@ -143,10 +152,10 @@
 
 def test_reload_with_new_discovery_address_limits_lease(monkeypatch: pytest.MonkeyPatch) -> None:
     """If the new address accepts polls and does not respond, the old list is used until its lease expires."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        unresponsive = Failing(mute, 10**6)
+        unresponsive = FailingDiscovery(no_response, 10**6)
         await unresponsive.start()
         async with site(group_size=3) as here:
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
@@ -158,27 +167,29 @@
             endpoint_list = here.program.coordinator.endpoint_list
             await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
             assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
-            unresponsive.address_told = here.workers[0].address
-            unresponsive.left = 0
+            unresponsive.worker_address = here.workers[0].address
+            unresponsive.failures_left = 0
             await until(lambda: here.program.discovery.revision == 9)
         unresponsive.stop()
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("manner", [reset, busy])
-def test_list_stays_valid_while_discovery_is_down(manner: Manner, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("failure_mode", [reset, busy])
+def test_list_stays_valid_while_discovery_is_down(
+    failure_mode: FailureMode, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Polls that are reset or get 503 after a closed watch show that no change can have been missed."""
-    hurry(monkeypatch)
+    reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        down = FailingAfterList(manner, closes_watch=True)
+        down = FailingAfterList(failure_mode, closes_watch=True)
         async with site(discovery=down, group_size=3) as here:
-            down.address_told = here.workers[0].address
+            down.worker_address = here.workers[0].address
             await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
             started_at = time.monotonic()
             await until(
-                lambda: len(down.asked) > 8 and time.monotonic() - started_at > 1.5
+                lambda: len(down.poll_times) > 8 and time.monotonic() - started_at > 1.5
             )  # more than twice the staleness limit
             assert (await here.post()).body == b"TEXT"
             assert here.program.counters.counts["endpoint_list_leases_expired"] == 0
@@ -197,7 +208,7 @@
             lease = here.program.coordinator.dispatcher.lease
             address = here.discovery.address
             here.discovery.stop()
-            down, _ = reserve(address)
+            down, _ = reserve_address(address)
             await until(lambda: here.program.counters.counts["discovery_failures"])
             if has_expired:  # discovery was reachable meanwhile, and sent no update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -1,4 +1,4 @@
-"""Failing polls of discovery, on real sockets."""
+"""FailingDiscovery polls of discovery, on real sockets."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import pytest
 
-from example.toy import Message, Server, write_message
-from tests.site import play, site, until
+from example.toy import Message, Server, encode_message
+from tests.site import run_scenario, site, until
 from weldquay.net import discovery_client
 
 UNCHANGED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n\n"
@@ -19,7 +19,7 @@
     [
         # No heartbeat follows.
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT_TIMEOUTS),
-        (write_message("HTTP/1.1 503 Busy"), False, SHORT_TIMEOUTS),
+        (encode_message("HTTP/1.1 503 Busy"), False, SHORT_TIMEOUTS),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", False, SHORT_TIMEOUTS),
         (b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"revision":7,"mem', False, SHORT_TIMEOUTS),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{", True, {"VALUE_TIMEOUT_S": 0.2}),
@@ -34,7 +34,7 @@
     sends_partial_value: bytes keep arriving, but no value is ever complete.
     """
 
-    class Failing(Server):
+    class FailingDiscovery(Server):
         polls = 0
         is_healthy = False
 
@@ -46,7 +46,7 @@
                 await asyncio.sleep(0.02)
 
     async def scenario() -> None:
-        failing = Failing()
+        failing = FailingDiscovery()
         async with site(discovery=failing) as here:
             waiting = asyncio.create_task(here.post())
             await until(lambda: failing.polls >= 2)
@@ -58,4 +58,4 @@
 
     for name, limit_s in limits.items():
         monkeypatch.setattr(discovery_client, name, limit_s)
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -194,7 +194,7 @@
             posts = [
                 message.headers["x-correlation-id"]
                 for worker in here.workers
-                for message in worker.seen
+                for message in worker.received
                 if message.method == "POST"
             ]
             assert len(posts) == len(set(posts)) == 12
--- a/weldquay/lab/scale/counts.py
+++ b/weldquay/lab/scale/counts.py
@@ -30,7 +30,7 @@
 def message_size(message: Message) -> int:
     """Return the size in bytes of a received message."""
     lines = sum(len(name) + len(value) + 4 for name, value in message.headers.items())
-    return len(message.start) + 2 + lines + 2 + len(message.body)
+    return len(message.start_line) + 2 + lines + 2 + len(message.body)
 
 
 def request_kind(data: bytes) -> str:
@@ -85,11 +85,11 @@
         local = (self.source, 0) if self.source else None
         return await asyncio.open_connection(self.host, self.port, local_addr=local)
 
-    async def ask(self, data: bytes) -> Message:
+    async def send_request(self, data: bytes) -> Message:
         """Send a request and read its response; both count under the kind of the request."""
         name = request_kind(data)
         self.counter.count_message(self.side, name, len(data))
-        answer = await super().ask(data)
+        answer = await super().send_request(data)
         self.counter.count_bytes(self.side, name, message_size(answer))
         while len(self.idle) > MAX_IDLE_CONNECTIONS:
             self.idle.pop(0)[1].transport.abort()
--- a/weldquay/lab/scale/discovery.py
+++ b/weldquay/lab/scale/discovery.py
@@ -60,7 +60,7 @@
         since = int(message.target.rpartition("since=")[2] or 0)
         if not self.change_log or since < self.change_log[0][0] - 1:
             if self.encoded_list[0] != self.revision:
-                self.encoded_list = self.revision, json.dumps(self.told()).encode()
+                self.encoded_list = self.revision, json.dumps(self.list_document()).encode()
             since = self._send_line(side, "lists", writer, self.encoded_list)
         while not writer.is_closing():
             changed = self.changed
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -20,7 +20,7 @@
 from weldquay.lab.scale import proc
 from weldquay.lab.scale.child import MAX_LINE_BYTES
 from weldquay.lab.scale.points import Point
-from weldquay.lab.site import ended
+from weldquay.lab.site import wait_for_exit
 
 RESPONSE_TIMEOUT_S, EXIT_TIMEOUT_S = 30.0, 25.0
 MAX_MEMORY_FRACTION = 0.5  # of the machine's memory; a run whose processes use more is stopped
@@ -69,7 +69,7 @@
         """End its input so that it stops; kill it after a timeout."""
         assert self.process.stdin is not None
         self.process.stdin.close()
-        await ended(self.process, EXIT_TIMEOUT_S)
+        await wait_for_exit(self.process, EXIT_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -168,7 +168,7 @@
 
     async def _probe(self, worker_id: str, address: str) -> None:
         try:
-            answer = await self._pool(address).ask(
+            answer = await self._pool(address).send_request(
                 b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % address.encode()
             )
             self._record_report(worker_id, json.loads(answer.body))
@@ -227,7 +227,7 @@
         remaining_ns = start_ns + CLIENT_TIMEOUT_NS - time.monotonic_ns()
         lines = [b"POST %s HTTP/1.1" % job.target]
         lines += [b"%s: %s" % pair for pair in job_headers(request_id, job, remaining_ns, address)]
-        answer = await self._pool(address).ask(b"\r\n".join([*lines, b"", body]))
+        answer = await self._pool(address).send_request(b"\r\n".join([*lines, b"", body]))
         return answer.status == 202
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
--- a/weldquay/lab/scale/real.py
+++ b/weldquay/lab/scale/real.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from weldquay.lab.http import Pool, write_message
+from weldquay.lab.http import Pool, encode_message
 from weldquay.lab.scale.points import CLIENT_TIMEOUT_NS, JOB_CLASSES, Point, job_body, settings
-from weldquay.lab.site import Node, make_node, reserve
+from weldquay.lab.site import Node, make_node, reserve_address
 
 
 class RealDispatchers:
@@ -28,7 +28,7 @@
         self.counter: Counter[str] = Counter()
         self.response_times_ms: list[float] = []
         for number in range(point.real):
-            sock, address = reserve()
+            sock, address = reserve_address()
             self.resources.enter_context(sock)
             document = {
                 "name": f"r{number}",
@@ -77,10 +77,10 @@
             f"X-Correlation-Id: {request_id}",
             f"X-Time-Left-Ms: {CLIENT_TIMEOUT_NS // 1_000_000}",
         )
-        data = write_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *header_lines)
+        data = encode_message(f"POST /{JOB_CLASSES[0].name}/run HTTP/1.1", job_body().encode(), *header_lines)
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_NS / 1e9 + 1):
-                answer = await self.pools[number].ask(data)
+                answer = await self.pools[number].send_request(data)
         except (OSError, asyncio.IncompleteReadError):  # a TimeoutError is an OSError
             self.counter["lost"] += 1
             return
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -1,4 +1,4 @@
-"""Match workers and discovery as servers on loopback, in real time."""
+"""Stand-ins for match workers and discovery: servers on loopback, in real time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 from weldquay.lab import model
-from weldquay.lab.http import Message, Pool, Server, write_line, write_message
+from weldquay.lab.http import Message, Pool, Server, encode_message, write_line
 
 HEARTBEAT_S = 2.0
 MAX_CALLBACK_ATTEMPTS = 10
@@ -18,9 +18,9 @@
 
 
 class MatchWorker(Server):
-    """A model worker with one address for each dispatcher, to which it sends call-backs.
+    """A server for a model worker, with one address per dispatcher; it sends call-backs to the dispatcher.
 
-    A job's body has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
+    The body of a job has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
     """
 
     def __init__(self, spec: model.WorkerSpec, dispatchers: Sequence[str]) -> None:
@@ -34,7 +34,7 @@
         self.unanswered_callbacks = 0
 
     async def listen(self) -> None:
-        """Listen for each dispatcher."""
+        """Listen at one address for each dispatcher."""
         for _ in self.pools:
             await self.start()
 
@@ -45,9 +45,9 @@
             self._accept_job(message, writer, now_ns)
         elif message.method == "DELETE":
             self.model.cancel(now_ns, message.target.rsplit("/", 1)[1])
-            writer.write(write_message("HTTP/1.1 204 No Content"))
+            writer.write(encode_message("HTTP/1.1 204 No Content"))
         else:
-            writer.write(write_message("HTTP/1.1 200 OK", json.dumps(self._load(now_ns)).encode()))
+            writer.write(encode_message("HTTP/1.1 200 OK", json.dumps(self._load(now_ns)).encode()))
         self._process_events()
 
     def _accept_job(self, message: Message, writer: asyncio.StreamWriter, now_ns: int) -> None:
@@ -56,10 +56,10 @@
         job = model.Job(request_id, needs["work_ns"], needs["slots"], needs["memory"])
         if self.model.offer(now_ns, job):
             self.callers[request_id] = self.caller(writer)
-            writer.write(write_message("HTTP/1.1 202 Accepted"))
+            writer.write(encode_message("HTTP/1.1 202 Accepted"))
         else:
             load = f"X-Backend-Load: {json.dumps(self._load(now_ns))}"
-            writer.write(write_message("HTTP/1.1 503 Full", b"", "X-Unprocessed: 1", load))
+            writer.write(encode_message("HTTP/1.1 503 Full", b"", "X-Unprocessed: 1", load))
 
     def _load(self, now_ns: int) -> dict[str, float]:
         report = self.model.report(now_ns)
@@ -102,15 +102,15 @@
         task.add_done_callback(self.tasks.discard)
 
     def pool(self, caller: int) -> Pool:
-        """Return the connections to a dispatcher."""
+        """Return the connection pool of a dispatcher."""
         return self.pools[caller]
 
     async def _send_callback(self, caller: int, callback: dict[str, Any]) -> None:
-        """Send a call-back until it is answered, or the attempts are used up."""
-        data = write_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
+        """Send a call-back until it is acknowledged, with a limited number of attempts."""
+        data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                if (await self.pool(caller).ask(data)).status in (200, 204):
+                if (await self.pool(caller).send_request(data)).status in (200, 204):
                     return
             await asyncio.sleep(CALLBACK_RETRY_S)
         self.unanswered_callbacks += 1
@@ -127,7 +127,7 @@
 
 
 class Discovery(Server):
-    """The endpoint list; each caller may have addresses of its own for the workers."""
+    """The discovery server; each caller may get its own addresses for the workers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -144,7 +144,7 @@
         kind: str = "toy",
         up_since_ms: int = 0,
     ) -> None:
-        """List a worker under its addresses by caller; one address serves for all."""
+        """Add or replace a worker, with its addresses by caller; a single address is used for all."""
         self.addresses[worker_id] = [*addresses]
         self.members[worker_id] = {
             "id": worker_id,
@@ -157,31 +157,32 @@
             "up_since_ms": up_since_ms,
         }
 
-    async def tell(self) -> None:
-        """Send the changed list to all watches."""
+    async def notify_watches(self) -> None:
+        """Send the changed list to all watches, with a new revision."""
         self.revision += 1
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def told(self, caller: int = 0) -> dict[str, Any]:
-        """Return the whole list with the addresses for a caller."""
+    def list_document(self, caller: int = 0) -> dict[str, Any]:
+        """Return the complete list document with the addresses for a caller."""
         members = []
         for worker_id, member in self.members.items():
-            own = self.addresses.get(worker_id, [])[: caller + 1][1:]  # the first caller's is in the member
+            # The member itself has the address of the first caller.
+            own = self.addresses.get(worker_id, [])[: caller + 1][1:]
             members.append({**member, "host_port": own[-1]} if own else member)
         return {"revision": self.revision, "complete": True, "members": members}
 
     async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
-        """Serve a watch: send the whole list at once and after each change."""
+        """Serve a watch: send the complete list immediately and after each change."""
         caller = self.caller(writer)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             changed = self.changed
-            write_line(writer, json.dumps(self.told(caller)).encode())
-            await self.wait(writer, changed)
+            write_line(writer, json.dumps(self.list_document(caller)).encode())
+            await self.wait_for_change(writer, changed)
 
-    async def wait(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
-        """Wait for a change, and send an empty line as a heartbeat meanwhile."""
+    async def wait_for_change(self, writer: asyncio.StreamWriter, changed: asyncio.Event) -> None:
+        """Wait for a change, and send empty lines as heartbeats until then."""
         while not writer.is_closing():
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
