--- a/tests/site.py
+++ b/tests/site.py
@@ -172,12 +172,12 @@
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
     await program.start()
-    running_site = Site(program, toy_discovery, fleet)
+    test_site = Site(program, toy_discovery, fleet)
     for worker in fleet:
-        worker.dispatcher = running_site.address
+        worker.dispatcher = test_site.address
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield running_site
+            yield test_site
     finally:
         program.hot_restart.stop()
         for part in (program.tasks, program.operators, program.discovery, program.server, program.workers):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -48,10 +48,10 @@
     """Method, path, query, body and id reach the worker; the body of the response is its result."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            response = await running_site.post("id-7")
+        async with site() as test_site:
+            response = await test_site.post("id-7")
             assert (response.start_line.split()[1], response.body) == ("200", b"TEXT")
-            (seen,) = [message for message in running_site.workers[0].received if message.method == "POST"]
+            (seen,) = [message for message in test_site.workers[0].received if message.method == "POST"]
             assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
                 b"text",
@@ -80,13 +80,11 @@
     """
 
     async def scenario() -> None:
-        async with site() as running_site:
-            running_site.workers[0].script = script
-            response = await running_site.post(
-                path=path, left_ms=left_ms
-            )  # site() asserts that it was not late
+        async with site() as test_site:
+            test_site.workers[0].script = script
+            response = await test_site.post(path=path, left_ms=left_ms)  # site() asserts that it was not late
             assert response.start_line.split()[1] == status
-            await running_site.workers[0].until("POST", "DELETE")
+            await test_site.workers[0].until("POST", "DELETE")
 
     run_scenario(scenario())
 
@@ -108,18 +106,18 @@
     """
 
     async def scenario() -> None:
-        async with site(workers=2) as running_site:
+        async with site(workers=2) as test_site:
 
             async def fail_once(message: Message, writer: asyncio.StreamWriter) -> None:
-                for worker in running_site.workers:
+                for worker in test_site.workers:
                     worker.script = None
                 await script(message, writer)
 
-            for worker in running_site.workers:
+            for worker in test_site.workers:
                 worker.script = fail_once
-            response = await running_site.post(path=path)
+            response = await test_site.post(path=path)
             assert response.start_line.split()[1] == ("200" if posts == 2 else "502")
-            assert sum(worker.methods().count("POST") for worker in running_site.workers) == posts
+            assert sum(worker.methods().count("POST") for worker in test_site.workers) == posts
 
     run_scenario(scenario())
 
@@ -144,20 +142,18 @@
     """A non-idempotent job is retried on another worker after a refused connection or a connect timeout."""
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"probes": False, **caps}) as running_site:
+        async with site(workers=2, caps={"probes": False, **caps}) as test_site:
             with unreachable_address() as address:
                 if caps:
-                    running_site.discovery.members["w0"]["host_port"] = address
-                    await running_site.discovery.change(running_site.workers[1], "SERVING")
-                    await until(
-                        lambda: running_site.program.discovery.revision == running_site.discovery.revision
-                    )
+                    test_site.discovery.members["w0"]["host_port"] = address
+                    await test_site.discovery.change(test_site.workers[1], "SERVING")
+                    await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
                 else:
-                    running_site.workers[0].stop()
-                responses = [await running_site.post(f"c{number}", "/import") for number in range(4)]
+                    test_site.workers[0].stop()
+                responses = [await test_site.post(f"c{number}", "/import") for number in range(4)]
             assert {response.start_line.split()[1] for response in responses} == {"200"}
-            assert running_site.workers[1].methods() == ["POST"] * 4
-            assert running_site.program.counters.counts["worker_connections_failed"] >= 1
+            assert test_site.workers[1].methods() == ["POST"] * 4
+            assert test_site.program.counters.counts["worker_connections_failed"] >= 1
 
     run_scenario(scenario())
 
@@ -166,9 +162,9 @@
     """If all workers are overloaded, the 503 has a Retry-After within the limit that clients honour."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            running_site.workers[0].script = reject_as_overloaded
-            response = await running_site.post(left_ms=300)
+        async with site() as test_site:
+            test_site.workers[0].script = reject_as_overloaded
+            response = await test_site.post(left_ms=300)
             assert response.start_line.split()[1] == "503"
             assert 0 < float(response.headers["retry-after"]) <= 2
 
@@ -179,11 +175,11 @@
     """Callbacks may precede the 202, be repeated, and come from any sender; each gets a response."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            worker, accepted = running_site.workers[0], asyncio.Event()
+        async with site() as test_site:
+            worker, accepted = test_site.workers[0], asyncio.Event()
 
             async def report_before_accepting(message: Message, writer: asyncio.StreamWriter) -> None:
-                unrelated_worker = ScriptedWorker("stranger", running_site.address)
+                unrelated_worker = ScriptedWorker("stranger", test_site.address)
                 for sender, result in ((unrelated_worker, "forged"), (worker, "mine"), (worker, "mine")):
                     request_id = message.headers["x-correlation-id"]
                     response = await sender.send_callback(request_id, state="done", result=result)
@@ -192,10 +188,10 @@
                 accepted.set()
 
             worker.script = report_before_accepting
-            assert (await running_site.post()).body == b"mine"
+            assert (await test_site.post()).body == b"mine"
             await accepted.wait()
-            assert running_site.program.counters.counts["attempts_ok"] == 1
-            assert running_site.program.counters.counts["callbacks_unmatched"] == 2
+            assert test_site.program.counters.counts["attempts_ok"] == 1
+            assert test_site.program.counters.counts["callbacks_unmatched"] == 2
 
     run_scenario(scenario())
 
@@ -204,15 +200,15 @@
     """After the client has disconnected, the worker of its request gets a DELETE."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            running_site.workers[0].script = running_site.workers[0].accept
-            _, writer = await asyncio.open_connection("127.0.0.1", running_site.program.server.port)
+        async with site() as test_site:
+            test_site.workers[0].script = test_site.workers[0].accept
+            _, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(job())
-            await running_site.workers[0].until("POST")
+            await test_site.workers[0].until("POST")
             writer.close()
-            await running_site.workers[0].until("POST", "DELETE")
-            assert running_site.workers[0].received[-1].target == "/jobs/c1"
-            assert running_site.program.counters.counts["clients_disconnected"] == 1
+            await test_site.workers[0].until("POST", "DELETE")
+            assert test_site.workers[0].received[-1].target == "/jobs/c1"
+            assert test_site.program.counters.counts["clients_disconnected"] == 1
 
     run_scenario(scenario())
 
@@ -224,26 +220,24 @@
     """An idempotent job is retried before its deadline, unless the worker has reported its start."""
 
     async def scenario() -> None:
-        async with site(workers=2) as running_site:
+        async with site(workers=2) as test_site:
             silent_workers: list[ScriptedWorker] = []
 
             async def stop_responding(message: Message, _writer: asyncio.StreamWriter) -> None:
-                worker = next(
-                    candidate for candidate in running_site.workers if message in candidate.received
-                )
+                worker = next(candidate for candidate in test_site.workers if message in candidate.received)
                 silent_workers.append(worker)
-                for other in running_site.workers:
+                for other in test_site.workers:
                     other.script = None
                 request_id = message.headers["x-correlation-id"]
                 if has_started:
                     await worker.send_callback(request_id, state="started")
-                    await until(lambda: running_site.program.counters.counts["worker_responses_missing"])
+                    await until(lambda: test_site.program.counters.counts["worker_responses_missing"])
                     await worker.send_callback(request_id, state="done", result="late")
                 await asyncio.sleep(3600)
 
-            for worker in running_site.workers:
+            for worker in test_site.workers:
                 worker.script = stop_responding
-            assert (await running_site.post()).body == (b"late" if has_started else b"TEXT")
+            assert (await test_site.post()).body == (b"late" if has_started else b"TEXT")
             expected = ["POST"] if has_started else ["POST", "DELETE"]
             # The retry may be sent to the same worker.
             await until(lambda: silent_workers[0].methods()[:2] == expected)
@@ -256,13 +250,13 @@
     """Both timers are due in the same iteration of the event loop: the decision step must run first."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            running_site.workers[0].script = running_site.workers[0].accept
-            response = asyncio.create_task(running_site.post(left_ms=300))
-            await running_site.workers[0].until("POST")
+        async with site() as test_site:
+            test_site.workers[0].script = test_site.workers[0].accept
+            response = asyncio.create_task(test_site.post(left_ms=300))
+            await test_site.workers[0].until("POST")
             stall(0.5)
             assert (await response).start_line.split()[1] == "503"
-            assert not running_site.program.counters.counts["requests_past_deadline"]
+            assert not test_site.program.counters.counts["requests_past_deadline"]
 
     run_scenario(scenario())
 
@@ -271,12 +265,12 @@
     """Once the watch event of its drain has arrived, a worker gets no attempts."""
 
     async def scenario() -> None:
-        async with site(workers=2) as running_site:
-            await running_site.discovery.change(running_site.workers[0], "DRAINING")
-            await until(lambda: running_site.program.discovery.revision >= running_site.discovery.revision)
+        async with site(workers=2) as test_site:
+            await test_site.discovery.change(test_site.workers[0], "DRAINING")
+            await until(lambda: test_site.program.discovery.revision >= test_site.discovery.revision)
             for number in range(6):
-                await running_site.post(f"c{number}")
-            assert running_site.workers[0].methods() == []
+                await test_site.post(f"c{number}")
+            assert test_site.workers[0].methods() == []
 
     run_scenario(scenario())
 
@@ -289,9 +283,9 @@
     """
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"probes": False}) as running_site:
-            connections, list_received = running_site.program.workers.connections, asyncio.Event()
-            connect, departing_worker = connections.connect, running_site.workers[0]
+        async with site(workers=2, caps={"probes": False}) as test_site:
+            connections, list_received = test_site.program.workers.connections, asyncio.Event()
+            connect, departing_worker = connections.connect, test_site.workers[0]
 
             async def connect_after_list(worker: WorkerEndpoint) -> WorkerConnection:
                 if worker.endpoint.id == departing_worker.name:
@@ -299,19 +293,17 @@
                 return await connect(worker)
 
             connections.connect = connect_after_list  # type: ignore[method-assign]
-            responses = [
-                asyncio.create_task(running_site.post(f"c{number}", "/import")) for number in range(8)
-            ]
-            attempts = running_site.program.coordinator.attempts
+            responses = [asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(8)]
+            attempts = test_site.program.coordinator.attempts
             await until(
                 lambda: any(worker_id == departing_worker.name for _, worker_id in attempts.by_worker)
             )
             if phase is None:
-                del running_site.discovery.members[departing_worker.name]
-                await running_site.discovery.notify_watches()
+                del test_site.discovery.members[departing_worker.name]
+                await test_site.discovery.notify_watches()
             else:
-                await running_site.discovery.change(departing_worker, phase)
-            await until(lambda: running_site.program.discovery.revision == running_site.discovery.revision)
+                await test_site.discovery.change(departing_worker, phase)
+            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
             list_received.set()
             assert {(await response).start_line.split()[1] for response in responses} == {"200"}
             assert departing_worker.methods() == []
@@ -323,28 +315,26 @@
     """Beyond a limit, departed workers without jobs are removed from all tables; their bans are kept."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            coordinator, remaining_worker = running_site.program.coordinator, running_site.workers[0]
+        async with site() as test_site:
+            coordinator, remaining_worker = test_site.program.coordinator, test_site.workers[0]
             await until(lambda: coordinator.is_endpoint_list_confirmed)
             for number in range(30):
-                running_site.discovery.members[f"old{number}"] = {
-                    **running_site.discovery.members["w0"],
+                test_site.discovery.members[f"old{number}"] = {
+                    **test_site.discovery.members["w0"],
                     "id": f"old{number}",
                     "phase": "SERVING",
                 }
-                await running_site.discovery.change(remaining_worker, "SERVING")
-                await until(
-                    lambda: running_site.program.discovery.revision == running_site.discovery.revision
-                )
+                await test_site.discovery.change(remaining_worker, "SERVING")
+                await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
                 if number == 0:
-                    assert await running_site.operate("match-workers/old0/offline") == 200
-                del running_site.discovery.members[f"old{number}"]
-            await running_site.discovery.change(remaining_worker, "SERVING")
-            await until(lambda: running_site.program.discovery.revision == running_site.discovery.revision)
+                    assert await test_site.operate("match-workers/old0/offline") == 200
+                del test_site.discovery.members[f"old{number}"]
+            await test_site.discovery.change(remaining_worker, "SERVING")
+            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
             numbers = coordinator.endpoint_list.worker_numbers
-            tables = running_site.program.workers.workers, numbers, coordinator.dispatcher.workers
+            tables = test_site.program.workers.workers, numbers, coordinator.dispatcher.workers
             assert all(len(table) <= 8 for table in tables) and coordinator.is_known_worker("old0")
-            assert (await running_site.post()).body == b"TEXT"
+            assert (await test_site.post()).body == b"TEXT"
 
     monkeypatch.setattr(worker_table, "MAX_REMOVED_WORKERS", 2)
     monkeypatch.setattr(endpoint_list_adapter, "MAX_REMOVED_WORKERS", 2)
@@ -355,13 +345,13 @@
     """A job that is written to a closed connection would count as possibly executed."""
 
     async def scenario() -> None:
-        async with site() as running_site:
+        async with site() as test_site:
             for number in range(3):
-                assert (await running_site.post(f"c{number}", "/import")).start_line.split()[1] == "200"
-                for writer in list(running_site.workers[0].writers):
+                assert (await test_site.post(f"c{number}", "/import")).start_line.split()[1] == "200"
+                for writer in list(test_site.workers[0].writers):
                     writer.close()
                     await writer.wait_closed()
-            assert running_site.program.counters.counts["attempts_reset"] == 0
+            assert test_site.program.counters.counts["attempts_reset"] == 0
 
     run_scenario(scenario())
 
@@ -370,8 +360,8 @@
     """An idle connection may be reset by the next request, and whether its job ran is then unknown."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            worker = running_site.workers[0]
+        async with site() as test_site:
+            worker = test_site.workers[0]
             used_writers = set[asyncio.StreamWriter]()
 
             async def reset_reused_connection(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -384,9 +374,9 @@
 
             worker.script = reset_reused_connection
             for number in range(6):
-                assert (await running_site.post(f"c{number}", "/import")).body == b"ok"
+                assert (await test_site.post(f"c{number}", "/import")).body == b"ok"
             assert (
-                len(next(iter(running_site.program.workers.workers.values())).idle_connections)
+                len(next(iter(test_site.program.workers.workers.values())).idle_connections)
                 <= MAX_IDLE_PER_WORKER
             )
 
@@ -397,15 +387,15 @@
     """After a reset, the first attempt is cancelled before a retry is sent to the same worker."""
 
     async def scenario() -> None:
-        async with site() as running_site:
-            worker = running_site.workers[0]
+        async with site() as test_site:
+            worker = test_site.workers[0]
 
             async def reset_once(_message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 writer.transport.abort()
 
             worker.script = reset_once
-            assert (await running_site.post()).body == b"TEXT"
+            assert (await test_site.post()).body == b"TEXT"
             assert worker.methods() == ["POST", "DELETE", "POST"]
 
     run_scenario(scenario())
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -60,19 +60,19 @@
     monkeypatch.setattr(attempt_runner, "ACCEPT_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with site() as here:
-            worker = here.workers[0]
+        async with site() as test_site:
+            worker = test_site.workers[0]
 
             async def run_script_once(message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
                 await script(message, writer)
 
             worker.script = run_script_once
-            assert (await here.post(path=path, left_ms=1500)).status == status
+            assert (await test_site.post(path=path, left_ms=1500)).status == status
             await until(
                 lambda: (
-                    not here.program.coordinator.attempts
-                    and not here.program.workers.has_pending_cancellations
+                    not test_site.program.coordinator.attempts
+                    and not test_site.program.workers.has_pending_cancellations
                 )
             )
             assert worker.methods().count("POST") == posts and "DELETE" in worker.methods()
@@ -87,8 +87,8 @@
     """A 503 that follows the 202 on a connection is not taken as the response to the next job on it."""
 
     async def scenario() -> None:
-        async with site(caps={"probes": False}) as here:
-            worker = here.workers[0]
+        async with site(caps={"probes": False}) as test_site:
+            worker = test_site.workers[0]
 
             async def respond_twice(message: Message, writer: asyncio.StreamWriter) -> None:
                 worker.script = None
@@ -97,16 +97,16 @@
                 if is_late:
                     await until(
                         lambda: any(
-                            worker.idle_connections for worker in here.program.workers.workers.values()
+                            worker.idle_connections for worker in test_site.program.workers.workers.values()
                         )
                     )
                     writer.write(OVERLOADED)
                 await worker.send_callback(request_id, state="done", result="one")
 
             worker.script = respond_twice
-            assert (await here.post("c1")).body == b"one"
-            assert (await here.post("c2")).body == b"TEXT"
-            counts = here.program.counters.counts
+            assert (await test_site.post("c1")).body == b"one"
+            assert (await test_site.post("c2")).body == b"TEXT"
+            counts = test_site.program.counters.counts
             assert worker.methods() == ["POST", "POST"] and not counts["attempts_overloaded"]
             assert counts["attempts_ok"] == 2
 
@@ -119,16 +119,16 @@
     return encode_message("POST /callback HTTP/1.1", body)
 
 
-async def connect(here: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect(test_site: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Connect to the dispatcher."""
-    return await asyncio.open_connection("127.0.0.1", here.program.server.port)
+    return await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
 
 
-async def accepted_request(here: Site) -> asyncio.Task[Message]:
+async def accepted_request(test_site: Site) -> asyncio.Task[Message]:
     """Post a request, wait until the worker has accepted its job, and return the pending task."""
-    here.workers[0].script = here.workers[0].accept
-    answer = asyncio.create_task(here.post())
-    await here.workers[0].until("POST")
+    test_site.workers[0].script = test_site.workers[0].accept
+    answer = asyncio.create_task(test_site.post())
+    await test_site.workers[0].until("POST")
     return answer
 
 
@@ -137,20 +137,20 @@
     """It may arrive in pieces of any size; an incomplete callback has no effect, but its retry does."""
 
     async def scenario() -> None:
-        async with site() as here:
-            answer = await accepted_request(here)
-            data = completion_callback("c1", here.workers[0], "whole")
-            _, incomplete = await connect(here)
+        async with site() as test_site:
+            answer = await accepted_request(test_site)
+            data = completion_callback("c1", test_site.workers[0], "whole")
+            _, incomplete = await connect(test_site)
             incomplete.write(data[:-3])
             await incomplete.drain()
             incomplete.close()
-            reader, writer = await connect(here)
+            reader, writer = await connect(test_site)
             for position in range(0, len(data), size):
                 writer.write(data[position : position + size])
                 await writer.drain()
             assert (await reader.read(12)).startswith(b"HTTP/1.1 204")
             assert (await answer).body == b"whole"
-            assert here.program.counters.counts["attempts_ok"] == 1
+            assert test_site.program.counters.counts["attempts_ok"] == 1
             writer.close()
 
     asyncio.run(scenario())
@@ -160,18 +160,18 @@
     """Its second half arrives after the start of the shutdown; it is handled, then its connection closes."""
 
     async def scenario() -> None:
-        async with site() as here:
-            answer = await accepted_request(here)
-            data = completion_callback("c1", here.workers[0], "late")
-            reader, writer = await connect(here)
+        async with site() as test_site:
+            answer = await accepted_request(test_site)
+            data = completion_callback("c1", test_site.workers[0], "late")
+            reader, writer = await connect(test_site)
             writer.write(data[:30])
             await until(
                 lambda: any(
                     connection.has_received_data and connection.requests.open_request is None
-                    for connection in here.program.server.connections
+                    for connection in test_site.program.server.connections
                 )
             )
-            here.program.server.begin_closing()
+            test_site.program.server.begin_closing()
             writer.write(data[30:])
             assert b"204" in await reader.read() and (await answer).body == b"late"
             writer.close()
@@ -184,17 +184,17 @@
     """The request already has its result, so the job is not retried."""
 
     async def scenario() -> None:
-        async with site() as here:
-            worker = here.workers[0]
+        async with site() as test_site:
+            worker = test_site.workers[0]
             worker.script = worker.completing_with("q" * 60_000)
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.setblocking(False)
             sock.send(job(path=path))
             await asyncio.get_running_loop().sock_recv(sock, 100)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-            await until(lambda: not here.program.server.connections)
-            assert worker.methods() == ["POST"] and not here.program.coordinator.requests
-            assert here.program.counters.counts["requests_completed"] == 1
+            await until(lambda: not test_site.program.server.connections)
+            assert worker.methods() == ["POST"] and not test_site.program.coordinator.requests
+            assert test_site.program.counters.counts["requests_completed"] == 1
 
     asyncio.run(scenario())
--- a/tests/test_client_disconnections.py
+++ b/tests/test_client_disconnections.py
@@ -18,9 +18,9 @@
 EXTRA_BYTES = [0, 3_000, 20_000, 100_000, 400_000]  # sent after the request; within and above each limit
 
 
-def client(here: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
+def client(test_site: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
     """Connect, send one request followed by extra bytes, and return the client's socket."""
-    sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+    sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1024 * 1024)
     assert sock.send(job(request_id) + b"x" * extra_bytes) > extra_bytes / 2
@@ -37,28 +37,28 @@
         sock.close()
 
 
-async def wait_for_open_requests(here: Site, count: int) -> None:
+async def wait_for_open_requests(test_site: Site, count: int) -> None:
     """Wait until this number of requests is open."""
-    await until(lambda: len(here.program.coordinator.requests) == count)
+    await until(lambda: len(test_site.program.coordinator.requests) == count)
 
 
-async def wait_for_disconnections(here: Site, count: int = 1) -> float:
+async def wait_for_disconnections(test_site: Site, count: int = 1) -> float:
     """Wait until this number of clients is counted as disconnected, and return the elapsed time (s)."""
     started_at = time.monotonic()
-    await until(lambda: here.program.counters.counts["clients_disconnected"] == count)
+    await until(lambda: test_site.program.counters.counts["clients_disconnected"] == count)
     return time.monotonic() - started_at
 
 
-async def return_worker_to_service(here: Site) -> None:
+async def return_worker_to_service(test_site: Site) -> None:
     """Set the worker to SERVING, and complete one request."""
-    await here.discovery.change(here.workers[0], "SERVING")
-    assert (await here.post("last")).body == b"TEXT"
+    await test_site.discovery.change(test_site.workers[0], "SERVING")
+    assert (await test_site.post("last")).body == b"TEXT"
 
 
-async def drain_worker(here: Site) -> None:
+async def drain_worker(test_site: Site) -> None:
     """Drain the only worker, so that requests have to wait."""
-    await here.discovery.change(here.workers[0], "DRAINING")
-    await until(lambda: here.program.discovery.revision == here.discovery.revision)
+    await test_site.discovery.change(test_site.workers[0], "DRAINING")
+    await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
@@ -67,16 +67,16 @@
     """The disconnection is detected however much data the client has sent after its request."""
 
     async def scenario() -> None:
-        async with site() as here:
-            await drain_worker(here)
-            sock = client(here, "c1", extra_bytes)
-            await wait_for_open_requests(here, 1)
+        async with site() as test_site:
+            await drain_worker(test_site)
+            sock = client(test_site, "c1", extra_bytes)
+            await wait_for_open_requests(test_site, 1)
             await asyncio.sleep(0.05)  # the extra bytes are read, up to the limit
             disconnect(sock, how)
-            assert await wait_for_disconnections(here) < 1  # takes 0.1 s unless this machine stalls
-            assert here.program.server.context.read_ahead_budget.used_bytes == 0
-            await return_worker_to_service(here)
-            assert here.workers[0].methods() == ["POST"]
+            assert await wait_for_disconnections(test_site) < 1  # takes 0.1 s unless this machine stalls
+            assert test_site.program.server.context.read_ahead_budget.used_bytes == 0
+            await return_worker_to_service(test_site)
+            assert test_site.workers[0].methods() == ["POST"]
             sock.close()
 
     asyncio.run(scenario())
@@ -86,16 +86,16 @@
     """All clients disconnect at the moment when capacity becomes available."""
 
     async def scenario() -> None:
-        async with site() as here:
-            await drain_worker(here)
-            socks = [client(here, f"c{number}", 100) for number in range(120)]
-            await wait_for_open_requests(here, 120)
+        async with site() as test_site:
+            await drain_worker(test_site)
+            socks = [client(test_site, f"c{number}", 100) for number in range(120)]
+            await wait_for_open_requests(test_site, 120)
             for number, sock in enumerate(socks):
                 disconnect(sock, "reset" if number % 2 else "close")
-            await here.discovery.change(here.workers[0], "SERVING")
-            await wait_for_disconnections(here, 120)
-            assert (await here.post("last")).body == b"TEXT"
-            assert here.workers[0].methods().count("POST") == 1
+            await test_site.discovery.change(test_site.workers[0], "SERVING")
+            await wait_for_disconnections(test_site, 120)
+            assert (await test_site.post("last")).body == b"TEXT"
+            assert test_site.workers[0].methods().count("POST") == 1
 
     asyncio.run(scenario())
 
@@ -106,8 +106,8 @@
     """Nothing is written on the new connection, even if the settings allow no cancellation."""
 
     async def scenario() -> None:
-        async with site(caps={"probes": False, "cancel": cancel}) as here:
-            workers, gate = here.program.workers, asyncio.Event()
+        async with site(caps={"probes": False, "cancel": cancel}) as test_site:
+            workers, gate = test_site.program.workers, asyncio.Event()
             connect = workers.connections.connect
 
             async def delayed_connect(worker: WorkerEndpoint) -> WorkerConnection:
@@ -115,15 +115,15 @@
                 return await connect(worker)
 
             workers.connections.connect = delayed_connect  # type: ignore[method-assign]
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.sendall(job(path=path))
-            await until(lambda: here.program.coordinator.attempts)
+            await until(lambda: test_site.program.coordinator.attempts)
             sock.close()
-            await wait_for_disconnections(here)
+            await wait_for_disconnections(test_site)
             gate.set()
-            await until(lambda: not here.program.coordinator.attempts and not workers.attempts.sending)
-            assert (await here.post("last")).body == b"TEXT"
-            assert here.workers[0].methods() == ["POST"]  # no DELETE, since no job had been sent
+            await until(lambda: not test_site.program.coordinator.attempts and not workers.attempts.sending)
+            assert (await test_site.post("last")).body == b"TEXT"
+            assert test_site.workers[0].methods() == ["POST"]  # no DELETE, since no job had been sent
 
     asyncio.run(scenario())
 
@@ -132,8 +132,8 @@
     """The retry waits for the DELETE of the first attempt, and is not sent after the disconnection."""
 
     async def scenario() -> None:
-        async with site(caps={"probes": False}) as here:
-            worker, gate, posts = here.workers[0], asyncio.Event(), list[Message]()
+        async with site(caps={"probes": False}) as test_site:
+            worker, gate, posts = test_site.workers[0], asyncio.Event(), list[Message]()
 
             async def abort(message: Message, writer: asyncio.StreamWriter) -> None:
                 posts.append(message)
@@ -147,21 +147,21 @@
                 await answer(message, writer)
 
             worker.script, worker.answer = abort, delay_delete  # type: ignore[method-assign]
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.sendall(job())
             await until(
                 lambda: any(
                     request.attempts_started == 2
-                    for request in here.program.coordinator.requests.by_number.values()
+                    for request in test_site.program.coordinator.requests.by_number.values()
                 )
             )
             sock.close()
-            await wait_for_disconnections(here)
+            await wait_for_disconnections(test_site)
             gate.set()
             await until(
                 lambda: (
-                    not here.program.workers.has_pending_cancellations
-                    and not here.program.workers.attempts.sending
+                    not test_site.program.workers.has_pending_cancellations
+                    and not test_site.program.workers.attempts.sending
                 )
             )
             assert len(posts) == 1
@@ -173,20 +173,20 @@
     """The disconnection is detected although reading is paused and the connection cannot migrate yet."""
 
     async def scenario() -> None:
-        async with site() as here:
-            worker, migrated = here.workers[0], list[MigratedConnection]()
+        async with site() as test_site:
+            worker, migrated = test_site.workers[0], list[MigratedConnection]()
 
             async def hang(_message: Message, _writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
 
             worker.script = hang
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.sendall(job(path="/import"))
             await worker.until("POST")
-            here.program.server.start_migration(migrated.append)
+            test_site.program.server.start_migration(migrated.append)
             await asyncio.sleep(0.05)
             sock.close()
-            await wait_for_disconnections(here)
+            await wait_for_disconnections(test_site)
             assert not migrated
 
     asyncio.run(scenario())
@@ -196,8 +196,8 @@
     """Pipelined requests are buffered up to a limit, and served in order."""
 
     async def scenario() -> None:
-        async with site() as here:
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+        async with site() as test_site:
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             body = b"y" * 30_000
             for number in range(4):
                 writer.write(
@@ -218,8 +218,8 @@
     """All bytes are read, those beyond the limit are dropped, and the connection closes after the answer."""
 
     async def scenario() -> None:
-        async with site() as here:
-            worker, may_finish = here.workers[0], asyncio.Event()
+        async with site() as test_site:
+            worker, may_finish = test_site.workers[0], asyncio.Event()
 
             async def complete_later(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(ACCEPTED)
@@ -227,15 +227,15 @@
                 await worker.send_callback(message.headers["x-correlation-id"], state="done", result="late")
 
             worker.script = complete_later
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(job())
             await worker.until("POST")
-            connection, *_ = here.program.server.connections
+            connection, *_ = test_site.program.server.connections
             for _ in range(32):
                 writer.write(b"z" * 100_000)
                 await writer.drain()
             await until(lambda: connection.requests.read_ahead.is_exceeded)
-            assert here.program.server.context.read_ahead_budget.used_bytes <= 256 * 1024
+            assert test_site.program.server.context.read_ahead_budget.used_bytes <= 256 * 1024
             may_finish.set()
             received = b""
             while data := await reader.read(65536):
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -179,17 +179,17 @@
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as here:
+        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as test_site:
             discovery.lists += [
-                list_of_one_worker(7, "SERVING", here.workers[0].address),
-                list_of_one_worker(8, "DRAINING", here.workers[0].address),
+                list_of_one_worker(7, "SERVING", test_site.workers[0].address),
+                list_of_one_worker(8, "DRAINING", test_site.workers[0].address),
             ]
-            here.program.discovery.watch()
-            await until(lambda: here.program.discovery.revision == 8)
+            test_site.program.discovery.watch()
+            await until(lambda: test_site.program.discovery.revision == 8)
             (first, first_s), (second, second_s) = discovery.polls[-2:]
             assert (first[-1], second[-1]) == ("1", "7") and second_s - first_s < 2  # 0.5 s unless it stalls
-            assert here.program.counters.counts["discovery_heartbeat_timeouts"] == 1
-            assert (await here.post(left_ms=300)).status == 503
+            assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 1
+            assert (await test_site.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
 
@@ -200,8 +200,8 @@
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as here:
-            address = here.workers[0].address
+        async with site(discovery=discovery, group_size=DISPATCHER_COUNT) as test_site:
+            address = test_site.workers[0].address
             discovery.lists += [
                 list_of_one_worker(7, "SERVING", address),
                 b"",
@@ -209,11 +209,11 @@
                 b"",
                 list_of_one_worker(8, "DRAINING", address),
             ]
-            here.program.discovery.watch()
-            await until(lambda: here.program.discovery.revision == 8)
+            test_site.program.discovery.watch()
+            await until(lambda: test_site.program.discovery.revision == 8)
             times = [at_s for _, at_s in discovery.polls[-5:]]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.5 s unless it stalls
-            assert here.program.counters.counts["discovery_heartbeat_timeouts"] == 4
+            assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 4
 
     asyncio.run(scenario())
 
@@ -224,10 +224,10 @@
     async def scenario() -> None:
         discovery = SilentDiscovery()
         discovery.lists, discovery.pause_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
-        async with site(discovery=discovery, discovery_mode="push") as here:
-            assert here.program.discovery.revision == 9
-            assert (await here.post(left_ms=300)).status == 503
-            assert here.workers[0].methods() == []
+        async with site(discovery=discovery, discovery_mode="push") as test_site:
+            assert test_site.program.discovery.revision == 9
+            assert (await test_site.post(left_ms=300)).status == 503
+            assert test_site.workers[0].methods() == []
 
     asyncio.run(scenario())
 
@@ -238,12 +238,12 @@
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        async with site(discovery=discovery, discovery_mode="push", group_size=DISPATCHER_COUNT) as here:
+        async with site(discovery=discovery, discovery_mode="push", group_size=DISPATCHER_COUNT) as test_site:
             # The list in its configuration may be of any age, so no attempt is sent by it.
-            assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
+            assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
             polls_before = len(discovery.polls)
-            discovery.lists.append(list_of_one_worker(9, "DRAINING", here.workers[0].address))
-            await until(lambda: here.program.discovery.revision == 9)
+            discovery.lists.append(list_of_one_worker(9, "DRAINING", test_site.workers[0].address))
+            await until(lambda: test_site.program.discovery.revision == 9)
             assert len(discovery.polls) - polls_before <= 2
             times = [at_s for _, at_s in discovery.polls]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.3 s, unless this stalls
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -207,14 +207,14 @@
 @asynccontextmanager
 async def site_during_outage() -> AsyncIterator[tuple[Site, str]]:
     """Yield a site whose discovery refuses connections, and the address of discovery."""
-    async with site() as here:
-        await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-        address = here.discovery.address
-        here.discovery.stop()
+    async with site() as test_site:
+        await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+        address = test_site.discovery.address
+        test_site.discovery.stop()
         bound, _ = reserve_address(address)
         with bound:
-            await until(lambda: here.program.counters.counts["discovery_polls_refused"])
-            yield here, address
+            await until(lambda: test_site.program.counters.counts["discovery_polls_refused"])
+            yield test_site, address
 
 
 async def accept_briefly(address: str, seconds: float) -> None:
@@ -226,12 +226,12 @@
     server.stop()
 
 
-async def statuses_of_requests(here: Site, duration_s: float) -> set[int]:
+async def statuses_of_requests(test_site: Site, duration_s: float) -> set[int]:
     """Send requests in sequence for some seconds; return the statuses of their responses."""
     statuses = set()
     end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
-        statuses.add((await here.post(left_ms=1000)).status)
+        statuses.add((await test_site.post(left_ms=1000)).status)
     return statuses
 
 
@@ -242,13 +242,13 @@
     """Discovery refuses connections for 8 s; it may accept them briefly before that."""
 
     async def scenario() -> None:
-        async with site_during_outage() as (here, address):
-            await until(lambda: here.program.counters.counts["discovery_polls_refused"] >= 2)
+        async with site_during_outage() as (test_site, address):
+            await until(lambda: test_site.program.counters.counts["discovery_polls_refused"] >= 2)
             if accepting_s:
                 await accept_briefly(address, accepting_s)
             await asyncio.sleep(STALENESS_S + 0.2)
-            assert await statuses_of_requests(here, 2.0) == ({200} if is_served else {503})
-            assert all(not worker.methods() for worker in here.workers) != is_served
+            assert await statuses_of_requests(test_site, 2.0) == ({200} if is_served else {503})
+            assert all(not worker.methods() for worker in test_site.workers) != is_served
 
     asyncio.run(scenario())
 
@@ -258,13 +258,13 @@
     """A hot restart during an outage, with and without a brief recovery of discovery before it."""
 
     async def scenario() -> None:
-        async with site_during_outage() as (here, address):
+        async with site_during_outage() as (test_site, address):
             if accepting_s:
                 await accept_briefly(address, accepting_s)
-                await until(lambda: here.program.counters.counts["discovery_reachable_between_polls"])
-            async with newer_process(here) as newer:
+                await until(lambda: test_site.program.counters.counts["discovery_reachable_between_polls"])
+            async with newer_process(test_site) as newer:
                 await asyncio.sleep(STALENESS_S + 0.2)
-                assert await statuses_of_requests(here, 0.5) == ({503} if accepting_s else {200})
+                assert await statuses_of_requests(test_site, 0.5) == ({503} if accepting_s else {200})
                 assert newer.counters.counts["requests"]
 
     asyncio.run(scenario())
@@ -274,14 +274,14 @@
     """A reload during an outage changes discovery's address; the new one refuses connections too."""
 
     async def scenario() -> None:
-        async with site_during_outage() as (here, _):
+        async with site_during_outage() as (test_site, _):
             other, other_address = reserve_address()
             host, port = other_address.split(":")
-            here.program.discovery.reconfigure(
-                replace(here.program.config, discovery=Address(host, int(port)))
+            test_site.program.discovery.reconfigure(
+                replace(test_site.program.config, discovery=Address(host, int(port)))
             )
             await asyncio.sleep(STALENESS_S + 0.2)
-            assert await statuses_of_requests(here, 0.5) == {200}
+            assert await statuses_of_requests(test_site, 0.5) == {200}
         other.close()
 
     asyncio.run(scenario())
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -27,25 +27,25 @@
     """Health checks fail at once, answers close their connections, and callbacks are still handled."""
 
     async def scenario() -> None:
-        async with site() as here:
-            worker = here.workers[0]
+        async with site() as test_site:
+            worker = test_site.workers[0]
             worker.script = worker.accept
-            open_request = asyncio.create_task(here.post("c1"))
+            open_request = asyncio.create_task(test_site.post("c1"))
             await worker.until("POST")
-            assert (await request(here.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
-            shutdown = asyncio.create_task(here.program.shut_down())
+            assert (await request(test_site.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
+            shutdown = asyncio.create_task(test_site.program.shut_down())
             await asyncio.sleep(0)
-            health = await request(here.address, encode_message("GET /_health HTTP/1.1"))
+            health = await request(test_site.address, encode_message("GET /_health HTTP/1.1"))
             assert health.start_line.split()[1] == "503"
-            late_request = asyncio.create_task(here.post("c2"))
+            late_request = asyncio.create_task(test_site.post("c2"))
             await worker.until("POST", "POST")
-            await until(lambda: here.program.phase is Phase.CLOSING)
+            await until(lambda: test_site.program.phase is Phase.CLOSING)
             for request_id in ("c1", "c2"):
                 await worker.send_callback(request_id, state="done", result=request_id)
             for request_id, answer in (("c1", await open_request), ("c2", await late_request)):
                 assert (answer.body.decode(), answer.headers["connection"]) == (request_id, "close")
             await shutdown
-            assert here.program.phase is Phase.STOPPED
+            assert test_site.program.phase is Phase.STOPPED
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     run_scenario(scenario())
@@ -55,15 +55,15 @@
     """Another dispatcher may be restarting too, leaving the clients no other one to use."""
 
     async def scenario() -> None:
-        async with site() as here:
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            shutdown = asyncio.create_task(here.program.shut_down())
-            await until(lambda: here.program.phase is Phase.DRAINING)
+        async with site() as test_site:
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            shutdown = asyncio.create_task(test_site.program.shut_down())
+            await until(lambda: test_site.program.phase is Phase.DRAINING)
             for number in range(2):
                 writer.write(job(f"c{number}"))
                 answer = await read_message(reader)
                 assert (answer.body, answer.headers.get("connection")) == (b"TEXT", None)
-            assert await reader.read() == b"" and here.program.phase is not Phase.DRAINING
+            assert await reader.read() == b"" and test_site.program.phase is not Phase.DRAINING
             writer.close()
             await shutdown
 
@@ -77,13 +77,13 @@
     """They are answered before SIGKILL, and the attempt is cancelled at its worker."""
 
     async def scenario() -> None:
-        async with site() as here:
-            here.workers[0].script = here.workers[0].accept
-            open_request = asyncio.create_task(here.post(path=path))
-            await here.workers[0].until("POST")
-            await here.program.shut_down()
+        async with site() as test_site:
+            test_site.workers[0].script = test_site.workers[0].accept
+            open_request = asyncio.create_task(test_site.post(path=path))
+            await test_site.workers[0].until("POST")
+            await test_site.program.shut_down()
             assert (await open_request).start_line.split()[1] == status
-            await here.workers[0].until("POST", "DELETE")
+            await test_site.workers[0].until("POST", "DELETE")
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     monkeypatch.setattr(dispatcher_process, "MAX_CLIENT_TIMEOUT_S", 0.0)
@@ -103,27 +103,27 @@
     async def scenario() -> None:
         unresponsive = UnresponsiveServer()
         new_discovery = Discovery()
-        async with site(workers=2) as here:
-            for worker in here.workers:
+        async with site(workers=2) as test_site:
+            for worker in test_site.workers:
                 worker.script = worker.accept
                 new_discovery.add(worker)
             new_discovery.revision = 7
-            open_request = asyncio.create_task(here.post())
+            open_request = asyncio.create_task(test_site.post())
             busy_worker = await until(
-                lambda: next((worker for worker in here.workers if worker.methods()), None)
+                lambda: next((worker for worker in test_site.workers if worker.methods()), None)
             )
-            shutdown = asyncio.create_task(here.program.shut_down()) if is_draining else None
+            shutdown = asyncio.create_task(test_site.program.shut_down()) if is_draining else None
             for server in (unresponsive, new_discovery):
                 await server.start()
                 path.write_text(json.dumps({**document(), "listen": "h:1", "discovery": server.address}))
-                here.program.reloader.requested.set()
+                test_site.program.reloader.requested.set()
                 await wait_for_connection(server)
-            await until(lambda: here.program.discovery.revision == 7)
+            await until(lambda: test_site.program.discovery.revision == 7)
             await new_discovery.change(
-                next(worker for worker in here.workers if worker is not busy_worker), "DRAINING"
+                next(worker for worker in test_site.workers if worker is not busy_worker), "DRAINING"
             )
-            await until(lambda: here.program.discovery.revision == 8)
-            assert here.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
+            await until(lambda: test_site.program.discovery.revision == 8)
+            assert test_site.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
             await busy_worker.send_callback("c1", state="done", result="kept")
             assert (await open_request).body == b"kept"
             if shutdown is not None:
@@ -141,37 +141,37 @@
     """Classes are added, removed and changed; an open request keeps the class that it arrived with."""
 
     async def scenario() -> None:
-        async with site(workers=2) as here:
+        async with site(workers=2) as test_site:
 
             async def abort_once(_message: Message, writer: asyncio.StreamWriter) -> None:
-                for worker in here.workers:
+                for worker in test_site.workers:
                     worker.script = None
                 writer.transport.abort()
 
-            for worker in here.workers:
+            for worker in test_site.workers:
                 worker.script = worker.accept
             answers = [
-                asyncio.create_task(here.post(f"c{number}", path))
+                asyncio.create_task(test_site.post(f"c{number}", path))
                 for number, path in enumerate(("/lookup", "/import"))
             ]
-            await until(lambda: len(here.program.coordinator.attempts.by_worker) == 2)
-            config = {**document(), "discovery": here.discovery.address}
+            await until(lambda: len(test_site.program.coordinator.attempts.by_worker) == 2)
+            config = {**document(), "discovery": test_site.discovery.address}
             services = config["settings"]["services"]
             services[0].update(effect="fragile")
             services[1] = {**services[1], "name": "newer", "effect": "retryable"}
             path.write_text(json.dumps(config))
-            here.program.reloader.requested.set()
-            await until(lambda: here.program.counters.counts["reloads"])
-            assert (await here.post("c9", "/import")).start_line.split()[1] == "404"
-            for (request_id, _), attempt in list(here.program.coordinator.attempts.by_worker.items()):
-                worker = next(worker for worker in here.workers if worker.name == attempt.worker_id)
+            test_site.program.reloader.requested.set()
+            await until(lambda: test_site.program.counters.counts["reloads"])
+            assert (await test_site.post("c9", "/import")).start_line.split()[1] == "404"
+            for (request_id, _), attempt in list(test_site.program.coordinator.attempts.by_worker.items()):
+                worker = next(worker for worker in test_site.workers if worker.name == attempt.worker_id)
                 worker.script = None
                 await worker.send_callback(request_id, state="lost")
             assert [(await answer).start_line.split()[1] for answer in answers] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
-                for worker in here.workers:
+                for worker in test_site.workers:
                     worker.script = abort_once
-                assert (await here.post(f"d{job_path[1:]}", job_path)).start_line.split()[1] == status
+                assert (await test_site.post(f"d{job_path[1:]}", job_path)).start_line.split()[1] == status
 
     path = tmp_path / "config.json"
     monkeypatch.setenv("GW_CONFIG", str(path))
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -47,11 +47,11 @@
         await self.answer(message, writer)
 
 
-async def start_retry_that_waits_for_delete(here: Any) -> DelayedDelete:
+async def start_retry_that_waits_for_delete(test_site: Any) -> DelayedDelete:
     """Start a request, and wait until its retry waits for the DELETE of its first attempt."""
-    script = DelayedDelete(here.workers[0])
-    script.request = asyncio.create_task(here.post(left_ms=3000))
-    requests = here.program.coordinator.requests.by_number
+    script = DelayedDelete(test_site.workers[0])
+    script.request = asyncio.create_task(test_site.post(left_ms=3000))
+    requests = test_site.program.coordinator.requests.by_number
     await until(
         lambda: script.deletes and any(request.attempts_started == 2 for request in requests.values())
     )
@@ -63,10 +63,10 @@
     """The worker's new state arrives while the retry waits for the DELETE."""
 
     async def scenario() -> None:
-        async with site(caps={"probes": False}) as here:
-            script = await start_retry_that_waits_for_delete(here)
-            await here.discovery.change(here.workers[0], phase)
-            await until(lambda: here.program.discovery.revision == here.discovery.revision)
+        async with site(caps={"probes": False}) as test_site:
+            script = await start_retry_that_waits_for_delete(test_site)
+            await test_site.discovery.change(test_site.workers[0], phase)
+            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
             script.gate.set()
             assert (await script.request).status == 503
             assert script.posts == 1
@@ -78,8 +78,10 @@
     """The worker deduplicates requests for 0.4 s, but the DELETE takes longer."""
 
     async def scenario() -> None:
-        async with site(caps={"probes": False}, services=KEYED, family_info={"class_stretch": [2.0]}) as here:
-            script = await start_retry_that_waits_for_delete(here)
+        async with site(
+            caps={"probes": False}, services=KEYED, family_info={"class_stretch": [2.0]}
+        ) as test_site:
+            script = await start_retry_that_waits_for_delete(test_site)
             started_at = time.monotonic()
             await until(lambda: time.monotonic() - started_at > 0.5)
             script.gate.set()
@@ -92,7 +94,7 @@
 OnDelete = Callable[[ScriptedWorker, asyncio.StreamWriter], Awaitable[bool]]
 
 
-def reset_first_attempt(here: Site, on_delete: OnDelete) -> list[ScriptedWorker]:
+def reset_first_attempt(test_site: Site, on_delete: OnDelete) -> list[ScriptedWorker]:
     """Reset the first POST, direct the retry to another worker, and return the list of POST receivers.
 
     on_delete: handles a DELETE, and returns whether the worker responds to it.
@@ -106,7 +108,7 @@
             if message.method == "POST":
                 posts.append(worker)
                 if len(posts) == 1:
-                    here.program.coordinator.set_worker_ban(
+                    test_site.program.coordinator.set_worker_ban(
                         worker.name, True
                     )  # so that the retry goes elsewhere
                     writer.transport.abort()
@@ -116,7 +118,7 @@
 
         worker.answer = handle  # type: ignore[method-assign]
 
-    for worker in here.workers:
+    for worker in test_site.workers:
         intercept(worker)
     return posts
 
@@ -126,20 +128,20 @@
     """A reset may have discarded the first worker's 202, so its job may run until the DELETE arrives."""
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as here:
+        async with site(workers=2, caps={"probes": False, "may_duplicate": may_hedge}) as test_site:
             gate = asyncio.Event()
 
             async def wait_for_gate(_worker: ScriptedWorker, _writer: asyncio.StreamWriter) -> bool:
                 return await gate.wait()
 
-            posts = reset_first_attempt(here, wait_for_gate)
-            response_task = asyncio.create_task(here.post())
+            posts = reset_first_attempt(test_site, wait_for_gate)
+            response_task = asyncio.create_task(test_site.post())
             await until(
                 lambda: (
                     response_task.done()
                     or any(
                         request.attempts_started == 2
-                        for request in here.program.coordinator.requests.by_number.values()
+                        for request in test_site.program.coordinator.requests.by_number.values()
                     )
                 )
             )
@@ -188,7 +190,7 @@
     """There is no retry until a DELETE succeeds or the worker refuses connections."""
 
     async def scenario() -> None:
-        async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as here:
+        async with site(workers=2, caps={"probes": False, "may_duplicate": False}) as test_site:
             deletes = list[ScriptedWorker]()
 
             async def fail_first_deletes(worker: ScriptedWorker, writer: asyncio.StreamWriter) -> bool:
@@ -200,8 +202,8 @@
                     worker.stop()
                 return False
 
-            posts = reset_first_attempt(here, fail_first_deletes)
-            response_task = asyncio.create_task(here.post())
+            posts = reset_first_attempt(test_site, fail_first_deletes)
+            response_task = asyncio.create_task(test_site.post())
             await until(lambda: len(deletes) == 3)
             assert len(posts) == 1 and not response_task.done()
             assert (await response_task).body == b"TEXT" and len(posts) == 2
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -18,31 +18,31 @@
 LARGE_RESULT = "r" * 60_000  # exceeds the small system buffers set below
 
 
-def connect_with_small_buffer(here: Site) -> socket.socket:
+def connect_with_small_buffer(test_site: Site) -> socket.socket:
     """Connect a client with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    sock.connect(("127.0.0.1", here.program.server.port))
+    sock.connect(("127.0.0.1", test_site.program.server.port))
     sock.setblocking(False)
     return sock
 
 
-def return_large_results(here: Site) -> None:
+def return_large_results(test_site: Site) -> None:
     """Make the worker return large results, and shrink the dispatcher's send buffers."""
-    here.workers[0].script = here.workers[0].completing_with(LARGE_RESULT)
-    assert here.program.server.server is not None
-    for sock in here.program.server.server.sockets:
+    test_site.workers[0].script = test_site.workers[0].completing_with(LARGE_RESULT)
+    assert test_site.program.server.server is not None
+    for sock in test_site.program.server.server.sockets:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
 
-async def accepted_connection(here: Site, sock: socket.socket) -> ClientConnection:
+async def accepted_connection(test_site: Site, sock: socket.socket) -> ClientConnection:
     """Return the dispatcher's end of a client's connection."""
     client_address = sock.getsockname()
     found: ClientConnection = await until(
         lambda: next(
             (
                 connection
-                for connection in here.program.server.connections
+                for connection in test_site.program.server.connections
                 if connection.writer.get_extra_info("peername") == client_address
             ),
             None,
@@ -51,23 +51,23 @@
     return found
 
 
-async def idle_client(here: Site) -> tuple[socket.socket, ClientConnection]:
+async def idle_client(test_site: Site) -> tuple[socket.socket, ClientConnection]:
     """Connect a client, complete one request, and return both ends of the idle connection."""
-    sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+    sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
     sock.setblocking(False)
     sock.send(job("c1"))
     await asyncio.get_running_loop().sock_recv(sock, 4096)
-    connection = await accepted_connection(here, sock)
+    connection = await accepted_connection(test_site, sock)
     await until(lambda: connection.state is ConnectionState.IDLE)
     return sock, connection
 
 
-async def lingering_client(here: Site) -> socket.socket:
+async def lingering_client(test_site: Site) -> socket.socket:
     """Return a client with a small receive buffer whose connection lingers with a large unsent answer."""
-    return_large_results(here)
-    sock = connect_with_small_buffer(here)
-    connection = await accepted_connection(here, sock)
-    here.program.server.context.is_closing = True
+    return_large_results(test_site)
+    sock = connect_with_small_buffer(test_site)
+    connection = await accepted_connection(test_site, sock)
+    test_site.program.server.context.is_closing = True
     sock.send(job())
     await until(lambda: connection.is_lingering)
     return sock
@@ -88,8 +88,8 @@
     """They arrive while part of the answer is still unsent."""
 
     async def scenario() -> None:
-        async with site() as here:
-            sock = await lingering_client(here)
+        async with site() as test_site:
+            sock = await lingering_client(test_site)
             sock.send(following)
             received = await read_to_end(sock)
             assert received.startswith(b"HTTP/1.1 200") and received.endswith(LARGE_RESULT.encode()[-100:])
@@ -107,11 +107,11 @@
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with site() as here:
-            return_large_results(here)
-            sock = connect_with_small_buffer(here)
-            connection = await accepted_connection(here, sock)
-            here.program.server.context.is_closing = not is_half_closed
+        async with site() as test_site:
+            return_large_results(test_site)
+            sock = connect_with_small_buffer(test_site)
+            connection = await accepted_connection(test_site, sock)
+            test_site.program.server.context.is_closing = not is_half_closed
             sock.send(job())
             if is_half_closed:
                 await until(lambda: connection.state is ConnectionState.IDLE)
@@ -130,9 +130,9 @@
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with site() as here:
-            sock = await lingering_client(here)
-            await until(lambda: not here.program.server.connections)
+        async with site() as test_site:
+            sock = await lingering_client(test_site)
+            await until(lambda: not test_site.program.server.connections)
             sock.close()
 
     asyncio.run(scenario())
@@ -142,15 +142,15 @@
     """The client gets an end of stream, not a reset, and can retry at another dispatcher."""
 
     async def scenario() -> None:
-        async with site() as here:
-            sock, _ = await idle_client(here)
-            here.program.server.begin_closing()
+        async with site() as test_site:
+            sock, _ = await idle_client(test_site)
+            test_site.program.server.begin_closing()
             sock.send(job("c2"))
             sock.send(job("c3"))  # would fail on a reset connection
             assert await read_to_end(sock) == b""
-            assert not here.program.coordinator.requests and here.workers[0].methods() == ["POST"]
+            assert not test_site.program.coordinator.requests and test_site.workers[0].methods() == ["POST"]
             sock.close()
-            await until(lambda: not here.program.server.connections)
+            await until(lambda: not test_site.program.server.connections)
 
     asyncio.run(scenario())
 
@@ -160,13 +160,13 @@
     """It is unread in the system's buffer or in the reader's."""
 
     async def scenario() -> None:
-        async with site() as here:
-            sock, connection = await idle_client(here)
+        async with site() as test_site:
+            sock, connection = await idle_client(test_site)
             if where == "system":
                 sock.send(job("c2"))
             else:
                 connection.reader.feed_data(job("c2"))
-            here.program.server.begin_closing()
+            test_site.program.server.begin_closing()
             received = await read_to_end(sock)
             assert (
                 received.startswith(b"HTTP/1.1 200")
@@ -195,19 +195,19 @@
     """The rest of the client's data is read until it ends, so that no reset destroys the answer."""
 
     async def scenario() -> None:
-        async with site() as here:
+        async with site() as test_site:
             # Until then /_health answers 503.
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(data)
             if following:
-                await until(lambda: here.program.server.table.by_state[ConnectionState.LINGERING])
+                await until(lambda: test_site.program.server.table.by_state[ConnectionState.LINGERING])
                 writer.write(b"z" * following)
                 await writer.drain()
             received = await reader.read()
             assert received.startswith(b"HTTP/1.1 " + status)
             writer.close()
-            await until(lambda: not here.program.server.connections)
+            await until(lambda: not test_site.program.server.connections)
 
     asyncio.run(scenario())
 
@@ -216,10 +216,10 @@
     """Its timeout expires when its first bytes have just arrived."""
 
     async def scenario() -> None:
-        async with site() as here:
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+        async with site() as test_site:
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.setblocking(False)
-            connection = await accepted_connection(here, sock)
+            connection = await accepted_connection(test_site, sock)
             sock.send(job())
             connection.on_timeout(time.monotonic())
             received = await asyncio.get_running_loop().sock_recv(sock, 4096)
@@ -233,23 +233,23 @@
     """Neither a connection with an unread request nor one with an unsent answer."""
 
     async def scenario() -> None:
-        async with site() as here:
-            return_large_results(here)
+        async with site() as test_site:
+            return_large_results(test_site)
             slow_client, new_client = (
-                connect_with_small_buffer(here),
-                socket.create_connection(("127.0.0.1", here.program.server.port)),
+                connect_with_small_buffer(test_site),
+                socket.create_connection(("127.0.0.1", test_site.program.server.port)),
             )
             new_client.setblocking(False)
             slow_client.send(job("c1"))
-            closing = await accepted_connection(here, slow_client)
+            closing = await accepted_connection(test_site, slow_client)
             await until(lambda: closing.state is ConnectionState.IDLE)
-            here.program.server.context.is_closing = True
+            test_site.program.server.context.is_closing = True
             closing.close_gracefully()
             assert closing.is_lingering and closing.has_unsent_data()
             # Until the worker's connections have closed.
-            await until(lambda: len(here.program.server.connections) == 2)
+            await until(lambda: len(test_site.program.server.connections) == 2)
             new_client.send(job("c2"))
-            assert not here.program.server.table.evict_one()
+            assert not test_site.program.server.table.evict_one()
             assert (await read_to_end(slow_client)).count(b"r") >= len(LARGE_RESULT)
             received: Any = await read_to_end(new_client)
             assert received.startswith(b"HTTP/1.1 200")
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -106,10 +106,10 @@
             now_ns += delay_ns
 
 
-async def wait_for_drain(here: Site) -> None:
+async def wait_for_drain(test_site: Site) -> None:
     """Wait until the worker is listed as draining, so that requests are rejected."""
-    await until(lambda: here.program.discovery.revision == 9)
-    assert (await here.post(left_ms=300)).status == 503 and here.workers[0].methods() == []
+    await until(lambda: test_site.program.discovery.revision == 9)
+    assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
 
 
 @pytest.mark.parametrize(
@@ -136,9 +136,9 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery(failure_mode, 2)
-        async with site(discovery=failing, group_size=dispatcher_count) as here:
-            failing.worker_address = here.workers[0].address
-            await wait_for_drain(here)
+        async with site(discovery=failing, group_size=dispatcher_count) as test_site:
+            failing.worker_address = test_site.workers[0].address
+            await wait_for_drain(test_site)
             # 0.4 s by the table on the page; the rest allows for a busy machine.
             assert failing.poll_times[2] - failing.poll_times[1] < 2
             if failure_mode is older_revision:
@@ -153,12 +153,12 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery(no_response, 1)
-        async with site(discovery=failing, group_size=3) as here:
-            failing.worker_address = here.workers[0].address
+        async with site(discovery=failing, group_size=3) as test_site:
+            failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
-            await wait_for_drain(here)
+            await wait_for_drain(test_site)
             assert time.monotonic() - started_at < 2  # 0.3 s by the table on the page
-            assert here.program.counters.counts["discovery_response_timeouts"] == 1
+            assert test_site.program.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
 
@@ -169,16 +169,16 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery(no_response, 0)
-        async with site(discovery=failing, group_size=200) as here:
-            failing.worker_address = here.workers[0].address
+        async with site(discovery=failing, group_size=200) as test_site:
+            failing.worker_address = test_site.workers[0].address
             address = failing.address
             failing.stop()
             down, _ = reserve_address(address)
-            here.program.discovery.watch()
-            await until(lambda: here.program.counters.counts["discovery_failures"] >= 4)
+            test_site.program.discovery.watch()
+            await until(lambda: test_site.program.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(down)
             started_at = time.monotonic()
-            await wait_for_drain(here)
+            await wait_for_drain(test_site)
             assert time.monotonic() - started_at < 2  # 0.36 s by the table on the page
 
     asyncio.run(scenario())
@@ -192,14 +192,14 @@
         old = FailingDiscovery(no_response, 99)
         new = FailingDiscovery(no_response, 0)
         await new.start()
-        async with site(discovery=old, group_size=3) as here:
-            new.worker_address = here.workers[0].address
+        async with site(discovery=old, group_size=3) as test_site:
+            new.worker_address = test_site.workers[0].address
             await until(lambda: old.poll_times)
             host, port = new.address.split(":")
-            config = here.program.config
+            config = test_site.program.config
             moved = replace(config, discovery=type(config.discovery)(host, int(port)))
-            here.program.discovery.reconfigure(moved)
-            await wait_for_drain(here)
+            test_site.program.discovery.reconfigure(moved)
+            await wait_for_drain(test_site)
             started_at = time.monotonic()
             await until(lambda: time.monotonic() - started_at > 0.5)
             assert len(new.poll_times) <= 4 and new.targets[0].endswith("since=0")
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -43,10 +43,10 @@
     async def scenario() -> None:
         started_at = time.monotonic()
         discovery = SlowDiscovery() if failure_mode is None else FailingDiscovery(failure_mode, 99)
-        async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
-            await wait_for_ok(here.health)
+        async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as test_site:
+            await wait_for_ok(test_site.health)
             assert time.monotonic() - started_at < MAX_READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
-            await wait_for_ok(lambda: here.operate("ready", "GET"))
+            await wait_for_ok(lambda: test_site.operate("ready", "GET"))
             assert time.monotonic() - started_at < MAX_READY_S
 
     asyncio.run(scenario())
@@ -64,10 +64,10 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery(no_response, 0)
-        async with site(discovery=failing, group_size=3) as here:
-            failing.worker_address = here.workers[0].address
+        async with site(discovery=failing, group_size=3) as test_site:
+            failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
-            await until(lambda: here.program.discovery.revision == 9)
-            assert time.monotonic() - started_at < 2 and (await here.post(left_ms=300)).status == 503
+            await until(lambda: test_site.program.discovery.revision == 9)
+            assert time.monotonic() - started_at < 2 and (await test_site.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -29,24 +29,24 @@
     """On an existing or new connection: it is answered, or the stream ends before the request was read."""
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS) as here:
+        async with site(services=SHORT_TIMEOUTS) as test_site:
 
             async def hang(_message: Message, _writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(3600)
 
             if worker_hangs:
-                here.workers[0].script = hang
-            port = here.program.server.port
+                test_site.workers[0].script = hang
+            port = test_site.program.server.port
             existing = await asyncio.open_connection("127.0.0.1", port)
             started_at = time.monotonic()
-            shutdown = asyncio.create_task(here.program.shut_down())
+            shutdown = asyncio.create_task(test_site.program.shut_down())
             remaining_s = 0.6 + dispatcher_process.KILL_DELAY_S - dispatcher_process.FINAL_ANSWERS_S
             await asyncio.sleep(fraction * remaining_s)
             clients = [existing]
             try:
                 clients.append(await asyncio.open_connection("127.0.0.1", port))
             except ConnectionRefusedError:  # the process has stopped
-                assert here.program.phase is Phase.STOPPED
+                assert test_site.program.phase is Phase.STOPPED
             for number, (_, writer) in enumerate(clients):
                 writer.write(job(f"c{number}", "/import", left_ms=600))
             for number, (reader, _) in enumerate(clients):
@@ -58,7 +58,7 @@
                 except (asyncio.IncompleteReadError, ConnectionResetError):
                     # Closed before the request was read: no worker received it, so the client can retry.
                     received = [
-                        message.headers.get("x-correlation-id") for message in here.workers[0].received
+                        message.headers.get("x-correlation-id") for message in test_site.workers[0].received
                     ]
                     assert fraction >= 0.5 and f"c{number}" not in received
             await shutdown
@@ -73,9 +73,9 @@
     """DRAIN_KEEP_CONNECTIONS_S would exceed the time until SIGKILL."""
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS) as here:
-            reader, writer = await asyncio.open_connection("127.0.0.1", here.program.server.port)
-            shutdown = asyncio.create_task(here.program.shut_down())
+        async with site(services=SHORT_TIMEOUTS) as test_site:
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            shutdown = asyncio.create_task(test_site.program.shut_down())
             started_at = time.monotonic()
             assert await reader.read() == b""
             assert 0.4 < time.monotonic() - started_at < SIGKILL_AFTER_S
@@ -92,10 +92,10 @@
     monkeypatch.setattr(dispatcher_process, "LINGER_TIMEOUT_S", 30.0)
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS) as here:
-            existing = socket.create_connection(("127.0.0.1", here.program.server.port))
+        async with site(services=SHORT_TIMEOUTS) as test_site:
+            existing = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             started_at = time.monotonic()
-            await here.program.shut_down()
+            await test_site.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5
             existing.close()
 
@@ -106,12 +106,12 @@
     """A startup that continued for a second after SIGTERM used to delay the exit until after SIGKILL."""
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS) as here:
-            existing = socket.create_connection(("127.0.0.1", here.program.server.port))
+        async with site(services=SHORT_TIMEOUTS) as test_site:
+            existing = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             started_at = time.monotonic()
-            here.program.request_shutdown()
+            test_site.program.request_shutdown()
             await asyncio.sleep(1.0)  # the rest of the startup
-            await here.program.shut_down()
+            await test_site.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
             existing.close()
 
@@ -125,11 +125,11 @@
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
 
     async def scenario() -> None:
-        async with site() as here:
-            here.workers[0].script = here.workers[0].accept
+        async with site() as test_site:
+            test_site.workers[0].script = test_site.workers[0].accept
             client = socket.socket()
-            address = "127.0.0.1", here.program.server.port
-            stop_discovery = here.program.discovery.stop
+            address = "127.0.0.1", test_site.program.server.port
+            stop_discovery = test_site.program.discovery.stop
 
             async def send_request_and_stop() -> None:
                 monkeypatch.undo()
@@ -138,11 +138,11 @@
                 await asyncio.sleep(0.1)
                 await stop_discovery()
 
-            monkeypatch.setattr(here.program.discovery, "stop", send_request_and_stop)
-            await here.program.shut_down()
+            monkeypatch.setattr(test_site.program.discovery, "stop", send_request_and_stop)
+            await test_site.program.shut_down()
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 4096)
-            assert answer.startswith(b"HTTP/1.1 503") and here.workers[0].methods() == []
+            assert answer.startswith(b"HTTP/1.1 503") and test_site.workers[0].methods() == []
             client.close()
 
     asyncio.run(scenario())
@@ -152,11 +152,11 @@
     """Closing the listener would reset the connections in its queue."""
 
     async def scenario() -> None:
-        async with site() as here:
-            sock = socket.create_connection(("127.0.0.1", here.program.server.port))
+        async with site() as test_site:
+            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             sock.sendall(job())
             sock.setblocking(False)
-            await here.program.server.stop()
+            await test_site.program.server.stop()
             answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
             assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
             sock.close()
@@ -168,13 +168,13 @@
     """The local discovery agent does not respond during startup."""
 
     async def scenario() -> None:
-        async with site(discovery_mode="push", discovery=(discovery := SilentDiscovery())) as here:
+        async with site(discovery_mode="push", discovery=(discovery := SilentDiscovery())) as test_site:
             assert not discovery.lists
-            here.program.coordinator.dispatcher.lease.expiry_ns = 0
-            waiting = asyncio.create_task(here.program.parts.readiness.wait_for_endpoint_list())
+            test_site.program.coordinator.dispatcher.lease.expiry_ns = 0
+            waiting = asyncio.create_task(test_site.program.parts.readiness.wait_for_endpoint_list())
             await asyncio.sleep(0)
             started_at = time.monotonic()
-            here.program.request_shutdown()
+            test_site.program.request_shutdown()
             await waiting
             assert time.monotonic() - started_at < 1
 
@@ -190,16 +190,16 @@
     """In the phases DRAINING and CLOSING."""
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS) as here:
-            open_request = asyncio.create_task(here.post(left_ms=600))
-            await here.workers[0].until("POST")
-            shutdown = asyncio.create_task(here.program.shut_down())
+        async with site(services=SHORT_TIMEOUTS) as test_site:
+            open_request = asyncio.create_task(test_site.post(left_ms=600))
+            await test_site.workers[0].until("POST")
+            shutdown = asyncio.create_task(test_site.program.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
-                await wait_for_phase(here.program, phase)
-                here.program.request_shutdown()
+                await wait_for_phase(test_site.program, phase)
+                test_site.program.request_shutdown()
             assert (await open_request).body == b"TEXT"
             await shutdown
-            assert here.program.phase is Phase.STOPPED
+            assert test_site.program.phase is Phase.STOPPED
 
     asyncio.run(scenario())
 
@@ -209,8 +209,8 @@
     """With a pending DELETE that it does not answer, and without."""
 
     async def scenario() -> None:
-        async with site(services=SHORT_TIMEOUTS, caps={"probes": False}) as here:
-            worker, delete_received = here.workers[0], asyncio.Event()
+        async with site(services=SHORT_TIMEOUTS, caps={"probes": False}) as test_site:
+            worker, delete_received = test_site.workers[0], asyncio.Event()
             answer = worker.answer
 
             async def hang_on_delete(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -220,13 +220,13 @@
                 await answer(message, writer)
 
             worker.script, worker.answer = worker.accept, hang_on_delete  # type: ignore[method-assign]
-            open_request = asyncio.create_task(here.post(left_ms=200))
+            open_request = asyncio.create_task(test_site.post(left_ms=200))
             await worker.until("POST")
             if pending == "delete":
                 assert (await open_request).status == 503
                 await delete_received.wait()
             started_at = time.monotonic()
-            await here.program.shut_down()
+            await test_site.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5
             await open_request
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -147,12 +147,12 @@
     """
 
     async def scenario() -> None:
-        async with site(workers=6) as running_site:
-            pool, counts = running_site.program.workers.connections, running_site.program.counters.counts
-            await until(lambda: running_site.program.coordinator.is_endpoint_list_confirmed)
+        async with site(workers=6) as test_site:
+            pool, counts = test_site.program.workers.connections, test_site.program.counters.counts
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
             pool.max_connections = 2
             for number in range(24):
-                assert (await running_site.post(f"c{number}")).body == b"TEXT"
+                assert (await test_site.post(f"c{number}")).body == b"TEXT"
                 assert pool.open_connections <= 2 and len(pool.idle) <= 2
             assert counts["worker_connections_evicted"] > 2 and not counts["worker_connections_over_limit"]
             received: list[Message] = []
@@ -165,18 +165,18 @@
                 await respond.wait()
                 await worker.completing_with("late")(message, writer)
 
-            for worker in running_site.workers:
+            for worker in test_site.workers:
                 worker.script = partial(delay_response, worker)
-            calls = [asyncio.create_task(running_site.post(f"d{number}")) for number in range(6)]
+            calls = [asyncio.create_task(test_site.post(f"d{number}")) for number in range(6)]
             await until(lambda: len(received) == 2 and pool.waiters)
             respond.set()
             assert [(await call).body for call in calls] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in running_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
             )
             # Another process uses the remaining connections.
-            running_site.program.workers.limit_connections(1 / pool.connection_limit)
+            test_site.program.workers.limit_connections(1 / pool.connection_limit)
             await until(lambda: pool.open_connections <= 1)
 
     asyncio.run(scenario())
@@ -219,14 +219,14 @@
 
     async def scenario() -> None:
         discovery = ReleasedDiscovery(batches)
-        async with site(workers=0, discovery=discovery) as running_site:
-            dispatcher, clients = running_site.program.coordinator.dispatcher, running_site.program.workers
+        async with site(workers=0, discovery=discovery) as test_site:
+            dispatcher, clients = test_site.program.coordinator.dispatcher, test_site.program.workers
             for ready, listed in ((1100, 1100), (0, 1100), (700, 1100), (0, 400), (1100, 1100)):
                 discovery.released.release()
                 await until(lambda: len(dispatcher.ready_workers) == ready)  # noqa: B023
                 assert len(clients.listed_endpoints()) == listed
             assert len(clients.workers) == len(dispatcher.workers) == 1100
-            assert running_site.program.counters.counts["discovery_failures"] == 0
+            assert test_site.program.counters.counts["discovery_failures"] == 0
 
     asyncio.run(scenario())
 
@@ -247,23 +247,21 @@
     """While discovery is down, the newer process gets all workers from the older one, even with long ids."""
 
     async def scenario() -> None:
-        async with site() as running_site:
+        async with site() as test_site:
             fleet = FleetServer()
             await fleet.start()
-            fleet.add_to_list(running_site.discovery, 1100, min_id_length)
-            await running_site.discovery.notify_watches()
-            listed_ids = {member["id"] for member in running_site.discovery.members.values()}
+            fleet.add_to_list(test_site.discovery, 1100, min_id_length)
+            await test_site.discovery.notify_watches()
+            listed_ids = {member["id"] for member in test_site.discovery.members.values()}
             await until(
-                lambda: (
-                    {worker.id for worker in running_site.program.workers.listed_endpoints()} == listed_ids
-                )
+                lambda: {worker.id for worker in test_site.program.workers.listed_endpoints()} == listed_ids
             )
-            running_site.discovery.stop()
-            async with newer_process(running_site) as newer:
+            test_site.discovery.stop()
+            async with newer_process(test_site) as newer:
                 assert {worker.id for worker in newer.workers.listed_endpoints()} == listed_ids
                 assert len(newer.coordinator.dispatcher.ready_workers) == len(listed_ids) == 1101
                 assert newer.counters.counts["hot_restart_worker_states"] == 1101
-                assert newer.phase is Phase.SERVING and running_site.program.phase is Phase.MIGRATING
+                assert newer.phase is Phase.SERVING and test_site.program.phase is Phase.MIGRATING
             fleet.stop()
 
     monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # also the wait for discovery
@@ -287,14 +285,14 @@
         return await connect(host, port, limit)
 
     async def scenario() -> None:
-        async with site(workers=2) as running_site:
-            counts = running_site.program.counters.counts
-            assert (await running_site.post()).body == b"TEXT"
+        async with site(workers=2) as test_site:
+            counts = test_site.program.counters.counts
+            assert (await test_site.post()).body == b"TEXT"
             await until(lambda: counts["worker_connections_stalled"] == expected_stalls)
             assert counts["worker_connections"] and counts["attempts_aborted_before_send"] <= expected_stalls
             assert not counts["worker_connections_failed"] and not counts["attempts_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in running_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
             )
 
     monkeypatch.setattr(connection_pool, "connect", connect_with_stall)
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -50,15 +50,15 @@
 
     async def scenario() -> None:
         discovery = DelayedDiscovery(phase)
-        async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as here:
-            discovery.worker_address = here.workers[0].address
-            waiting = asyncio.create_task(here.post(left_ms=3000))
+        async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as test_site:
+            discovery.worker_address = test_site.workers[0].address
+            waiting = asyncio.create_task(test_site.post(left_ms=3000))
             await until(lambda: discovery.polls)
             await asyncio.sleep(0.2)
-            assert not waiting.done() and here.workers[0].methods() == []
+            assert not waiting.done() and test_site.workers[0].methods() == []
             discovery.may_answer.set()
             assert (await waiting).status == status
-            assert here.workers[0].methods() == (["POST"] if status == 200 else [])
+            assert test_site.workers[0].methods() == (["POST"] if status == 200 else [])
 
     asyncio.run(scenario())
 
@@ -68,20 +68,20 @@
 
     async def scenario() -> None:
         discovery = DelayedDiscovery("SERVING")
-        async with site(discovery=discovery) as here:
-            assert await here.health() == 503
+        async with site(discovery=discovery) as test_site:
+            assert await test_site.health() == 503
             discovery.may_answer.set()
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            assert await here.health() == 200
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            assert await test_site.health() == 200
 
     asyncio.run(scenario())
 
 
-async def wait_for_lease_to_expire(here: Site, _failing: FailingDiscovery) -> None:
+async def wait_for_lease_to_expire(test_site: Site, _failing: FailingDiscovery) -> None:
     """Wait until the list is confirmed, send a request, and wait until the lease has expired."""
-    endpoint_list = here.program.coordinator.endpoint_list
+    endpoint_list = test_site.program.coordinator.endpoint_list
     await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
-    assert (await here.post("before")).body == b"TEXT"
+    assert (await test_site.post("before")).body == b"TEXT"
     await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
 
 
@@ -110,16 +110,16 @@
 
     async def scenario() -> None:
         failing = FailingAfterList(no_response, closes_watch=False)
-        async with site(discovery=failing, group_size=3) as here:
-            failing.worker_address = here.workers[0].address
-            await wait_for_lease_to_expire(here, failing)
-            assert (await here.post("after", left_ms=200)).status == 503
-            assert here.workers[0].methods() == ["POST"]
-            assert here.program.counters.counts["endpoint_list_leases_expired"] == 1
+        async with site(discovery=failing, group_size=3) as test_site:
+            failing.worker_address = test_site.workers[0].address
+            await wait_for_lease_to_expire(test_site, failing)
+            assert (await test_site.post("after", left_ms=200)).status == 503
+            assert test_site.workers[0].methods() == ["POST"]
+            assert test_site.program.counters.counts["endpoint_list_leases_expired"] == 1
             failing.failures_left = 0
-            await until(lambda: here.program.discovery.revision == 9)
-            assert (await here.post("drained", left_ms=200)).status == 503
-            assert here.workers[0].methods() == ["POST"]
+            await until(lambda: test_site.program.discovery.revision == 9)
+            assert (await test_site.post("drained", left_ms=200)).status == 503
+            assert test_site.workers[0].methods() == ["POST"]
 
     asyncio.run(scenario())
 
@@ -130,22 +130,22 @@
     """The lease is checked immediately before the first byte."""
 
     async def scenario() -> None:
-        async with site() as here:
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            connections = here.program.workers.connections
-            lease, connect = here.program.coordinator.dispatcher.lease, connections.connect
+        async with site() as test_site:
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            connections = test_site.program.workers.connections
+            lease, connect = test_site.program.coordinator.dispatcher.lease, connections.connect
 
             async def connect_slowly(worker: object) -> object:
                 connection = await connect(worker)  # type: ignore[arg-type]
-                if here.program.coordinator.attempts:
+                if test_site.program.coordinator.attempts:
                     lease.expiry_ns = 1  # it expires while the connection is established
                 return connection
 
             monkeypatch.setattr(connections, "take_idle", lambda _worker: None)
             monkeypatch.setattr(connections, "connect", connect_slowly)
-            assert (await here.post(left_ms=300)).status == 503
-            assert here.workers[0].methods() == []
-            assert here.program.counters.counts["attempts_not_started"] == 1
+            assert (await test_site.post(left_ms=300)).status == 503
+            assert test_site.workers[0].methods() == []
+            assert test_site.program.counters.counts["attempts_not_started"] == 1
 
     asyncio.run(scenario())
 
@@ -157,19 +157,19 @@
     async def scenario() -> None:
         unresponsive = FailingDiscovery(no_response, 10**6)
         await unresponsive.start()
-        async with site(group_size=3) as here:
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            config = here.program.config
+        async with site(group_size=3) as test_site:
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            config = test_site.program.config
             host, port = unresponsive.address.split(":")
-            here.program.discovery.reconfigure(
+            test_site.program.discovery.reconfigure(
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
-            endpoint_list = here.program.coordinator.endpoint_list
+            endpoint_list = test_site.program.coordinator.endpoint_list
             await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
-            assert (await here.post(left_ms=200)).status == 503 and here.workers[0].methods() == []
-            unresponsive.worker_address = here.workers[0].address
+            assert (await test_site.post(left_ms=200)).status == 503 and test_site.workers[0].methods() == []
+            unresponsive.worker_address = test_site.workers[0].address
             unresponsive.failures_left = 0
-            await until(lambda: here.program.discovery.revision == 9)
+            await until(lambda: test_site.program.discovery.revision == 9)
         unresponsive.stop()
 
     asyncio.run(scenario())
@@ -184,15 +184,15 @@
 
     async def scenario() -> None:
         down = FailingAfterList(failure_mode, closes_watch=True)
-        async with site(discovery=down, group_size=3) as here:
-            down.worker_address = here.workers[0].address
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
+        async with site(discovery=down, group_size=3) as test_site:
+            down.worker_address = test_site.workers[0].address
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
             started_at = time.monotonic()
             await until(
                 lambda: len(down.poll_times) > 8 and time.monotonic() - started_at > 1.5
             )  # more than twice the staleness limit
-            assert (await here.post()).body == b"TEXT"
-            assert here.program.counters.counts["endpoint_list_leases_expired"] == 0
+            assert (await test_site.post()).body == b"TEXT"
+            assert test_site.program.counters.counts["endpoint_list_leases_expired"] == 0
 
     asyncio.run(scenario())
 
@@ -203,23 +203,23 @@
     monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with site() as here:
-            await until(lambda: here.program.coordinator.is_endpoint_list_confirmed)
-            lease = here.program.coordinator.dispatcher.lease
-            address = here.discovery.address
-            here.discovery.stop()
+        async with site() as test_site:
+            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            lease = test_site.program.coordinator.dispatcher.lease
+            address = test_site.discovery.address
+            test_site.discovery.stop()
             down, _ = reserve_address(address)
-            await until(lambda: here.program.counters.counts["discovery_failures"])
+            await until(lambda: test_site.program.counters.counts["discovery_failures"])
             if has_expired:  # discovery was reachable meanwhile, and sent no update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
                 lease.expiry_ns += 10**10  # longer than the test takes on a slow machine
             until_ns = lease.send_deadline_ns
-            async with newer_process(here) as second:
+            async with newer_process(test_site) as second:
                 lease = second.coordinator.dispatcher.lease
                 assert lease.send_deadline_ns >= until_ns and lease.may_have_missed_change == has_expired
-                assert (await here.post(left_ms=300)).status == (503 if has_expired else 200)
-                assert here.workers[0].methods() == ([] if has_expired else ["POST"])
+                assert (await test_site.post(left_ms=300)).status == (503 if has_expired else 200)
+                assert test_site.workers[0].methods() == ([] if has_expired else ["POST"])
                 assert second.counters.counts["requests"] == 1
         down.close()
 
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -95,8 +95,8 @@
     monkeypatch.setenv("GW_CONFIG", str(path))
 
     async def scenario() -> None:
-        async with site(**FIRST) as here:
-            process, dispatcher = here.program, here.program.coordinator.dispatcher
+        async with site(**FIRST) as test_site:
+            process, dispatcher = test_site.program, test_site.program.coordinator.dispatcher
             assert dispatcher.components.runtimes.mean_runtime_ns() > 400e9
             changed = {**process.config.document, "settings": document(**SECOND)["settings"]}
             path.write_text(json.dumps(changed))
@@ -120,8 +120,8 @@
                 and components.slow_start.policy.overload_multiple == 4.5
             )
             assert process.discovery.config is process.config
-            assert (await here.post("c1", "/lookup")).status == 404
-            assert (await here.post("c2", "/print")).body == b"TEXT"
+            assert (await test_site.post("c1", "/lookup")).status == 404
+            assert (await test_site.post("c2", "/print")).body == b"TEXT"
 
     asyncio.run(scenario())
 
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -1,4 +1,4 @@
-"""FailingDiscovery polls of discovery, on real sockets."""
+"""Failing watches: discovery falls silent, is busy or sends invalid data, and is polled again."""
 
 from __future__ import annotations
 
@@ -47,14 +47,17 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery()
-        async with site(discovery=failing) as here:
-            waiting = asyncio.create_task(here.post())
+        async with site(discovery=failing) as test_site:
+            waiting = asyncio.create_task(test_site.post())
             await until(lambda: failing.polls >= 2)
-            assert here.program.counters.counts["discovery_failures"] >= 1 and not here.workers[0].methods()
+            assert (
+                test_site.program.counters.counts["discovery_failures"] >= 1
+                and not test_site.workers[0].methods()
+            )
             failing.is_healthy = True
             assert (await waiting).body == b"TEXT"
             failing.is_healthy = False
-            assert (await here.post("c2")).body == b"TEXT"
+            assert (await test_site.post("c2")).body == b"TEXT"
 
     for name, limit_s in limits.items():
         monkeypatch.setattr(discovery_client, name, limit_s)
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -13,7 +13,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tests.site import site as running_site
+from tests.site import site
 from weldquay import cli
 from weldquay.config import catalogue, checking, writer
 from weldquay.interface import Idempotency
@@ -186,14 +186,17 @@
         settings: dict[str, Any] = {
             name: value for name, value in document["settings"].items() if isinstance(value, dict)
         }
-        async with running_site(workers=2, **settings) as here:
+        async with site(workers=2, **settings) as test_site:
             answers = await asyncio.gather(
-                *(here.post(f"c{number}", f"/{'lookup' if number % 2 else 'import'}") for number in range(12))
+                *(
+                    test_site.post(f"c{number}", f"/{'lookup' if number % 2 else 'import'}")
+                    for number in range(12)
+                )
             )
             assert [answer.status for answer in answers] == [200] * 12
             posts = [
                 message.headers["x-correlation-id"]
-                for worker in here.workers
+                for worker in test_site.workers
                 for message in worker.received
                 if message.method == "POST"
             ]
