--- a/tests/newer_process.py
+++ b/tests/newer_process.py
@@ -23,5 +23,5 @@
         yield newer
     finally:
         newer.hot_restart.stop()
-        for part in (newer.tasks, newer.operators, newer.discovery, newer.server, newer.workers):
-            await part.stop()
+        for component in (newer.tasks, newer.operators, newer.discovery, newer.server, newer.workers):
+            await component.stop()
--- a/tests/site.py
+++ b/tests/site.py
@@ -14,7 +14,7 @@
 from weldquay.net.dispatcher_process import DispatcherProcess
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
-TEST_TIMEOUT_S = 20.0  # timeout of a test
+TEST_TIMEOUT_S = 20.0
 ACCEPTED = encode_message("HTTP/1.1 202 Accepted")
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -118,17 +118,17 @@
     async def operate(self, operation: str, method: str = "POST") -> int:
         """Send an operator request and return the status of its response."""
         address = f"127.0.0.1:{self.program.operators.port}"
-        answer = await request(address, encode_message(f"{method} /control/{operation} HTTP/1.1"))
-        return int(answer.start_line.split()[1])
+        response = await request(address, encode_message(f"{method} /control/{operation} HTTP/1.1"))
+        return int(response.start_line.split()[1])
 
     async def health(self) -> int:
         """Return the status of /_health."""
-        answer = await request(self.address, encode_message("GET /_health HTTP/1.1"))
-        return int(answer.start_line.split()[1])
+        response = await request(self.address, encode_message("GET /_health HTTP/1.1"))
+        return int(response.start_line.split()[1])
 
 
 async def until(condition: Callable[[], Any]) -> Any:
-    """Poll a condition until its value is true, and return that value."""
+    """Poll a condition every 10 ms until its value is true, and return that value."""
     while True:
         value = condition()
         if value:
@@ -180,8 +180,14 @@
             yield test_site
     finally:
         program.hot_restart.stop()
-        for part in (program.tasks, program.operators, program.discovery, program.server, program.workers):
-            await part.stop()
+        for component in (
+            program.tasks,
+            program.operators,
+            program.discovery,
+            program.server,
+            program.workers,
+        ):
+            await component.stop()
         for server in (toy_discovery, *fleet, *([discovery] if discovery else [])):
             server.stop()
     assert not failures and not program.counters.counts["client_connections_failed"]
