--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -45,19 +45,21 @@
 
 
 def test_request_reaches_worker_unchanged_and_returns_its_result() -> None:
-    """Method, path, query, body and id reach the worker; the body of the response is its result."""
+    """The worker receives the method, path, query, body and id; its result is the body of the response."""
 
     async def scenario() -> None:
         async with site() as test_site:
             response = await test_site.post("id-7")
             assert (response.start_line.split()[1], response.body) == ("200", b"TEXT")
-            (seen,) = [message for message in test_site.workers[0].received if message.method == "POST"]
-            assert (seen.target, seen.body, seen.headers["x-correlation-id"]) == (
+            (forwarded_job,) = [
+                message for message in test_site.workers[0].received if message.method == "POST"
+            ]
+            assert (forwarded_job.target, forwarded_job.body, forwarded_job.headers["x-correlation-id"]) == (
                 "/lookup/a?b=1",
                 b"text",
                 "id-7",
             )
-            assert 4000 < int(seen.headers["x-time-left-ms"]) <= 5000
+            assert 4000 < int(forwarded_job.headers["x-time-left-ms"]) <= 5000
 
     run_scenario(scenario())
 
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -127,18 +127,18 @@
 async def accepted_request(test_site: Site) -> asyncio.Task[Message]:
     """Post a request, wait until the worker has accepted its job, and return the pending task."""
     test_site.workers[0].script = test_site.workers[0].accept
-    answer = asyncio.create_task(test_site.post())
+    response_task = asyncio.create_task(test_site.post())
     await test_site.workers[0].until("POST")
-    return answer
+    return response_task
 
 
 @pytest.mark.parametrize("size", [1, 20, 100])
 def test_callback_in_pieces_counts_once_complete(size: int) -> None:
-    """It may arrive in pieces of any size; an incomplete callback has no effect, but its retry does."""
+    """A callback may arrive in pieces of any size; an incomplete one has no effect, but its retry does."""
 
     async def scenario() -> None:
         async with site() as test_site:
-            answer = await accepted_request(test_site)
+            response_task = await accepted_request(test_site)
             data = completion_callback("c1", test_site.workers[0], "whole")
             _, incomplete = await connect(test_site)
             incomplete.write(data[:-3])
@@ -149,7 +149,7 @@
                 writer.write(data[position : position + size])
                 await writer.drain()
             assert (await reader.read(12)).startswith(b"HTTP/1.1 204")
-            assert (await answer).body == b"whole"
+            assert (await response_task).body == b"whole"
             assert test_site.program.counters.counts["attempts_ok"] == 1
             writer.close()
 
@@ -161,7 +161,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            answer = await accepted_request(test_site)
+            response_task = await accepted_request(test_site)
             data = completion_callback("c1", test_site.workers[0], "late")
             reader, writer = await connect(test_site)
             writer.write(data[:30])
@@ -173,7 +173,7 @@
             )
             test_site.program.server.begin_closing()
             writer.write(data[30:])
-            assert b"204" in await reader.read() and (await answer).body == b"late"
+            assert b"204" in await reader.read() and (await response_task).body == b"late"
             writer.close()
 
     asyncio.run(scenario())
