--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -15,7 +15,7 @@
 
 
 def test_a_client_that_does_not_read_uses_little_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its later requests are not handled until it reads its answers; a shutdown does not wait for it."""
+    """Its later requests are not handled until it reads its responses; a shutdown does not wait for it."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -176,7 +176,7 @@
 
 
 def test_a_large_body_is_rejected_and_not_buffered() -> None:
-    """The client reads the answer and keeps sending until the connection is closed."""
+    """The client reads the response and keeps sending until the connection is closed."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -291,8 +291,8 @@
                     "127.0.0.1", test_site.program.server.port
                 )
                 bad_writer.write(data)
-                answer = await read_message(bad_reader)
-                assert int(answer.start_line.split()[1]) == status, data[:80]
+                response = await read_message(bad_reader)
+                assert int(response.start_line.split()[1]) == status, data[:80]
                 assert await bad_reader.read() == b"", data[:80]
                 bad_writer.close()
                 writer.write(job(f"c{number}"))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -26,7 +26,7 @@
 
 
 def test_idle_clients_leave_descriptors_for_other_connections(tmp_path: Any) -> None:
-    """For jobs, callbacks, operators' requests, and the endpoint list once discovery is back."""
+    """Jobs, callbacks, operator requests and polls of a recovered discovery still get descriptors."""
 
     async def scenario() -> None:
         listen, mgmt = (f"127.0.0.1:{free_port()}" for _ in range(2))
