--- a/tests/test_client_disconnections.py
+++ b/tests/test_client_disconnections.py
@@ -18,7 +18,7 @@
 EXTRA_BYTES = [0, 3_000, 20_000, 100_000, 400_000]  # sent after the request; within and above each limit
 
 
-def client(test_site: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
+def connect_client(test_site: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
     """Connect, send one request followed by extra bytes, and return the client's socket."""
     sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
     sock.setblocking(False)
@@ -69,7 +69,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             await drain_worker(test_site)
-            sock = client(test_site, "c1", extra_bytes)
+            sock = connect_client(test_site, "c1", extra_bytes)
             await wait_for_open_requests(test_site, 1)
             await asyncio.sleep(0.05)  # the extra bytes are read, up to the limit
             disconnect(sock, how)
@@ -88,7 +88,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             await drain_worker(test_site)
-            socks = [client(test_site, f"c{number}", 100) for number in range(120)]
+            socks = [connect_client(test_site, f"c{number}", 100) for number in range(120)]
             await wait_for_open_requests(test_site, 120)
             for number, sock in enumerate(socks):
                 disconnect(sock, "reset" if number % 2 else "close")
@@ -215,7 +215,7 @@
 
 
 def test_flood_after_request_is_limited_and_request_is_answered() -> None:
-    """All bytes are read, those beyond the limit are dropped, and the connection closes after the answer."""
+    """Bytes beyond the limit are read and dropped, and the connection closes after the response."""
 
     async def scenario() -> None:
         async with site() as test_site:
