--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -74,7 +74,7 @@
 def test_only_a_large_fleet_backs_off_beyond_the_deadline(
     dispatchers: int, min_s: float, max_s: float
 ) -> None:
-    """From the second consecutive failure after a wait in discovery's queue on."""
+    """It does so from the second consecutive failure after a wait in discovery's queue."""
     backoff = Backoff(random.Random(1), dispatchers)
     assert backoff.retry_delay_ns(100 * SECOND, 10 * SECOND, 2 * SECOND, BUSY) <= 3600 * MS
     delays_ns = [
@@ -84,16 +84,20 @@
 
 
 def test_local_agent_is_polled_at_once_and_soon_again() -> None:
-    """Independently of the number of dispatchers and of failures."""
+    """The delays depend neither on the number of dispatchers nor on the number of failures."""
     backoff = Backoff(random.Random(1), DISPATCHER_COUNT, is_local_agent=True)
     assert backoff.initial_delay_ns(SECOND) == 0
     assert max(backoff.retry_delay_ns(n * SECOND, 10 * SECOND, 2 * SECOND) for n in range(50)) <= 100 * MS
 
 
-@pytest.mark.parametrize("work_ms", [1, 5, 10])
-def test_watches_that_fail_together_reopen_in_time(work_ms: int) -> None:
-    """200 dispatchers, one discovery: heartbeats stop, and each watch times out 0.6 s to 2.6 s later."""
-    rng, discovery, outage_start_ns = random.Random(work_ms), DiscoveryModel(work_ms * MS, 0), 100 * SECOND
+@pytest.mark.parametrize("service_time_ms", [1, 5, 10])
+def test_watches_that_fail_together_reopen_in_time(service_time_ms: int) -> None:
+    """One discovery stops its heartbeats to 200 dispatchers; each watch times out 0.6 s to 2.6 s later."""
+    rng, discovery, outage_start_ns = (
+        random.Random(service_time_ms),
+        DiscoveryModel(service_time_ms * MS, 0),
+        100 * SECOND,
+    )
     dispatchers = [
         Dispatcher(
             settings(dispatcher_count=DISPATCHER_COUNT, dispatcher_index=index, polls_endpoint_list=True),
@@ -129,8 +133,8 @@
             if isinstance(action, api.SetTimer) and action.token == 3:
                 heapq.heappush(queue, (now_ns + action.delay_ns, number, index, api.TimerDue(3)))
             elif isinstance(action, api.WatchEndpoints):
-                at_ns, answered = discovery.poll(now_ns)
-                kind = api.EndpointListKind.DELTA if answered else api.EndpointListKind.FAILED
+                at_ns, is_answered = discovery.poll(now_ns)
+                kind = api.EndpointListKind.DELTA if is_answered else api.EndpointListKind.FAILED
                 heapq.heappush(queue, (at_ns, number, index, api.EndpointListUpdate(kind)))
     assert len(received_ns) == DISPATCHER_COUNT and max(received_ns.values()) < 5600 * MS
 
@@ -148,8 +152,8 @@
     """Values are on one line or indented, and arrive in chunks of any size with heartbeats between them."""
     stream = json.dumps(ENDPOINT_LIST, indent=indent).encode() + b"\n\n" + b'{"revision":8}\r\n'
     parser, received = JsonStreamParser(), list[bytes]()
-    for at in range(0, len(stream), size):
-        received += parser.feed(stream[at : at + size])
+    for offset in range(0, len(stream), size):
+        received += parser.feed(stream[offset : offset + size])
     assert [json.loads(value) if value else None for value in received] == [
         ENDPOINT_LIST,
         None,
@@ -174,7 +178,7 @@
 
 
 def test_poll_after_a_heartbeat_timeout_meets_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One of 200 dispatchers polls from its known revision, and receives the drain that it has missed."""
+    """One of 200 dispatchers polls from its known revision and receives the drain that it missed."""
     shorten_timeouts(monkeypatch, 2700 * MS)
 
     async def scenario() -> None:
@@ -186,8 +190,9 @@
             ]
             test_site.program.discovery.watch()
             await until(lambda: test_site.program.discovery.revision == 8)
-            (first, first_s), (second, second_s) = discovery.polls[-2:]
-            assert (first[-1], second[-1]) == ("1", "7") and second_s - first_s < 2  # 0.5 s unless it stalls
+            (first_target, first_s), (second_target, second_s) = discovery.polls[-2:]
+            # The second poll follows after 0.5 s unless the machine stalls.
+            assert (first_target[-1], second_target[-1]) == ("1", "7") and second_s - first_s < 2
             assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 1
             assert (await test_site.post(left_ms=300)).status == 503
 
