--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -104,7 +104,7 @@
 
 @dataclass
 class ProxiedSimulation(SampledSimulation):
-    """Discovery behind a proxy that accepts connections and answers 503 while discovery is down."""
+    """Discovery behind a proxy that accepts connections and responds with 503 while discovery is down."""
 
     error: DiscoveryFailure = DiscoveryFailure.UNAVAILABLE
     error_after_s: float = 0.001
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("error", [DiscoveryFailure.UNAVAILABLE, DiscoveryFailure.BUSY])
 def test_no_attempt_is_sent_late_after_an_outage_that_accepts_connections(error: DiscoveryFailure) -> None:
-    """A proxy accepts connections and answers 503 at once or after 2 s, so connecting shows nothing."""
+    """A proxy accepts connections and sends 503 at once or after 2 s: connecting shows no outage."""
     faults = schedule_faults([("down", 40, 30), ("down", 1, 300)], 0)
     error_after_s = 2.0 if error is DiscoveryFailure.BUSY else 0.001
     simulations = [ProxiedSimulation(faults, error=error, error_after_s=error_after_s) for _ in range(20)]
@@ -211,8 +211,8 @@
         await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
         address = test_site.discovery.address
         test_site.discovery.stop()
-        bound, _ = reserve_address(address)
-        with bound:
+        reserved_socket, _ = reserve_address(address)
+        with reserved_socket:
             await until(lambda: test_site.program.counters.counts["discovery_polls_refused"])
             yield test_site, address
 
@@ -275,13 +275,13 @@
 
     async def scenario() -> None:
         async with site_during_outage() as (test_site, _):
-            other, other_address = reserve_address()
-            host, port = other_address.split(":")
+            reserved_socket, new_address = reserve_address()
+            host, port = new_address.split(":")
             test_site.program.discovery.reconfigure(
                 replace(test_site.program.config, discovery=Address(host, int(port)))
             )
             await asyncio.sleep(STALENESS_S + 0.2)
             assert await statuses_of_requests(test_site, 0.5) == {200}
-        other.close()
+        reserved_socket.close()
 
     asyncio.run(scenario())
