--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -24,7 +24,7 @@
 
 
 def test_a_shutdown_serves_new_requests_until_it_closes_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Health checks fail at once, answers close their connections, and callbacks are still handled."""
+    """Health checks fail at once, responses close their connections, and callbacks are still handled."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -42,8 +42,8 @@
             await until(lambda: test_site.program.phase is Phase.CLOSING)
             for request_id in ("c1", "c2"):
                 await worker.send_callback(request_id, state="done", result=request_id)
-            for request_id, answer in (("c1", await open_request), ("c2", await late_request)):
-                assert (answer.body.decode(), answer.headers["connection"]) == (request_id, "close")
+            for request_id, response in (("c1", await open_request), ("c2", await late_request)):
+                assert (response.body.decode(), response.headers["connection"]) == (request_id, "close")
             await shutdown
             assert test_site.program.phase is Phase.STOPPED
 
@@ -61,8 +61,8 @@
             await until(lambda: test_site.program.phase is Phase.DRAINING)
             for number in range(2):
                 writer.write(job(f"c{number}"))
-                answer = await read_message(reader)
-                assert (answer.body, answer.headers.get("connection")) == (b"TEXT", None)
+                response = await read_message(reader)
+                assert (response.body, response.headers.get("connection")) == (b"TEXT", None)
             assert await reader.read() == b"" and test_site.program.phase is not Phase.DRAINING
             writer.close()
             await shutdown
@@ -74,7 +74,7 @@
 def test_the_end_of_a_shutdown_answers_the_open_requests(
     path: str, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are answered before SIGKILL, and the attempt is cancelled at its worker."""
+    """Open requests get a response before SIGKILL, and the attempt is cancelled at its worker."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -94,7 +94,7 @@
 def test_a_reload_changes_the_discovery_address_and_keeps_open_requests(
     tmp_path: Any, monkeypatch: pytest.MonkeyPatch, is_draining: bool
 ) -> None:
-    """While serving or draining; repeatedly, also while the new address does not respond."""
+    """It works while serving or draining, repeatedly, and while the new address does not respond."""
 
     class UnresponsiveServer(Server):
         async def answer(self, _message: Message, _writer: asyncio.StreamWriter) -> None:
@@ -150,7 +150,7 @@
 
             for worker in test_site.workers:
                 worker.script = worker.accept
-            answers = [
+            response_tasks = [
                 asyncio.create_task(test_site.post(f"c{number}", path))
                 for number, path in enumerate(("/lookup", "/import"))
             ]
@@ -167,7 +167,7 @@
                 worker = next(worker for worker in test_site.workers if worker.name == attempt.worker_id)
                 worker.script = None
                 await worker.send_callback(request_id, state="lost")
-            assert [(await answer).start_line.split()[1] for answer in answers] == ["200", "502"]
+            assert [(await task).start_line.split()[1] for task in response_tasks] == ["200", "502"]
             for job_path, status in (("/lookup", "502"), ("/newer", "200")):
                 for worker in test_site.workers:
                     worker.script = abort_once
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -14,7 +14,7 @@
 from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
-KEYED: list[dict[str, Any]] = [
+KEYED_SERVICES: list[dict[str, Any]] = [
     {
         "name": "lookup",
         "aim_ns": 1_000_000_000,
@@ -79,7 +79,7 @@
 
     async def scenario() -> None:
         async with site(
-            caps={"probes": False}, services=KEYED, family_info={"class_stretch": [2.0]}
+            caps={"probes": False}, services=KEYED_SERVICES, family_info={"class_stretch": [2.0]}
         ) as test_site:
             script = await start_retry_that_waits_for_delete(test_site)
             started_at = time.monotonic()
@@ -157,7 +157,7 @@
 
 
 def test_retry_without_capacity_in_its_window_is_not_sent_later() -> None:
-    """A keyed retry fails if it waits for capacity until after its deduplication window."""
+    """A retry by key fails if it gets no capacity before the end of its deduplication window."""
     job_settings = job_class(
         idempotency=api.Idempotency.IDEMPOTENT_BY_KEY,
         idempotency_window_ns=SECOND,
@@ -174,7 +174,7 @@
 
 
 def test_retry_has_latest_send_time() -> None:
-    """It is nine tenths of the window after the first possible execution; a first attempt has no limit."""
+    """The limit is 9/10 of the window after the first possible execution; a first attempt has none."""
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
     drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -64,7 +64,7 @@
         process.request_shutdown()
         if process.phase not in (Phase.STARTING, Phase.DRAINING, Phase.CLOSING):
             ending = asyncio.create_task(process.shut_down())
-            await asyncio.sleep(0)  # the next phase is entered at once, and after a hot restart ends soon
+            await asyncio.sleep(0)  # the next phase is entered at once; after a hot restart it ends soon
             stack.callback(ending.cancel)
     return True
 
@@ -95,5 +95,5 @@
     """The table lacks RELOADING, which ends within one event-loop iteration, and the last two phases."""
     rows = {phase for phase, _, _ in read_table()}
     assert rows == {phase.value for phase in Phase} - {"reloading", "stopping", "stopped"}
-    seen: Any = {event for _, event, _ in read_table()}
-    assert len(seen) == 5
+    events: Any = {event for _, event, _ in read_table()}
+    assert len(events) == 5
