--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -82,22 +82,24 @@
         async with site() as test_site:
             worker, older, gate = test_site.workers[0], test_site.program, asyncio.Event()
 
-            async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def accept_after_gate(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
                 await worker.accept(message, writer)
 
-            worker.script = slow
-            answers = [asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(2)]
+            worker.script = accept_after_gate
+            response_tasks = [
+                asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(2)
+            ]
             await until(lambda: len(worker.methods()) == 2)
             async with newer_process(test_site) as newer:
                 for _ in range(2):
                     await worker.send_callback("c0", state="done", result="early")
-                assert (await answers[0]).body == b"early"
+                assert (await response_tasks[0]).body == b"early"
                 assert older.counters.counts["attempts_ok"] == 1
                 gate.set()
                 await until(lambda: newer.counters.counts["migrated_requests_accepted"])
                 await worker.send_callback("c1", state="done", result="late")
-                assert (await answers[1]).body == b"late" and worker.methods() == ["POST"] * 2
+                assert (await response_tasks[1]).body == b"late" and worker.methods() == ["POST"] * 2
                 # A callback that matches at neither process is sent back once, after the earlier messages.
                 assert newer.counters.counts["hot_restart_callbacks"] == 1
 
--- a/tests/test_job_forwarding.py
+++ b/tests/test_job_forwarding.py
@@ -13,12 +13,12 @@
 RETURNED_UNSTARTED = encode_message("HTTP/1.1 503 Service Unavailable", b"", "X-Unprocessed: 1")
 
 
-def job_request(call: str, target: str) -> bytes:
+def job_request(request_id: str, target: str) -> bytes:
     """Return a job request with all headers of PROTOCOL."""
     return encode_message(
         f"POST {target} HTTP/1.1",
         b'{"route": [1, 2, 3]}',
-        f"X-Correlation-Id: {call}",
+        f"X-Correlation-Id: {request_id}",
         "X-Time-Left-Ms: 5000",
         f"Idempotency-Key: {IDEMPOTENCY_KEY}",
         "X-Account: kelowna",
@@ -26,9 +26,9 @@
     )
 
 
-def jobs(seen: list[Message]) -> list[Message]:
+def jobs(received: list[Message]) -> list[Message]:
     """Return the jobs among the requests that a worker received."""
-    return [message for message in seen if message.method == "POST"]
+    return [message for message in received if message.method == "POST"]
 
 
 @pytest.mark.parametrize("target", ["/lookup/a?b=1", "/lookup", "/lookup/x/y?z=%20&w="])
@@ -37,8 +37,8 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            answer = await request(test_site.address, job_request("c1", target))
-            assert answer.status == 200
+            response = await request(test_site.address, job_request("c1", target))
+            assert response.status == 200
             (job,) = jobs(test_site.workers[0].received)
             assert job.start_line == f"POST {target} HTTP/1.1"
             assert job.body == b'{"route": [1, 2, 3]}'
@@ -59,8 +59,8 @@
 
             for worker in test_site.workers:
                 worker.script = return_unstarted
-            answer = await request(test_site.address, job_request("c2", "/lookup/a"))
-            assert answer.status in (429, 503)
+            response = await request(test_site.address, job_request("c2", "/lookup/a"))
+            assert response.status in (429, 503)
             attempts = [job for worker in test_site.workers for job in jobs(worker.received)]
             assert len(attempts) >= 2, "the job was not retried after the first worker returned it"
             assert {job.headers.get("idempotency-key") for job in attempts} == {IDEMPOTENCY_KEY}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -20,13 +20,15 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            idle = []
+            incomplete = []
             for _ in range(3 * operators.MAX_CONNECTIONS):
-                idle.append(await asyncio.open_connection("127.0.0.1", test_site.program.operators.port))
-                idle[-1][1].write(b"POST /control/in-")
+                incomplete.append(
+                    await asyncio.open_connection("127.0.0.1", test_site.program.operators.port)
+                )
+                incomplete[-1][1].write(b"POST /control/in-")
             await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
             assert await test_site.operate("ready", "GET") == 200
-            for reader, _ in idle:
+            for reader, _ in incomplete:
                 assert await reader.read() == b""
             assert await test_site.operate("ready", "POST") == 404
             assert await test_site.operate("in-service/x") == 404
@@ -58,10 +60,15 @@
             late = await test_site.post("late")
             assert (late.start_line.split()[1], late.headers["connection"]) == ("503", "close")
             await worker.send_callback("c1", state="done", result="kept")
-            assert ((answer := await open_request).body, answer.headers["connection"]) == (b"kept", "close")
+            assert ((response := await open_request).body, response.headers["connection"]) == (
+                b"kept",
+                "close",
+            )
             assert await test_site.operate("in-service") == await test_site.health() == 200
             worker.script = None
-            assert (again := await test_site.post("c2")).body == b"TEXT" and "connection" not in again.headers
+            assert (
+                next_response := await test_site.post("c2")
+            ).body == b"TEXT" and "connection" not in next_response.headers
             idle_writer.close()
             ending = asyncio.create_task(test_site.program.shut_down())
             await until(lambda: test_site.program.phase is Phase.DRAINING)
@@ -115,13 +122,15 @@
                 return await connect(worker)
 
             workers.connections.connect = connect_later  # type: ignore[method-assign]
-            answers = [asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(8)]
+            response_tasks = [
+                asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(8)
+            ]
             await until(
                 lambda: any(name == "w0" for _, name in test_site.program.coordinator.attempts.by_worker)
             )
             assert await test_site.operate("match-workers/w0/offline") == 200
             gate.set()
-            assert {(await answer).start_line.split()[1] for answer in answers} == {"200"}
+            assert {(await task).start_line.split()[1] for task in response_tasks} == {"200"}
             assert test_site.workers[0].methods() == []
 
     asyncio.run(scenario())
