--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -1,4 +1,4 @@
-"""Lingering closes: no answer is lost to a reset, and no request after the close is forwarded."""
+"""Lingering closes: no response is lost to a reset, and no request after the close is forwarded."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 async def lingering_client(test_site: Site) -> socket.socket:
-    """Return a client with a small receive buffer whose connection lingers with a large unsent answer."""
+    """Return a client with a small receive buffer whose connection lingers with a large unsent response."""
     return_large_results(test_site)
     sock = connect_with_small_buffer(test_site)
     connection = await accepted_connection(test_site, sock)
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("following", [b"x", b"POST /lookup HTTP/1.1\r\n", b"y" * 50_000])
 def test_bytes_after_the_last_request_do_not_reset_its_answer(following: bytes) -> None:
-    """They arrive while part of the answer is still unsent."""
+    """The bytes arrive while part of the response is still unsent."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -103,7 +103,7 @@
 def test_a_client_that_reads_slowly_receives_its_complete_answer(
     is_half_closed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As long as it reads, also after LINGER_TIMEOUT_S, and also if it has shut down its write half."""
+    """The client may read for longer than LINGER_TIMEOUT_S, and may have shut down its write half."""
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -126,7 +126,7 @@
 
 
 def test_a_client_that_reads_nothing_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After the timeout of the lingering close."""
+    """The connection is closed after the timeout of the lingering close."""
     monkeypatch.setattr(connection_table, "LINGER_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("where", ["system", "reader"])
 def test_a_request_before_the_shutdown_is_answered(where: str) -> None:
-    """It is unread in the system's buffer or in the reader's."""
+    """The request is still unread, in the socket's receive buffer or in the stream reader's buffer."""
 
     async def scenario() -> None:
         async with site() as test_site:
@@ -192,11 +192,11 @@
 def test_the_last_answer_arrives_whatever_follows_the_request(
     data: bytes, status: bytes, following: int
 ) -> None:
-    """The rest of the client's data is read until it ends, so that no reset destroys the answer."""
+    """The rest of the client's data is read until it ends, so that no reset discards the response."""
 
     async def scenario() -> None:
         async with site() as test_site:
-            # Until then /_health answers 503.
+            # Until then /_health returns 503.
             await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
             reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
             writer.write(data)
@@ -230,7 +230,7 @@
 
 
 def test_no_connection_with_unread_or_unsent_data_is_evicted() -> None:
-    """Neither a connection with an unread request nor one with an unsent answer."""
+    """Neither a connection with an unread request nor one with an unsent response."""
 
     async def scenario() -> None:
         async with site() as test_site:
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("row", page_rows(), ids=lambda row: row[0])
 def test_times_on_the_page_match_the_code(row: list[str]) -> None:
-    """Each part for few and for many dispatchers; their sum is within the staleness limit."""
+    """Each part matches for 3 and for 200 dispatchers; the sum is within the staleness limit."""
     failure, detect, few, many, queue, apply, total = row
     assert float(detect) == pytest.approx(FAILURES.get(failure, (0.0, Failure.CLOSED))[0])
     assert float(few) == pytest.approx(max_delay_s(3, failure), abs=0.05)
@@ -148,7 +148,7 @@
 
 
 def test_a_poll_without_response_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery does not answer the first poll, but would answer another one immediately."""
+    """Discovery does not respond to the first poll, but would respond to a second one immediately."""
     reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
@@ -173,10 +173,10 @@
             failing.worker_address = test_site.workers[0].address
             address = failing.address
             failing.stop()
-            down, _ = reserve_address(address)
+            reserved_socket, _ = reserve_address(address)
             test_site.program.discovery.watch()
             await until(lambda: test_site.program.counters.counts["discovery_failures"] >= 4)
-            await failing.start_on(down)
+            await failing.start_on(reserved_socket)
             started_at = time.monotonic()
             await wait_for_drain(test_site)
             assert time.monotonic() - started_at < 2  # 0.36 s by the table on the page
@@ -189,20 +189,20 @@
     reduce_timeouts(monkeypatch)
 
     async def scenario() -> None:
-        old = FailingDiscovery(no_response, 99)
-        new = FailingDiscovery(no_response, 0)
-        await new.start()
-        async with site(discovery=old, group_size=3) as test_site:
-            new.worker_address = test_site.workers[0].address
-            await until(lambda: old.poll_times)
-            host, port = new.address.split(":")
+        old_discovery = FailingDiscovery(no_response, 99)
+        new_discovery = FailingDiscovery(no_response, 0)
+        await new_discovery.start()
+        async with site(discovery=old_discovery, group_size=3) as test_site:
+            new_discovery.worker_address = test_site.workers[0].address
+            await until(lambda: old_discovery.poll_times)
+            host, port = new_discovery.address.split(":")
             config = test_site.program.config
-            moved = replace(config, discovery=type(config.discovery)(host, int(port)))
-            test_site.program.discovery.reconfigure(moved)
+            changed_config = replace(config, discovery=type(config.discovery)(host, int(port)))
+            test_site.program.discovery.reconfigure(changed_config)
             await wait_for_drain(test_site)
             started_at = time.monotonic()
             await until(lambda: time.monotonic() - started_at > 0.5)
-            assert len(new.poll_times) <= 4 and new.targets[0].endswith("since=0")
-        new.stop()
+            assert len(new_discovery.poll_times) <= 4 and new_discovery.targets[0].endswith("since=0")
+        new_discovery.stop()
 
     asyncio.run(scenario())
