--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -20,13 +20,13 @@
     for name, effect in (("lookup", "retryable"), ("import", "fragile"))
 ]
 SIGKILL_AFTER_S = 0.6 + dispatcher_process.KILL_DELAY_S  # after SIGTERM, with these client timeouts
-FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time from SIGTERM until the final answers
+FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time from SIGTERM until the final responses
 
 
 @pytest.mark.parametrize("worker_hangs", [False, True])
 @pytest.mark.parametrize("fraction", FRACTIONS)
 def test_a_request_at_any_time_after_sigterm_is_answered(fraction: float, worker_hangs: bool) -> None:
-    """On an existing or new connection: it is answered, or the stream ends before the request was read."""
+    """On an existing or a new connection it gets a response, or the stream ends before it was read."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
@@ -51,8 +51,8 @@
                 writer.write(job(f"c{number}", "/import", left_ms=600))
             for number, (reader, _) in enumerate(clients):
                 try:
-                    answer = await read_message(reader)
-                    assert answer.status in (
+                    response = await read_message(reader)
+                    assert response.status in (
                         (200,) if fraction < 0.5 and not worker_hangs else (200, 502, 503)
                     )
                 except (asyncio.IncompleteReadError, ConnectionResetError):
@@ -88,7 +88,7 @@
 def test_a_client_that_reads_nothing_does_not_delay_the_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connection is still open when everything else has stopped."""
+    """The client's connection is still open when everything else has stopped."""
     monkeypatch.setattr(dispatcher_process, "LINGER_TIMEOUT_S", 30.0)
 
     async def scenario() -> None:
@@ -121,7 +121,7 @@
 def test_a_request_that_arrives_while_components_stop_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It used to be sent to a worker, and its connection was closed without an answer a second later."""
+    """It used to be sent to a worker, and its connection was closed without a response a second later."""
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
 
     async def scenario() -> None:
@@ -141,8 +141,8 @@
             monkeypatch.setattr(test_site.program.discovery, "stop", send_request_and_stop)
             await test_site.program.shut_down()
             client.setblocking(False)
-            answer = await asyncio.get_running_loop().sock_recv(client, 4096)
-            assert answer.startswith(b"HTTP/1.1 503") and test_site.workers[0].methods() == []
+            response = await asyncio.get_running_loop().sock_recv(client, 4096)
+            assert response.startswith(b"HTTP/1.1 503") and test_site.workers[0].methods() == []
             client.close()
 
     asyncio.run(scenario())
@@ -157,8 +157,8 @@
             sock.sendall(job())
             sock.setblocking(False)
             await test_site.program.server.stop()
-            answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
-            assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
+            response = await asyncio.get_running_loop().sock_recv(sock, 4096)
+            assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
             sock.close()
 
     asyncio.run(scenario())
@@ -187,7 +187,7 @@
 
 
 def test_a_second_sigterm_is_ignored() -> None:
-    """In the phases DRAINING and CLOSING."""
+    """It has no effect in the phases DRAINING and CLOSING."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("pending", ["delete", "none"])
 def test_a_worker_that_does_not_answer_does_not_delay_the_exit(pending: str) -> None:
-    """With a pending DELETE that it does not answer, and without."""
+    """The exit is on time with a pending DELETE that gets no response, and without one."""
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS, caps={"probes": False}) as test_site:
