--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -58,16 +58,16 @@
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Accept a job and complete it at once, as the worker with the request's host address."""
         if message.method == "POST":
-            name, call = message.headers["host"], message.headers["x-correlation-id"]
-            self.jobs[call] = asyncio.create_task(self.send_done_callback(name, call))
+            name, request_id = message.headers["host"], message.headers["x-correlation-id"]
+            self.jobs[request_id] = asyncio.create_task(self.send_done_callback(name, request_id))
             writer.write(ACCEPTED)
         else:
             await super().answer(message, writer)
 
-    async def send_done_callback(self, name: str, call: str) -> None:
+    async def send_done_callback(self, name: str, request_id: str) -> None:
         """Send the callback on the worker's persistent connection, with retries."""
         pool = self.pools.setdefault(name, Pool(self.dispatcher))
-        callback = {"id": call, "from": name, "state": "done", "result": "done"}
+        callback = {"id": request_id, "from": name, "state": "done", "result": "done"}
         data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
@@ -75,7 +75,7 @@
                 break
             except (OSError, asyncio.IncompleteReadError):  # the dispatcher evicted the connection
                 await asyncio.sleep(CALLBACK_RETRY_S)
-        del self.jobs[call]
+        del self.jobs[request_id]
 
     def load(self) -> dict[str, float]:
         """Return a load report of a worker without jobs."""
@@ -141,7 +141,7 @@
 
 
 def test_more_workers_than_connections_are_all_served() -> None:
-    """With too few connections, an idle one is evicted; if none is idle, a call waits for one.
+    """With too few connections, an idle one is evicted; if none is idle, an attempt waits for one.
 
     No worker may be ejected because of the wait.
     """
@@ -167,10 +167,10 @@
 
             for worker in test_site.workers:
                 worker.script = partial(delay_response, worker)
-            calls = [asyncio.create_task(test_site.post(f"d{number}")) for number in range(6)]
+            response_tasks = [asyncio.create_task(test_site.post(f"d{number}")) for number in range(6)]
             await until(lambda: len(received) == 2 and pool.waiters)
             respond.set()
-            assert [(await call).body for call in calls] == [b"late"] * 6
+            assert [(await task).body for task in response_tasks] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
                 worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
