--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -52,12 +52,12 @@
         discovery = DelayedDiscovery(phase)
         async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as test_site:
             discovery.worker_address = test_site.workers[0].address
-            waiting = asyncio.create_task(test_site.post(left_ms=3000))
+            response_task = asyncio.create_task(test_site.post(left_ms=3000))
             await until(lambda: discovery.polls)
             await asyncio.sleep(0.2)
-            assert not waiting.done() and test_site.workers[0].methods() == []
+            assert not response_task.done() and test_site.workers[0].methods() == []
             discovery.may_answer.set()
-            assert (await waiting).status == status
+            assert (await response_task).status == status
             assert test_site.workers[0].methods() == (["POST"] if status == 200 else [])
 
     asyncio.run(scenario())
@@ -208,19 +208,22 @@
             lease = test_site.program.coordinator.dispatcher.lease
             address = test_site.discovery.address
             test_site.discovery.stop()
-            down, _ = reserve_address(address)
+            reserved_socket, _ = reserve_address(address)
             await until(lambda: test_site.program.counters.counts["discovery_failures"])
             if has_expired:  # discovery was reachable meanwhile, and sent no update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
                 lease.expiry_ns += 10**10  # longer than the test takes on a slow machine
-            until_ns = lease.send_deadline_ns
-            async with newer_process(test_site) as second:
-                lease = second.coordinator.dispatcher.lease
-                assert lease.send_deadline_ns >= until_ns and lease.may_have_missed_change == has_expired
+            older_deadline_ns = lease.send_deadline_ns
+            async with newer_process(test_site) as newer:
+                lease = newer.coordinator.dispatcher.lease
+                assert (
+                    lease.send_deadline_ns >= older_deadline_ns
+                    and lease.may_have_missed_change == has_expired
+                )
                 assert (await test_site.post(left_ms=300)).status == (503 if has_expired else 200)
                 assert test_site.workers[0].methods() == ([] if has_expired else ["POST"])
-                assert second.counters.counts["requests"] == 1
-        down.close()
+                assert newer.counters.counts["requests"] == 1
+        reserved_socket.close()
 
     asyncio.run(scenario())
