--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "sends_partial_value", "limits"),
+    ("response", "sends_partial_value", "limits"),
     [
         # No heartbeat follows.
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT_TIMEOUTS),
@@ -27,7 +27,7 @@
     ids=["no heartbeat", "busy", "invalid JSON", "truncated value", "endless value"],
 )
 def test_failed_watch_is_polled_again(
-    answer: bytes, sends_partial_value: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
+    response: bytes, sends_partial_value: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery sends nothing, is busy or sends invalid data; a request is held until its first valid value.
 
@@ -40,7 +40,7 @@
 
         async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
             self.polls += 1
-            writer.write(UNCHANGED_RESPONSE if self.is_healthy else answer)
+            writer.write(UNCHANGED_RESPONSE if self.is_healthy else response)
             while sends_partial_value and not self.is_healthy and not writer.is_closing():
                 writer.write(b" ")
                 await asyncio.sleep(0.02)
@@ -48,14 +48,14 @@
     async def scenario() -> None:
         failing = FailingDiscovery()
         async with site(discovery=failing) as test_site:
-            waiting = asyncio.create_task(test_site.post())
+            response_task = asyncio.create_task(test_site.post())
             await until(lambda: failing.polls >= 2)
             assert (
                 test_site.program.counters.counts["discovery_failures"] >= 1
                 and not test_site.workers[0].methods()
             )
             failing.is_healthy = True
-            assert (await waiting).body == b"TEXT"
+            assert (await response_task).body == b"TEXT"
             failing.is_healthy = False
             assert (await test_site.post("c2")).body == b"TEXT"
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -122,8 +122,8 @@
     run = CliRunner().invoke
     assert run(cli.main, arguments).exit_code == 0
     before = path.read_bytes()
-    again = run(cli.main, arguments)
-    assert again.exit_code == 2 and "--force" in again.output and path.read_bytes() == before
+    second_run = run(cli.main, arguments)
+    assert second_run.exit_code == 2 and "--force" in second_run.output and path.read_bytes() == before
     assert run(cli.main, [*arguments, "--force"]).exit_code == 0 and path.read_bytes() == before
     assert run(cli.main, ["config", "check", str(path), "--catalogue", "sapporo-tm"]).exit_code == 0
     assert [entry.name for entry in tmp_path.glob(".*")] == [], "no temporary file is left"
@@ -164,12 +164,12 @@
     inner[last] = value
     (tmp_path / "new.json").write_text(writer.format_configuration(document))
     files = [str(tmp_path / f"{name}.json") for name in ("old", "new")]
-    done = CliRunner().invoke(cli.main, ["config", "diff", *files])
-    assert message in done.output and done.exit_code == status, done.output
+    result = CliRunner().invoke(cli.main, ["config", "diff", *files])
+    assert message in result.output and result.exit_code == status, result.output
 
 
 def test_dispatcher_serves_with_generated_settings() -> None:
-    """With the generated settings and stand-in workers, each job is sent once and answered."""
+    """With the generated settings and stand-in workers, each job is sent once and gets a response."""
     document = writer.compose_configuration(
         writer.parse_description(
             {
@@ -187,13 +187,13 @@
             name: value for name, value in document["settings"].items() if isinstance(value, dict)
         }
         async with site(workers=2, **settings) as test_site:
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(
                     test_site.post(f"c{number}", f"/{'lookup' if number % 2 else 'import'}")
                     for number in range(12)
                 )
             )
-            assert [answer.status for answer in answers] == [200] * 12
+            assert [response.status for response in responses] == [200] * 12
             posts = [
                 message.headers["x-correlation-id"]
                 for worker in test_site.workers
