--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("failure_mode", [no_response, busy, reset, None])
 def test_a_process_is_ready_soon(mode: str, failure_mode: FailureMode | None) -> None:
-    """Discovery is unresponsive, busy, resetting or slow; from the start to /_health and `ready`."""
+    """/_health and `ready` succeed in time while discovery is unresponsive, busy, resetting or slow."""
 
     async def scenario() -> None:
         started_at = time.monotonic()
@@ -53,7 +53,7 @@
 
 
 def test_the_endpoint_list_timeout_is_well_below_the_readiness_limit() -> None:
-    """So is the delay of the first poll in a large fleet."""
+    """The first poll in a large fleet is delayed by at most 3.6 s, which is also below the limit."""
     assert readiness.ENDPOINT_LIST_TIMEOUT_S < MAX_READY_S / 2
     for seed in range(200):
         assert Backoff(random.Random(seed), 200).initial_delay_ns(0) <= 3.6e9
