--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -38,22 +38,22 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("failure_mode", [no_response, busy, reset, None])
 def test_a_process_is_ready_soon(mode: str, failure_mode: FailureMode | None) -> None:
-    """Discovery is unresponsive, busy, resetting or slow; from the start to /_health and `ready`."""
+    """/_health and `ready` succeed in time while discovery is unresponsive, busy, resetting or slow."""
 
     async def scenario() -> None:
         started_at = time.monotonic()
         discovery = SlowDiscovery() if failure_mode is None else FailingDiscovery(failure_mode, 99)
-        async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as here:
-            await wait_for_ok(here.health)
+        async with site(discovery=discovery, discovery_mode=mode, group_size=200, me=7) as test_site:
+            await wait_for_ok(test_site.health)
             assert time.monotonic() - started_at < MAX_READY_S - 2  # more than ENDPOINT_LIST_TIMEOUT_S
-            await wait_for_ok(lambda: here.operate("ready", "GET"))
+            await wait_for_ok(lambda: test_site.operate("ready", "GET"))
             assert time.monotonic() - started_at < MAX_READY_S
 
     asyncio.run(scenario())
 
 
 def test_the_endpoint_list_timeout_is_well_below_the_readiness_limit() -> None:
-    """So is the delay of the first poll in a large fleet."""
+    """The first poll in a large fleet is delayed by at most 3.6 s, which is also below the limit."""
     assert readiness.ENDPOINT_LIST_TIMEOUT_S < MAX_READY_S / 2
     for seed in range(200):
         assert Backoff(random.Random(seed), 200).initial_delay_ns(0) <= 3.6e9
@@ -64,10 +64,10 @@
 
     async def scenario() -> None:
         failing = FailingDiscovery(no_response, 0)
-        async with site(discovery=failing, group_size=3) as here:
-            failing.worker_address = here.workers[0].address
+        async with site(discovery=failing, group_size=3) as test_site:
+            failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
-            await until(lambda: here.program.discovery.revision == 9)
-            assert time.monotonic() - started_at < 2 and (await here.post(left_ms=300)).status == 503
+            await until(lambda: test_site.program.discovery.revision == 9)
+            assert time.monotonic() - started_at < 2 and (await test_site.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
