--- a/weldquay/lab/soak/checks.py
+++ b/weldquay/lab/soak/checks.py
@@ -110,7 +110,7 @@
 
 
 def check_processes(records: Records) -> list[str]:
-    """Check that all processes exit cleanly before SIGKILL, become ready in time and log no exception."""
+    """Check that all processes start, recover and exit cleanly in time and log no exception."""
     log = records.processes
     violations = [
         f"{end.name}: exited with {'SIGKILL' if end.status is None else end.status} "
@@ -118,7 +118,7 @@
         for end in log.ends
         if end.status != 0
     ]
-    violations += log.not_ready + log.failed_starts
+    violations += log.not_ready + log.failed_starts + log.not_recovered
     violations += [
         f"{dispatcher.name}: {count} tracebacks in its logs"
         for dispatcher in records.dispatchers
--- a/weldquay/lab/soak/clients.py
+++ b/weldquay/lab/soak/clients.py
@@ -73,6 +73,21 @@
                 with suppress(OSError):
                     self._idle_connections.append(await asyncio.open_connection(host, int(port)))
 
+    async def is_served(self, address: str) -> bool:
+        """Send one request on a new connection to a dispatcher; return whether it was completed."""
+        host, port = address.split(":")
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                connection = await asyncio.open_connection(host, int(port))
+        except OSError:  # includes TimeoutError
+            return False
+        try:
+            request = await self._exchange(address, connection, is_new=True)
+        finally:
+            connection[1].transport.abort()
+        self.requests.append(request)
+        return request.status == 200
+
     async def finish(self) -> None:
         """Stop sending requests, and wait for the outstanding responses."""
         self.is_stopping = True
--- a/weldquay/lab/soak/processes.py
+++ b/weldquay/lab/soak/processes.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from weldquay.lab.http import encode_message, request
+from weldquay.lab.soak.held_requests import Interval, intervals_without_lease
 from weldquay.lab.soak.plan import ProcessFault, TimedFault
 
 MAX_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL further
@@ -36,11 +37,12 @@
 
 @dataclass
 class ProcessLog:
-    """The recorded exits and failed starts of all processes."""
+    """The recorded exits, failed starts and failed recoveries of all processes."""
 
     ends: list[ProcessEnd] = field(default_factory=list)
     not_ready: list[str] = field(default_factory=list)
     failed_starts: list[str] = field(default_factory=list)
+    not_recovered: list[str] = field(default_factory=list)
 
 
 class SoakDispatcher:
@@ -172,6 +174,14 @@
         """Return the number of tracebacks in the logs."""
         return sum(path.read_text().count("Traceback") for path in self.folder.glob("log-*"))
 
+    def intervals_without_lease(self) -> list[Interval]:
+        """Return when a process of this dispatcher held no valid lease on the endpoint list."""
+        return [
+            interval
+            for path in self.folder.glob("log-*")
+            for interval in intervals_without_lease(path.read_text().splitlines())
+        ]
+
     def kill(self) -> None:
         """Kill the serving process if it is still running."""
         if self.process is not None and self.process.returncode is None:
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -14,6 +14,7 @@
 from weldquay.lab import servers
 from weldquay.lab.http import Message, Server, encode_message, read_message, request, write_line
 from weldquay.lab.site import reserve_address
+from weldquay.lab.soak.held_requests import Interval
 from weldquay.lab.soak.plan import WorkerFault
 
 RUN_S = 0.03  # running time of a job
@@ -167,7 +168,8 @@
         self.addresses_by_caller: list[str] = []
         self._reserved_sockets: list[socket.socket] = []  # reserve the ports while discovery is down
         self.is_up = False
-        self.up_since: list[float] = []
+        self.outages: list[Interval] = []  # those that have ended
+        self._down_since = 0.0
         self.drained: dict[str, float] = {}  # when each worker was listed as draining
         self.drain_visible_at: dict[str, float] = {}  # when discovery could first report that
         self._silenced_at = 0.0  # watches that began earlier send nothing
@@ -186,6 +188,8 @@
         for address in self.addresses_by_caller:
             sock, _ = reserve_address(address)
             await self.start_on(sock)
+        if self._down_since:
+            self.outages.append(Interval(self._down_since, time.monotonic()))
         self.is_up = True
         for worker_id in self.drained:
             self.drain_visible_at.setdefault(worker_id, time.monotonic())
@@ -193,6 +197,7 @@
     def go_down(self) -> None:
         """Refuse new connections and close the open ones."""
         self.is_up = False
+        self._down_since = time.monotonic()
         super().stop()
         self.servers.clear()
 
