--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -105,6 +105,7 @@
         (interval.started_at - offset_s, interval.ended_at - offset_s)
         for interval in intervals_without_lease(lines)
     ] == [pytest.approx((1, 2), abs=0.1), pytest.approx((3, 5), abs=0.1)]
+    assert len(intervals_without_lease(lines[:3])) == 1
     assert intervals_without_lease(lines[:1]) == []
 
 
--- a/weldquay/lab/soak/held_requests.py
+++ b/weldquay/lab/soak/held_requests.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from weldquay.lab.soak.clients import RequestOutcome, SentRequest
+from weldquay.lab.soak.clients import SentRequest
 
 REJECTED_STATUS = 503
 MAX_RECOVERY_S = 6.2  # from the end of an outage until the lease is valid again; includes 0.2 s for delays
@@ -65,8 +65,7 @@
     without_lease: the intervals of the request's dispatcher; outages: of discovery.
     """
     return (
-        request.outcome is RequestOutcome.ANSWERED
-        and request.status == REJECTED_STATUS
+        request.status == REJECTED_STATUS
         and any(interval.overlaps(request.sent_at, request.ended_at) for interval in without_lease)
         and any(outage.overlaps(request.sent_at - MAX_RECOVERY_S, request.ended_at) for outage in outages)
     )
