--- a/weldquay/candidates/group_key.py
+++ b/weldquay/candidates/group_key.py
@@ -78,13 +78,13 @@
         """
         inputs = self.inputs
         now_ns = inputs.now_ns
-        worker_id = worker.entry.worker
-        is_reported = worker_id in inputs.recently_reported
+        worker_number = worker.entry.worker
+        is_reported = worker_number in inputs.recently_reported
         if (
             is_warming
             or worker.failure_score > self.limits.max_failure_score
-            or worker_id in inputs.reinstated
-            or worker_id in inputs.scheduler.by_worker
+            or worker_number in inputs.reinstated
+            or worker_number in inputs.scheduler.by_worker
             or (worker.estimated_slots < 0.5 and (is_reported or worker.estimated_slots > 0))
         ):
             return None, math.inf
--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -100,7 +100,7 @@
         """Return the healthy individual workers with a recent report."""
         recent = self.inputs.recently_reported
         groups = self.groups
-        reported = [worker for worker_id, worker in groups.individual.items() if worker_id in recent]
+        reported = [worker for worker_number, worker in groups.individual.items() if worker_number in recent]
         if not groups.is_small_fleet:
             return reported
         return [worker for worker in reported if worker.free_slots is not None and self._is_healthy(worker)]
@@ -139,7 +139,7 @@
             return [worker for worker in recent.values() if worker.probe_pending] or [
                 worker for worker in groups.ready if worker.probe_pending
             ]
-        return [worker for worker_id, worker in groups.probing.items() if worker_id in recent] or [
+        return [worker for worker_number, worker in groups.probing.items() if worker_number in recent] or [
             worker for worker in groups.probing.values() if worker.list_position >= 0
         ]
 
@@ -217,8 +217,8 @@
                 candidates.append(CandidateGroup(group.members, load, False))
         now_ns = self.inputs.now_ns
         recent = self.inputs.recently_reported
-        for worker_id, worker in self.groups.individual.items():
-            if worker_id in recent or not self._is_healthy(worker):
+        for worker_number, worker in self.groups.individual.items():
+            if worker_number in recent or not self._is_healthy(worker):
                 continue
             if worker.probe_pending and now_ns < worker.next_probe_ns:
                 continue
--- a/weldquay/candidates/worker_groups.py
+++ b/weldquay/candidates/worker_groups.py
@@ -83,9 +83,9 @@
         self.entries: dict[int, WorkerEntry] = {}
         self.settings = inputs.settings
 
-    def mark_changed(self, worker_id: int) -> None:
+    def mark_changed(self, worker_number: int) -> None:
         """Mark a worker to be regrouped before the next decision."""
-        self.changed[worker_id] = None
+        self.changed[worker_number] = None
         self.min_reported_load = -math.inf
 
     def probe_sent(self, worker: Worker) -> None:
@@ -128,9 +128,9 @@
         slow_start_ns = self.settings.slow_start_ns
         self.warming_in_list_order = None
         self.warming.clear()
-        for worker_id, worker in self.listed.items():
+        for worker_number, worker in self.listed.items():
             if worker.started_ns and now_ns < worker.started_ns + slow_start_ns:
-                self.warming[worker_id] = worker
+                self.warming[worker_number] = worker
 
     def warming_workers(self) -> list[Worker]:
         """Return the workers that are warming up, in the order of the endpoint list."""
@@ -142,16 +142,16 @@
 
     def _mark_due(self) -> None:
         """Mark the workers whose recheck is due."""
-        for due_ns, worker_id in self.calendar.pop_due(self.inputs.now_ns):
-            worker = self.inputs.workers.get(worker_id)
+        for due_ns, worker_number in self.calendar.pop_due(self.inputs.now_ns):
+            worker = self.inputs.workers.get(worker_number)
             if worker is not None and worker.recheck_ns == due_ns:
-                self.mark_changed(worker_id)
+                self.mark_changed(worker_number)
 
     def _regroup_changed(self) -> None:
         """Regroup the marked workers."""
         self.not_slow = None
-        for worker_id in self.changed:
-            if (worker := self.inputs.workers.get(worker_id)) is not None:
+        for worker_number in self.changed:
+            if (worker := self.inputs.workers.get(worker_number)) is not None:
                 self._regroup(worker)
         self.changed.clear()
 
@@ -162,23 +162,25 @@
         previous = self.listed
         previous_entries = self.entries if inputs.settings is self.settings else {}
         self.listed = {worker.entry.worker: worker for worker in inputs.ready_workers}
-        self.entries = {worker_id: worker.entry for worker_id, worker in self.listed.items()}
+        self.entries = {worker_number: worker.entry for worker_number, worker in self.listed.items()}
         for position, worker in enumerate(inputs.ready_workers):
             worker.list_position = position
-        for worker_id, entry in self.entries.items():
-            if previous_entries.get(worker_id) is not entry:
-                self.mark_changed(worker_id)
-        for worker_id, worker in self.listed.items():
+        for worker_number, entry in self.entries.items():
+            if previous_entries.get(worker_number) is not entry:
+                self.mark_changed(worker_number)
+        for worker_number, worker in self.listed.items():
             if (worker in subset) != (worker in self.subset):
-                self.mark_changed(worker_id)
-        for worker_id, worker in previous.items():
-            if self.listed.get(worker_id) is not worker:
+                self.mark_changed(worker_number)
+        for worker_number, worker in previous.items():
+            if self.listed.get(worker_number) is not worker:
                 worker.list_position = -1
                 self._remove(worker)
         self.settings = inputs.settings
         self.ready = inputs.ready_workers
         self.subset = subset
-        self.probing = {worker_id: w for worker_id, w in self.probing.items() if worker_id in inputs.workers}
+        self.probing = {
+            worker_number: w for worker_number, w in self.probing.items() if worker_number in inputs.workers
+        }
         self.warming_in_list_order = None
         is_small_fleet = len(self.ready) <= MAX_SMALL_FLEET
         if is_small_fleet or self.is_small_fleet:
@@ -197,41 +199,41 @@
 
     def _remove(self, worker: Worker) -> None:
         """Remove the worker from its group or from the individual workers."""
-        worker_id = worker.entry.worker
+        worker_number = worker.entry.worker
         if (group := worker.group) is not None:
             group.remove(worker)
             if not group.members:
                 del self.by_key[group.key]
-        self.individual.pop(worker_id, None)
-        if self.warming.pop(worker_id, None) is not None:
+        self.individual.pop(worker_number, None)
+        if self.warming.pop(worker_number, None) is not None:
             self.warming_in_list_order = None
 
     def _regroup(self, worker: Worker) -> None:
         """Put the worker into its current group, if any, and schedule its next recheck."""
-        worker_id = worker.entry.worker
+        worker_number = worker.entry.worker
         now_ns = self.inputs.now_ns
         self._remove(worker)
         if worker.probe_pending:
-            self.probing[worker_id] = worker
+            self.probing[worker_number] = worker
         else:
-            self.probing.pop(worker_id, None)
-        if self.listed.get(worker_id) is not worker:
+            self.probing.pop(worker_number, None)
+        if self.listed.get(worker_number) is not worker:
             return
         due_ns: float = math.inf
         warm_ns = worker.started_ns + self.settings.slow_start_ns
         is_warming = worker.started_ns != 0 and now_ns < warm_ns
         if is_warming:
-            self.warming[worker_id] = worker
+            self.warming[worker_number] = worker
             self.warming_in_list_order = None
             due_ns = warm_ns
         healthy_from_ns = self.healthy_from_ns(worker)
         if healthy_from_ns > now_ns:
             due_ns = min(due_ns, healthy_from_ns)
-        elif worker_id not in self.inputs.recently_reported or worker.free_slots is not None:
+        elif worker_number not in self.inputs.recently_reported or worker.free_slots is not None:
             key, valid_until_ns = self.key_builder.build(worker, is_warming, worker in self.subset)
             due_ns = min(due_ns, valid_until_ns)
             if key is None:
-                self.individual[worker_id] = worker
+                self.individual[worker_number] = worker
             else:
                 if (group := self.by_key.get(key)) is None:
                     group = self.by_key[key] = WorkerGroup(key)
