--- a/weldquay/policy/capacity_reservation.py
+++ b/weldquay/policy/capacity_reservation.py
@@ -65,8 +65,8 @@
             for worker in heapq.nsmallest(MAX_OFFERS, workers, key=self.load_estimates.load)
             if self.eligibility.is_eligible(job, worker)
         ]
-        number = self.scheduler.request_capacity(now_ns, capacity_request, offers, load)
-        return None if number is None else self.table.workers[number]
+        worker_number = self.scheduler.request_capacity(now_ns, capacity_request, offers, load)
+        return None if worker_number is None else self.table.workers[worker_number]
 
     def _capacity_request(self, job: Job) -> CapacityRequest:
         request, rules = job.request, job.class_settings
--- a/weldquay/policy/dispatcher.py
+++ b/weldquay/policy/dispatcher.py
@@ -149,7 +149,8 @@
             components.periodic_check.run()
         if scheduler.by_request:
             scheduler.expire(
-                context.now_ns, lambda number: components.ejection.is_healthy(self.workers[number])
+                context.now_ns,
+                lambda worker_number: components.ejection.is_healthy(self.workers[worker_number]),
             )
         if queued and may_place:
             components.queue.place_queued()
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -89,8 +89,8 @@
             self.retries.cancel_retryable(worker)
 
     def _remove_unlisted(self, listed: set[int]) -> None:
-        for number, worker in self.table.workers.items():
-            if number not in listed and worker.entry.state is not WorkerState.GONE:
+        for worker_number, worker in self.table.workers.items():
+            if worker_number not in listed and worker.entry.state is not WorkerState.GONE:
                 worker.entry = replace(worker.entry, state=WorkerState.GONE)
                 self.retries.cancel_retryable(worker)
 
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -52,9 +52,9 @@
         worker.reported_ns = now_ns
         if is_new:
             self._apply_new(worker, report, since_last_report_ns)
-        number = worker.entry.worker
-        self.table.recently_reported.pop(number, None)
-        self.table.recently_reported[number] = worker
+        worker_number = worker.entry.worker
+        self.table.recently_reported.pop(worker_number, None)
+        self.table.recently_reported[worker_number] = worker
         self.index.load_reported(worker)
         if worker.free_slots is not None:
             self.load_estimates.record_zone_load(worker.entry.zone, -worker.free_slots)
--- a/weldquay/policy/sending.py
+++ b/weldquay/policy/sending.py
@@ -52,11 +52,11 @@
 
     def send(self, job: Job, worker: Worker) -> None:
         """Send a request to a worker and record the attempt."""
-        now_ns, request, number = self.context.now_ns, job.request, worker.entry.worker
+        now_ns, request, worker_number = self.context.now_ns, job.request, worker.entry.worker
         idle_ns = self._usable_idle_ns(worker)
         self.requests.add_attempt(Attempt(job, job.attempts, worker, now_ns, idle_ns))
-        self.table.reinstated.discard(number)
-        self.index.mark_changed(number)
+        self.table.reinstated.discard(worker_number)
+        self.index.mark_changed(worker_number)
         worker.record_load_change(now_ns, request.slots, request.memory)
         work_ns = request.slots * self.runtime_model.expected_ns(job)
         self.scheduler.cancel(now_ns, request.request_id, "placed")
@@ -67,7 +67,7 @@
         if job.possibly_executed is not None:
             send_before_ns = self.retries.retry_deadline_ns(job, job.possibly_executed)
         limit_ns = 0 if send_before_ns == math.inf else int(send_before_ns)
-        self.context.actions.append(Send(request.request_id, number, 0, limit_ns))
+        self.context.actions.append(Send(request.request_id, worker_number, 0, limit_ns))
 
     def _usable_idle_ns(self, worker: Worker) -> int:
         """Return how long the connection that the attempt will use has been idle, in ns; 0 if new or busy.
--- a/weldquay/policy/worker_table.py
+++ b/weldquay/policy/worker_table.py
@@ -33,7 +33,7 @@
 
     def snapshots(self) -> dict[int, WorkerSnapshot]:
         """Return the state of each worker, by number, for the process that replaces this one."""
-        return {number: take_snapshot(worker) for number, worker in self.workers.items()}
+        return {worker_number: take_snapshot(worker) for worker_number, worker in self.workers.items()}
 
     def restore(self, event: WorkerStateRestored) -> None:
         """Restore the state that the older process had of a worker; an unknown worker is ignored."""
@@ -43,17 +43,17 @@
     def discard_removed(self) -> None:
         """Discard removed workers without attempts in flight, except for the last `MAX_REMOVED_WORKERS`."""
         removed = [
-            number
-            for number, worker in self.workers.items()
+            worker_number
+            for worker_number, worker in self.workers.items()
             if worker.entry.state is WorkerState.GONE and not worker.in_flight
         ]
-        for number in removed[:-MAX_REMOVED_WORKERS]:
-            del self.workers[number]
+        for worker_number in removed[:-MAX_REMOVED_WORKERS]:
+            del self.workers[worker_number]
 
     def update_ready_workers(self) -> None:
         """Recompute `ready_workers`."""
         self.ready_workers = [
             worker
-            for number, worker in self.workers.items()
-            if worker.entry.state is WorkerState.READY and number not in self.banned_workers
+            for worker_number, worker in self.workers.items()
+            if worker.entry.state is WorkerState.READY and worker_number not in self.banned_workers
         ]
