--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -58,8 +58,8 @@
         self.changed = groups.changed
         self.warming = groups.warming
         self.mark_changed = groups.mark_changed
-        self.probe_sent = groups.probe_sent
-        self.load_reported = groups.load_reported
+        self.record_probe = groups.record_probe
+        self.record_load_report = groups.record_load_report
         self.warming_workers = groups.warming_workers
 
     def begin_step(self) -> None:
--- a/weldquay/candidates/worker_groups.py
+++ b/weldquay/candidates/worker_groups.py
@@ -88,11 +88,11 @@
         self.changed[worker_number] = None
         self.min_reported_load = -math.inf
 
-    def probe_sent(self, worker: Worker) -> None:
+    def record_probe(self, worker: Worker) -> None:
         """Mark a worker to be regrouped after a health check was sent to it; its load has not changed."""
         self.changed[worker.entry.worker] = None
 
-    def load_reported(self, worker: Worker) -> None:
+    def record_load_report(self, worker: Worker) -> None:
         """Assign a sequence number to the worker's new load report, and mark the worker to be regrouped."""
         self.report_count += 1
         worker.report_sequence = self.report_count
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -55,7 +55,7 @@
         worker_number = worker.entry.worker
         self.table.recently_reported.pop(worker_number, None)
         self.table.recently_reported[worker_number] = worker
-        self.index.load_reported(worker)
+        self.index.record_load_report(worker)
         if worker.free_slots is not None:
             self.load_estimates.record_zone_load(worker.entry.zone, -worker.free_slots)
             self.load_estimates.record_capacity(worker.estimated_slots)
--- a/weldquay/policy/probing.py
+++ b/weldquay/policy/probing.py
@@ -61,7 +61,7 @@
         for worker in workers:
             worker.probe_pending = True
             worker.next_probe_ns = now_ns + PROBE_BACKOFF_NS
-            self.index.probe_sent(worker)
+            self.index.record_probe(worker)
             self.context.actions.append(Probe(worker.entry.worker))
         self.budget -= len(workers)
         if not workers and not job.probe_rounds:
