--- a/weldquay/discovery/backoff.py
+++ b/weldquay/discovery/backoff.py
@@ -50,7 +50,7 @@
         self.rng = rng
         self.dispatcher_count = dispatcher_count
         self.is_local_agent = is_local_agent
-        self.failures = 0  # consecutive
+        self.consecutive_failures = 0
         self.deadline_ns = 0  # when a missed change is deemed known; in the past: no deadline
 
     def initial_delay_ns(self, now_ns: int) -> int:
@@ -63,7 +63,7 @@
 
     def reset(self) -> None:
         """Record a successful poll."""
-        self.failures = 0
+        self.consecutive_failures = 0
         self.deadline_ns = 0
 
     def retry_delay_ns(
@@ -79,8 +79,8 @@
         """
         if self.is_local_agent:
             return int(self.rng.random() * MAX_LOCAL_AGENT_DELAY_NS)
-        growth = BACKOFF_FACTOR ** min(self.failures, MAX_BACKOFF_STEPS)
-        self.failures += 1
+        growth = BACKOFF_FACTOR ** min(self.consecutive_failures, MAX_BACKOFF_STEPS)
+        self.consecutive_failures += 1
         remaining_ns = self._remaining_delay_ns(now_ns, since_update_ns, failure)
         limit_ns = max(MIN_REFUSED_DELAY_NS, max_delay_ns)
         refused_delay_ns = REFUSED_DELAY_PER_DISPATCHER_NS * self.dispatcher_count
--- a/weldquay/policy/endpoint_list.py
+++ b/weldquay/policy/endpoint_list.py
@@ -111,7 +111,7 @@
         if (
             has_queued_requests
             and not self.lease.granted
-            and not self.backoff.failures
+            and not self.backoff.consecutive_failures
             and self.next_poll_ns > now_ns
         ):
             self.next_poll_ns = now_ns
--- a/weldquay/policy/outlier_ejection.py
+++ b/weldquay/policy/outlier_ejection.py
@@ -84,8 +84,8 @@
         """Back off from a worker that rejected an attempt; consecutive rejections double the backoff."""
         worker.consecutive_rejections += 1
         doublings = min(worker.consecutive_rejections - 1, MAX_BACKOFF_DOUBLINGS)
-        pause_ns = min(MAX_BACKOFF_NS, FRESH_REPORT_NS << doublings)
-        worker.backoff_until_ns = self.context.now_ns + pause_ns
+        backoff_ns = min(MAX_BACKOFF_NS, FRESH_REPORT_NS << doublings)
+        worker.backoff_until_ns = self.context.now_ns + backoff_ns
 
     def record_error(self, worker: Worker) -> None:
         """Raise the worker's failure score; from the second error on, back off from it.
@@ -96,5 +96,5 @@
         worker.failure_score += 1
         if worker.failure_score > 1:
             doublings = min(max(0, int(worker.failure_score) - 2), MAX_BACKOFF_DOUBLINGS)
-            pause_ns = min(MAX_BACKOFF_NS, INITIAL_TRIAL_BACKOFF_NS << doublings)
-            worker.backoff_until_ns = self.context.now_ns + pause_ns
+            backoff_ns = min(MAX_BACKOFF_NS, INITIAL_TRIAL_BACKOFF_NS << doublings)
+            worker.backoff_until_ns = self.context.now_ns + backoff_ns
--- a/weldquay/reservations/placement.py
+++ b/weldquay/reservations/placement.py
@@ -97,8 +97,8 @@
     """
     start = placement.start
     # If no slots are idle before the start, other jobs cannot delay it, so the decision can wait.
-    lead = settings.queue_fraction * (1 - traffic_fraction) if start.idle_slot_ns > 0 else 0.0
-    return start.wait_ns <= START_TOLERANCE_NS + lead * placement.offer.run_ns
+    max_lead_fraction = settings.queue_fraction * (1 - traffic_fraction) if start.idle_slot_ns > 0 else 0.0
+    return start.wait_ns <= START_TOLERANCE_NS + max_lead_fraction * placement.offer.run_ns
 
 
 def max_reservations(settings: ReservationSettings, worker_count: int) -> float:
