--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -148,7 +148,7 @@
     ("workers", "dispatchers", "probes"), [(30, 1, False), (30, 1, True), (40, 12, True), (120, 60, True)]
 )
 def test_the_index_finds_the_same_workers_as_a_scan(workers: int, dispatchers: int, probes: bool) -> None:
-    """After each step of every phase of `benchmarks.script`.
+    """Both are compared after each step of every phase of `benchmarks.script`.
 
     The phases have normal load, full workers, a lost zone, late load reports, workers that are warming up,
     changes of the endpoint list, a worker that leaves and returns repeatedly, and queued requests.
@@ -230,7 +230,7 @@
         assert len(groups.calendar.entries) <= 40 * 8 and len(groups.by_key) <= 40
         assert set(groups.probing) <= set(dispatcher.workers)
     idle = [worker for worker in dispatcher.workers.values() if not worker.in_flight]
-    assert len(idle) <= worker_table.MAX_REMOVED_WORKERS + 40  # of 4,000
+    assert len(idle) <= worker_table.MAX_REMOVED_WORKERS + 40  # 4,000 workers were listed
     assert len(dispatcher.workers) - len(idle) <= len(dispatcher.attempts)
 
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the endpoint list: whatever fails, no attempt is sent by a list that may be stale."""
+"""The lease on the endpoint list: whatever fails, a list that may be stale is not used to send attempts."""
 
 from __future__ import annotations
 
@@ -171,14 +171,15 @@
     now_ns: int = START_NS
     complete_until_ns: int = START_NS  # the dispatcher has all changes up to then
     lease: ListLease = field(default_factory=ListLease)
-    max_lateness_ns: int = -MAX_STALENESS_NS  # from a missed change's deadline to a possible send
+    # Longest time from the deadline of a missed change to a possible send; negative: before the deadline.
+    max_lateness_ns: int = -MAX_STALENESS_NS
 
     def fault_at(self, time_ns: int) -> str:
         """Return the kind of fault at a time, or an empty string."""
         return next((kind for kind, begin_ns, end_ns in self.faults if begin_ns <= time_ns < end_ns), "")
 
     def advance(self, until_ns: int) -> None:
-        """Advance the time, and record how late an attempt could be sent by a stale list."""
+        """Advance the time, and record how late a stale list could still be used to send an attempt."""
         end_ns = min(until_ns, self.lease.send_deadline_ns)
         missed_change_ns = self.complete_until_ns + 1
         while missed_change_ns < end_ns and self.fault_at(missed_change_ns) in ("down", "partition"):
@@ -258,7 +259,7 @@
 
 
 def max_lateness_ns(faults: list[tuple[str, int, int]], dispatcher_count: int, seed: int) -> int:
-    """Return the maximum lateness of an attempt by a stale list; negative: no attempt is late."""
+    """Return the maximum lateness of an attempt for which a stale list is used; negative: none is late."""
     end_ns = faults[-1][2] + 10 * SECOND if faults else START_NS
     return DiscoverySimulation(faults).simulate(dispatcher_count, seed, end_ns)
 
--- a/weldquay/candidates/group_key.py
+++ b/weldquay/candidates/group_key.py
@@ -62,7 +62,7 @@
             inputs: the state that the index reads.
             limits: limits of the decision module.
             load: returns the current load of a worker, in slots.
-            slowness: returns the current slowness of a worker, a logarithm.
+            slowness: returns the current slowness of a worker: the logarithm of its relative running time.
         """
         self.inputs = inputs
         self.limits = limits
--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -13,7 +13,7 @@
 from weldquay.reservations.timetable import Timetable
 from weldquay.state.records import Job, Worker, WorkerGroup
 
-MAX_CANDIDATE_LOAD = 0.5  # slots, including the job's; a load is negative while slots are free
+MAX_CANDIDATE_LOAD = 0.5  # maximum load in slots, including the job's; negative while slots are free
 
 
 class CandidateIndex:
@@ -43,7 +43,7 @@
             inputs: the state that the index reads.
             limits: limits of the decision module.
             load: returns the current load of a worker, in slots.
-            slowness: returns the current slowness of a worker, a logarithm.
+            slowness: returns the current slowness of a worker: the logarithm of its relative running time.
             expected_run_ns: returns the expected running time of a job at a worker, in nanoseconds.
         """
         self.inputs = inputs
--- a/weldquay/candidates/runtime_bounds.py
+++ b/weldquay/candidates/runtime_bounds.py
@@ -10,7 +10,7 @@
 from weldquay.state.records import Attempt
 
 BOUND_FRACTION = 0.9  # a bound is set to this fraction of the estimate
-MAX_ESTIMATE_RATIO = 1.3  # of an estimate to its bound; above it the bound is raised
+MAX_ESTIMATE_RATIO = 1.3  # maximum ratio of an estimate to its bound; above it the bound is raised
 
 
 class RuntimeLowerBounds:
--- a/weldquay/candidates/worker_groups.py
+++ b/weldquay/candidates/worker_groups.py
@@ -62,7 +62,7 @@
             inputs: the state that the index reads.
             limits: limits of the decision module.
             load: returns the current load of a worker, in slots.
-            slowness: returns the current slowness of a worker, a logarithm.
+            slowness: returns the current slowness of a worker: the logarithm of its relative running time.
         """
         self.inputs = inputs
         self.key_builder = GroupKeyBuilder(inputs, limits, load, slowness)
@@ -102,7 +102,7 @@
         """Regroup the workers that have changed by an event or in the course of time."""
         inputs = self.inputs
         now_ns = inputs.now_ns
-        recent = inputs.recently_reported  # in the order of the reports
+        recent = inputs.recently_reported  # oldest report first
         if inputs.ready_workers is not self.ready or inputs.settings is not self.settings:
             self._apply_list()
         while recent and now_ns - recent[oldest := next(iter(recent))].reported_ns > LOAD_REPORT_MAX_AGE_NS:
--- a/weldquay/discovery/backoff.py
+++ b/weldquay/discovery/backoff.py
@@ -21,14 +21,14 @@
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, UNREACHABLE_FAILURES
 from weldquay.interface import DiscoveryFailure
 
-MIN_REFUSED_DELAY_NS = 1_000_000_000  # minimum of the bound after a refused poll
-REFUSED_DELAY_PER_DISPATCHER_NS = 200_000_000  # the same bound, for each dispatcher
-POLL_DELAY_PER_DISPATCHER_NS = 40_000_000  # bound after other failures
-INITIAL_DELAY_PER_DISPATCHER_NS = 10_000_000  # bound before the first poll
+MIN_REFUSED_DELAY_NS = 1_000_000_000  # minimum bound after a refused poll
+REFUSED_DELAY_PER_DISPATCHER_NS = 200_000_000  # bound after a refused poll, per dispatcher
+POLL_DELAY_PER_DISPATCHER_NS = 40_000_000  # bound after other failures, per dispatcher
+INITIAL_DELAY_PER_DISPATCHER_NS = 10_000_000  # bound before the first poll, per other dispatcher
 BACKOFF_FACTOR = 1.6  # growth of the bound with each consecutive failure
-MAX_BACKOFF_STEPS = 20
+MAX_BACKOFF_STEPS = 20  # number of consecutive failures after which the bound stops growing
 MAX_QUEUE_NS = 2_000_000_000  # discovery fails a poll that has been in its queue for this long
-RESPONSE_MARGIN_NS = 400_000_000  # for the network and the dispatcher's processing
+RESPONSE_MARGIN_NS = 400_000_000  # time for the network and the dispatcher's processing
 MAX_DELAY_NS = MAX_STALENESS_NS - MAX_QUEUE_NS - RESPONSE_MARGIN_NS
 MIN_DELAY_NS = 200_000_000  # minimum of the bound when no time remains
 MAX_LOCAL_AGENT_DELAY_NS = 100_000_000  # short, since a draining worker has to be excluded within 250 ms
--- a/weldquay/discovery/list_lease.py
+++ b/weldquay/discovery/list_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the endpoint list: how long attempts may be sent by it without an update from discovery.
+"""The lease on the endpoint list: how long it may be used to send attempts without an update from discovery.
 
 A dispatcher is deemed to know a change MAX_STALENESS_NS after discovery had it and was reachable.  From then
 on it must not send attempts to a worker that the change shows as draining.  So the lease runs from the latest
@@ -28,10 +28,11 @@
 from weldquay.interface import DiscoveryFailure, EndpointListKind, EndpointListUpdate, LeaseState
 
 MAX_STALENESS_NS = 6_000_000_000
-MAX_LOCAL_STALENESS_NS = 4_000_000_000  # for the list of a local agent whose address has changed
-BUSY_LEASE_NS = 13_000_000_000  # the next poll has ended by then: 10 s delay, 2.4 s response timeout, margin
+MAX_LOCAL_STALENESS_NS = 4_000_000_000  # for a local agent's list, after the agent's address has changed
+# Lease after a BUSY failure: the next poll has ended by then (10 s delay, 2.4 s response timeout, margin).
+BUSY_LEASE_NS = 13_000_000_000
 MAX_UNOBSERVED_NS = 500_000_000  # discovery may be up unnoticed for this long in an outage
-SEND_MARGIN_NS = 200_000_000  # between the check of the lease and the first byte of an attempt
+SEND_MARGIN_NS = 200_000_000  # time between the check of the lease and the first byte of an attempt
 
 NO_EXPIRY_NS = 2**63 - 1
 # Discovery was down when the poll began, so the staleness limit of later changes starts at the poll.
@@ -43,7 +44,7 @@
 
 
 class ListLease:
-    """The time until which attempts may be sent by the current list.
+    """The time until which the current list may be used to send attempts.
 
     is_local_agent: the list comes from an agent on this machine, which does not respond while discovery is
     down and receives no changes then.  So any failure shows that no change was missed.
@@ -53,12 +54,13 @@
         """Start without a lease."""
         self.is_local_agent = is_local_agent
         self.expiry_ns = 0  # from then on a missed change is deemed known; 0: no lease
-        # Discovery was reachable since the last update, or may have been, and sent none: no extension.
+        # Discovery was or may have been reachable since the last update, and sent none: nothing extends the
+        # lease.
         self.may_have_missed_change = False
-        self.watch_timed_out = False  # and no connection attempt has timed out since
+        self.watch_timed_out = False  # the watch timed out, and no connection attempt has timed out since
         self.complete_until_ns = 0  # the list contains all changes up to then
         self.unreachable_until_ns = 0  # discovery was unreachable from the watch's timeout up to then
-        self.is_watching = False  # the last event was an update
+        self.is_watching = False  # an update or a heartbeat arrived, and the watch has not ended since
         self.was_reachable = False  # a connection was established since complete_until_ns
         self.was_unreachable = False  # a connection was refused or timed out since the last update
 
@@ -69,7 +71,7 @@
 
     @property
     def send_deadline_ns(self) -> int:
-        """The time from which on no attempt may be sent by the list; 0 without a lease."""
+        """The time from which on the list may not be used to send attempts; 0 without a lease."""
         return self.expiry_ns - SEND_MARGIN_NS if self.granted else 0
 
     def apply(self, now_ns: int, update: EndpointListUpdate) -> None:
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -6,7 +6,7 @@
 MIN_INTERVAL_NS = 300_000_000
 MAX_INTERVAL_NS = 2_000_000_000
 PRIOR_WEIGHT = 4.0  # the initial interval counts as this many new reports
-DECAY_FACTOR = 0.99  # of the weight of earlier reports, at each further one
+DECAY_FACTOR = 0.99  # each report multiplies the weight of the earlier ones by this
 
 
 class ReportIntervalEstimator:
--- a/weldquay/fleet/slow_start.py
+++ b/weldquay/fleet/slow_start.py
@@ -130,7 +130,8 @@
     allowed_ns = SHARED_BUDGET_FRACTION * budget_ns / worker.dispatcher_count
     since_ns = worker.age_ns - max(1, policy.window_ns) + 1
     if worker.recorded_since_ns > max(0, since_ns):
-        # An earlier process may have used its share in this window; the reserve covers a second one.
+        # An earlier process may have used its share in this window; the unshared rest of the budget covers a
+        # second one.
         allowed_ns *= (1 - SHARED_BUDGET_FRACTION) / SHARED_BUDGET_FRACTION
     share_fits_job = allowed_ns >= MIN_SHARE_JOBS * worker.mean_work_ns
     if worker.start_id is not None and worker.dispatcher_count > 1 and not share_fits_job:
@@ -141,7 +142,7 @@
 
 
 def _slot_budget(policy: SlowStartPolicy, worker: WarmingWorker, start_id: int) -> tuple[float, int]:
-    """Return the work in ns that the dispatcher may send in this slice, and the age at the slice's begin."""
+    """Return the work in ns that the dispatcher may send in this slice, and the age at its start."""
     slice_number = max(0, worker.age_ns) // policy.slice_ns
     begin_ns = slice_number * policy.slice_ns
     if begin_ns < worker.recorded_since_ns:  # an earlier process may have used the slot
--- a/weldquay/interface/__init__.py
+++ b/weldquay/interface/__init__.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: settings and events are its input, actions its output.
 
-Times and durations are integer nanoseconds; times are on the clock of the steps. Ids of requests, workers,
-zones, cells and machine kinds are numbers that are only compared for equality. An optional value is None if
-it is unknown.
+Times and durations are integer nanoseconds; times are on the clock of the steps. Requests, workers, zones,
+cells and machine kinds are identified by numbers that are only compared for equality. An optional value is
+None if it is unknown.
 """
 
 from weldquay.interface.actions import (
--- a/weldquay/interface/actions.py
+++ b/weldquay/interface/actions.py
@@ -11,7 +11,7 @@
 
     Attributes:
         request_id: the request.
-        worker: the worker.
+        worker: number of the worker.
         timeout_ns: maximum duration of the attempt; 0: until the client's deadline.
         send_before_ns: an attempt that has not been sent by then ends with `Outcome.ABORTED_BEFORE_SEND`,
             since a later one could execute the request twice; 0: no limit.
@@ -78,7 +78,7 @@
     """Send a health check to a worker; it may return a load report.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
     """
 
     worker: int
@@ -89,7 +89,7 @@
     """Close this dispatcher's idle connections to a worker.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
     """
 
     worker: int
--- a/weldquay/interface/events.py
+++ b/weldquay/interface/events.py
@@ -106,11 +106,11 @@
     """An entry of the endpoint list.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
         state: its state.
-        cell: its cell.
-        kind: its machine kind.
-        zone: its zone.
+        cell: number of its cell.
+        kind: number of its machine kind.
+        zone: number of its zone.
         started_ns: when it started; 0: long ago or unknown.
         weight: its weight in the list.
         start_id: identifies this start of the worker; the same at all dispatchers.
@@ -130,7 +130,7 @@
     """The state of a lease on the endpoint list (`weldquay/discovery/list_lease.py`).
 
     Attributes:
-        send_deadline_ns: no attempt may be sent by the list from then on; 0: the list may be of any age.
+        send_deadline_ns: from then on the list may not be used to send attempts; 0: it may be of any age.
         may_have_missed_change: discovery was reachable since the last update and sent none.
         watch_timed_out: the watch has timed out since the last update.
     """
@@ -210,7 +210,7 @@
     Attributes:
         request_id: the request.
         attempt: number of the attempt, from 0.
-        worker: the worker.
+        worker: number of the worker.
         outcome: how it ended.
         latency_ns: time from the send to the outcome.
         request_finished: the client has got its answer.
@@ -231,7 +231,7 @@
     """The outcome of a probe.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
         outcome: how it ended.
         latency_ns: time from the send to the outcome.
         report: the load report in the answer.
@@ -250,7 +250,7 @@
     Attributes:
         request_id: the request.
         attempt: number of the attempt, from 0.
-        worker: the worker.
+        worker: number of the worker.
         progress: completed fraction; None: the attempt has just started.
     """
 
@@ -267,7 +267,7 @@
     Attributes:
         request_id: the request.
         attempt: number of the attempt, from 0.
-        worker: the worker.
+        worker: number of the worker.
     """
 
     request_id: int
@@ -337,7 +337,7 @@
     """Operators have banned a worker or lifted its ban.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
         is_banned: False: the ban was lifted; the worker may have been restarted meanwhile.
     """
 
@@ -350,7 +350,7 @@
     """The state that an earlier process of this dispatcher had of a worker.
 
     Attributes:
-        worker: the worker.
+        worker: number of the worker.
         snapshot: the state.
     """
 
--- a/weldquay/interface/worker_snapshot.py
+++ b/weldquay/interface/worker_snapshot.py
@@ -32,8 +32,8 @@
     """The state of one worker; the defaults are those of a worker about which nothing is known.
 
     Attributes:
-        free_slots: by its last load report, less its queue; None without a report.
-        free_memory: by its last load report; None without a report.
+        free_slots: free slots in its last load report, negative for queued requests; None without a report.
+        free_memory: free memory in its last load report; None if unknown.
         estimated_slots: its capacity, as estimated from its load reports; 0 while unknown.
         reported_ns: when its last load report arrived.
         unreported_changes: load changes that its last load report may not include.
--- a/weldquay/limits.py
+++ b/weldquay/limits.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 MAX_PORT = 65535
-MIN_SOCKETS = 128  # file descriptors, for clients and workers together
-MIN_MEMORY_MB = 24  # the process without connections takes about 14 MB
+MIN_SOCKETS = 128  # minimum limit of file descriptors, for clients and workers together
+MIN_MEMORY_MB = 24  # minimum memory limit; the process without connections takes about 14 MB
 # File descriptors that the connection limits leave free: 22 for the process and its operators' connections,
 # 20 for connections that are accepted but not yet counted, 6 spare.
 RESERVED_DESCRIPTORS = 48
--- a/weldquay/policy/limits.py
+++ b/weldquay/policy/limits.py
@@ -9,7 +9,7 @@
 
 DEFAULT_SLOTS: Final = 2.0  # assumed capacity of a worker that has not reported any
 FRESH_REPORT_NS: Final = 300_000_000  # a load report of at most this age is used without a new probe
-START_REPORT_TIMEOUT_NS: Final = 50_000_000  # an attempt not reported as started by then is queued
+START_REPORT_TIMEOUT_NS: Final = 50_000_000  # an attempt without a start report for this long is queued
 RUNTIME_TOLERANCE_NS: Final = 250_000_000  # added to both running times where two are compared
 MAX_REPORT_LAG_NS: Final = 250_000_000  # maximum age of a report on arrival; own sends since then are added
 PROBE_WAIT_NS: Final = 30_000_000  # how long a request waits for probe results
--- a/weldquay/policy/outlier_ejection.py
+++ b/weldquay/policy/outlier_ejection.py
@@ -16,7 +16,7 @@
 FAILURE_SCORE_DECAY = 0.5  # factor that each success applies to a worker's failure score
 # A worker with own attempts in flight is unresponsive after this many progress intervals without a response.
 MAX_MISSED_PROGRESS_INTERVALS = 2.2
-MIN_UNRESPONSIVE_NS = SECOND_NS  # lower bound of that time where progress intervals are shorter
+MIN_UNRESPONSIVE_NS = SECOND_NS  # minimum time without a response after which a worker is unresponsive
 MAX_BACKOFF_DOUBLINGS = 8
 
 
--- a/weldquay/policy/placement.py
+++ b/weldquay/policy/placement.py
@@ -20,10 +20,12 @@
 from weldquay.policy.worker_table import WorkerTable
 from weldquay.state.records import Job, Worker
 
-MIN_FRESH_CANDIDATES = 4  # with at least as many fresh candidates, no worker is probed first
-CROSS_ZONE_LOAD = 2.0  # load added to workers in another zone if crossing zones has a cost
-MAX_UNREPORTED_LOAD = 0.5  # maximum load of a worker without a report, including the request
-MAX_UNPROBED_LOAD = -0.5  # the same if the worker can be probed for a report
+MIN_FRESH_CANDIDATES = 4  # with at least this many fresh candidates, no worker is probed first
+# Load in slots, for each expected request, that is added to workers in another zone if crossing zones has a
+# cost.
+CROSS_ZONE_LOAD = 2.0
+MAX_UNREPORTED_LOAD = 0.5  # maximum load in slots of a worker without a report, including the request
+MAX_UNPROBED_LOAD = -0.5  # maximum load in slots of a worker without a report that can be probed for one
 
 
 @dataclass(slots=True, eq=False)
--- a/weldquay/policy/probing.py
+++ b/weldquay/policy/probing.py
@@ -15,7 +15,8 @@
 from weldquay.policy.worker_table import WorkerTable
 from weldquay.state.records import Job, Worker
 
-MAX_PROBES = 4  # per round; the best of a few random workers is nearly as good as the best of all
+# Maximum number of probes in a round; the best of a few random workers is nearly as good as the best of all.
+MAX_PROBES = 4
 SAMPLES_PER_PROBE = 3  # workers drawn for each probe, as some of them need no probe
 PROBE_COST_FRACTION = 0.02  # fraction of a request's weight that its probes may cost
 MAX_PROBE_BUDGET = 8.0 * MAX_PROBES
--- a/weldquay/reservations/placement.py
+++ b/weldquay/reservations/placement.py
@@ -11,8 +11,8 @@
 from weldquay.reservations.timetable import ExpectedStart
 
 START_TOLERANCE_NS = 5_000_000  # a job whose expected start is within this time is sent now
-PREEMPTION_RATIO = 1.5  # of priority weights, at which a request takes over the reservation of another
-SCARCITY_EXPONENT = 4  # other work is short of a slot in proportion to the utilization to this power
+PREEMPTION_RATIO = 1.5  # minimum ratio of priority weights to take over the reservation of another request
+SCARCITY_EXPONENT = 4  # the cost of a job's own slots is proportional to this power of the utilization
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldquay/reservations/scheduler.py
+++ b/weldquay/reservations/scheduler.py
@@ -50,9 +50,13 @@
     "WorkerOffer",
 ]
 
-MOVE_RATIO = 0.7  # of expected ends, below which a reservation moves to another worker
-SAMPLE_WEIGHT = 0.05  # of a new sample in an exponential mean; of a send, per second of slot time
-MAX_SEND_WEIGHT = 0.2  # of one send
+# A reservation moves to the worker where the job is expected to end first, if the time until that end is at
+# most this fraction of the time until the end at the reserved worker.
+MOVE_RATIO = 0.7
+# Weight of a new sample in an exponential moving average.  A sent job has this weight for each second of its
+# slot time (slots times running time), up to MAX_SEND_WEIGHT.
+SAMPLE_WEIGHT = 0.05
+MAX_SEND_WEIGHT = 0.2  # maximum weight of a sent job in the moving average of the slot value
 
 
 class BackfillScheduler:
--- a/weldquay/state/records.py
+++ b/weldquay/state/records.py
@@ -22,9 +22,9 @@
 LOAD_REPORT_MAX_AGE_NS = 2 * SECOND_NS  # a load report older than this is not used
 INITIAL_TRIAL_BACKOFF_NS = SECOND_NS  # backoff before the first trial of an ejected worker; it doubles
 CAPACITY_INCREASE_RATE = 0.3  # smoothing factor for a sample above the estimated capacity
-CAPACITY_DECREASE_RATE = 0.1  # for a sample below it, if the worker reports its busy requests
-# For a sample below it, if the worker does not report its busy requests: those that other dispatchers sent
-# are missing from the sample.
+CAPACITY_DECREASE_RATE = 0.1  # smoothing factor for a sample below it, if busy requests are reported
+# Smoothing factor for a sample below it, if the worker does not report its busy requests: those that other
+# dispatchers sent are missing from the sample.
 UNREPORTED_BUSY_DECREASE_RATE = 0.002
 
 
--- a/weldquay/wire.py
+++ b/weldquay/wire.py
@@ -16,9 +16,9 @@
 from weldquay.errors import OperatorError
 from weldquay.settings import load_report
 
-HEADER = struct.Struct("<IIQ")  # of a batch: size of its body in bytes, number of records, time in ns
-REPLY_HEADER = struct.Struct("<I")  # size of the reply's body in bytes
-MAX_TEXT_BYTES = 60_000  # of a text in a record; a longer one is cut
+HEADER = struct.Struct("<IIQ")  # header of a batch: bytes of its body, number of records, time in ns
+REPLY_HEADER = struct.Struct("<I")  # header of a reply: bytes of its body
+MAX_TEXT_BYTES = 60_000  # a longer text in a record is truncated
 
 
 class EventCode(IntEnum):
@@ -122,8 +122,8 @@
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.offset = 0  # of the next field, in bytes
-        self.record_index = 0  # in the frame, for error messages
+        self.offset = 0  # byte offset of the next field
+        self.record_index = 0  # index of the current record in the frame, for error messages
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
         """Read the next fields; those with a float format are floats at run time."""
