--- a/weldquay/candidates/index.py
+++ b/weldquay/candidates/index.py
@@ -13,7 +13,7 @@
 from weldquay.reservations.timetable import Timetable
 from weldquay.state.records import Job, Worker, WorkerGroup
 
-MAX_CANDIDATE_LOAD = 0.5  # slots, including the job's; a load is negative while slots are free
+MAX_CANDIDATE_LOAD = 0.5  # maximum load in slots, including the job's; negative while slots are free
 
 
 class CandidateIndex:
@@ -43,7 +43,7 @@
             inputs: the state that the index reads.
             limits: limits of the decision module.
             load: returns the current load of a worker, in slots.
-            slowness: returns the current slowness of a worker, a logarithm.
+            slowness: returns the current slowness of a worker: the logarithm of its relative running time.
             expected_run_ns: returns the expected running time of a job at a worker, in nanoseconds.
         """
         self.inputs = inputs
@@ -58,8 +58,8 @@
         self.changed = groups.changed
         self.warming = groups.warming
         self.mark_changed = groups.mark_changed
-        self.probe_sent = groups.probe_sent
-        self.load_reported = groups.load_reported
+        self.record_probe = groups.record_probe
+        self.record_load_report = groups.record_load_report
         self.warming_workers = groups.warming_workers
 
     def begin_step(self) -> None:
@@ -100,7 +100,7 @@
         """Return the healthy individual workers with a recent report."""
         recent = self.inputs.recently_reported
         groups = self.groups
-        reported = [worker for worker_id, worker in groups.individual.items() if worker_id in recent]
+        reported = [worker for worker_number, worker in groups.individual.items() if worker_number in recent]
         if not groups.is_small_fleet:
             return reported
         return [worker for worker in reported if worker.free_slots is not None and self._is_healthy(worker)]
@@ -139,7 +139,7 @@
             return [worker for worker in recent.values() if worker.probe_pending] or [
                 worker for worker in groups.ready if worker.probe_pending
             ]
-        return [worker for worker_id, worker in groups.probing.items() if worker_id in recent] or [
+        return [worker for worker_number, worker in groups.probing.items() if worker_number in recent] or [
             worker for worker in groups.probing.values() if worker.list_position >= 0
         ]
 
@@ -217,8 +217,8 @@
                 candidates.append(CandidateGroup(group.members, load, False))
         now_ns = self.inputs.now_ns
         recent = self.inputs.recently_reported
-        for worker_id, worker in self.groups.individual.items():
-            if worker_id in recent or not self._is_healthy(worker):
+        for worker_number, worker in self.groups.individual.items():
+            if worker_number in recent or not self._is_healthy(worker):
                 continue
             if worker.probe_pending and now_ns < worker.next_probe_ns:
                 continue
--- a/weldquay/discovery/backoff.py
+++ b/weldquay/discovery/backoff.py
@@ -21,14 +21,14 @@
 from weldquay.discovery.list_lease import MAX_STALENESS_NS, UNREACHABLE_FAILURES
 from weldquay.interface import DiscoveryFailure
 
-MIN_REFUSED_DELAY_NS = 1_000_000_000  # minimum of the bound after a refused poll
-REFUSED_DELAY_PER_DISPATCHER_NS = 200_000_000  # the same bound, for each dispatcher
-POLL_DELAY_PER_DISPATCHER_NS = 40_000_000  # bound after other failures
-INITIAL_DELAY_PER_DISPATCHER_NS = 10_000_000  # bound before the first poll
+MIN_REFUSED_DELAY_NS = 1_000_000_000  # minimum bound after a refused poll
+REFUSED_DELAY_PER_DISPATCHER_NS = 200_000_000  # bound after a refused poll, per dispatcher
+POLL_DELAY_PER_DISPATCHER_NS = 40_000_000  # bound after other failures, per dispatcher
+INITIAL_DELAY_PER_DISPATCHER_NS = 10_000_000  # bound before the first poll, per other dispatcher
 BACKOFF_FACTOR = 1.6  # growth of the bound with each consecutive failure
-MAX_BACKOFF_STEPS = 20
+MAX_BACKOFF_STEPS = 20  # number of consecutive failures after which the bound stops growing
 MAX_QUEUE_NS = 2_000_000_000  # discovery fails a poll that has been in its queue for this long
-RESPONSE_MARGIN_NS = 400_000_000  # for the network and the dispatcher's processing
+RESPONSE_MARGIN_NS = 400_000_000  # time for the network and the dispatcher's processing
 MAX_DELAY_NS = MAX_STALENESS_NS - MAX_QUEUE_NS - RESPONSE_MARGIN_NS
 MIN_DELAY_NS = 200_000_000  # minimum of the bound when no time remains
 MAX_LOCAL_AGENT_DELAY_NS = 100_000_000  # short, since a draining worker has to be excluded within 250 ms
@@ -50,7 +50,7 @@
         self.rng = rng
         self.dispatcher_count = dispatcher_count
         self.is_local_agent = is_local_agent
-        self.failures = 0  # consecutive
+        self.consecutive_failures = 0
         self.deadline_ns = 0  # when a missed change is deemed known; in the past: no deadline
 
     def initial_delay_ns(self, now_ns: int) -> int:
@@ -63,7 +63,7 @@
 
     def reset(self) -> None:
         """Record a successful poll."""
-        self.failures = 0
+        self.consecutive_failures = 0
         self.deadline_ns = 0
 
     def retry_delay_ns(
@@ -79,8 +79,8 @@
         """
         if self.is_local_agent:
             return int(self.rng.random() * MAX_LOCAL_AGENT_DELAY_NS)
-        growth = BACKOFF_FACTOR ** min(self.failures, MAX_BACKOFF_STEPS)
-        self.failures += 1
+        growth = BACKOFF_FACTOR ** min(self.consecutive_failures, MAX_BACKOFF_STEPS)
+        self.consecutive_failures += 1
         remaining_ns = self._remaining_delay_ns(now_ns, since_update_ns, failure)
         limit_ns = max(MIN_REFUSED_DELAY_NS, max_delay_ns)
         refused_delay_ns = REFUSED_DELAY_PER_DISPATCHER_NS * self.dispatcher_count
--- a/weldquay/policy/outlier_ejection.py
+++ b/weldquay/policy/outlier_ejection.py
@@ -16,7 +16,7 @@
 FAILURE_SCORE_DECAY = 0.5  # factor that each success applies to a worker's failure score
 # A worker with own attempts in flight is unresponsive after this many progress intervals without a response.
 MAX_MISSED_PROGRESS_INTERVALS = 2.2
-MIN_UNRESPONSIVE_NS = SECOND_NS  # lower bound of that time where progress intervals are shorter
+MIN_UNRESPONSIVE_NS = SECOND_NS  # minimum time without a response after which a worker is unresponsive
 MAX_BACKOFF_DOUBLINGS = 8
 
 
@@ -84,8 +84,8 @@
         """Back off from a worker that rejected an attempt; consecutive rejections double the backoff."""
         worker.consecutive_rejections += 1
         doublings = min(worker.consecutive_rejections - 1, MAX_BACKOFF_DOUBLINGS)
-        pause_ns = min(MAX_BACKOFF_NS, FRESH_REPORT_NS << doublings)
-        worker.backoff_until_ns = self.context.now_ns + pause_ns
+        backoff_ns = min(MAX_BACKOFF_NS, FRESH_REPORT_NS << doublings)
+        worker.backoff_until_ns = self.context.now_ns + backoff_ns
 
     def record_error(self, worker: Worker) -> None:
         """Raise the worker's failure score; from the second error on, back off from it.
@@ -96,5 +96,5 @@
         worker.failure_score += 1
         if worker.failure_score > 1:
             doublings = min(max(0, int(worker.failure_score) - 2), MAX_BACKOFF_DOUBLINGS)
-            pause_ns = min(MAX_BACKOFF_NS, INITIAL_TRIAL_BACKOFF_NS << doublings)
-            worker.backoff_until_ns = self.context.now_ns + pause_ns
+            backoff_ns = min(MAX_BACKOFF_NS, INITIAL_TRIAL_BACKOFF_NS << doublings)
+            worker.backoff_until_ns = self.context.now_ns + backoff_ns
