--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -131,13 +131,13 @@
 
 
 CHANGES: list[tuple[str, Any, str, int]] = [
-    ("settings.caps.max_attempts", 4, "settings.caps.max_attempts: 3 to 4; applied at SIGHUP", 0),
-    ("discovery", "127.0.0.1:9", 'discovery: "127.0.0.1:8500" to "127.0.0.1:9"; applied at SIGHUP', 0),
+    ("settings.caps.max_attempts", 4, "settings.caps.max_attempts: 3 to 4; applied on SIGHUP", 0),
+    ("discovery", "127.0.0.1:9", 'discovery: "127.0.0.1:8500" to "127.0.0.1:9"; applied on SIGHUP', 0),
     ("listen", "127.0.0.1:9", "needs a restart", 1),
     ("limits.sockets", 999, "needs a restart", 1),
-    ("seed", "7", "read only at startup", 1),
+    ("seed", "7", "only read at startup", 1),
     ("origin", {}, "not read by the program", 0),
-    ("settings.services.0.worth", 3.0, "services.k.worth: 1.0 to 3.0; applied at SIGHUP (open jobs", 0),
+    ("settings.services.0.worth", 3.0, "services.k.worth: 1.0 to 3.0; applied on SIGHUP (open jobs", 0),
     ("settings.services.0.name", "other", "requests for it are answered with 404", 0),
     ("settings.caps.max_attempts", 0, "would reject this reload", 1),
     ("settings.zones", ["elsewhere"], "would reject this reload", 1),
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -197,14 +197,18 @@
     "kinds",
     multiple=True,
     metavar="NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]]",
-    help="A kind of job; what the catalogue contains may be omitted.",
+    help="A kind of job; values that the catalogue contains may be omitted.",
 )
 @click.option("--customer", "customers", multiple=True, metavar="NAME=SHARE", help="A customer's share.")
 @click.option("--listen", envvar="GW_LISTEN", help="HOST:PORT for the application's requests.")
 @click.option("--mgmt", envvar="GW_MGMT", help="HOST:PORT for operators.")
 @click.option("--discovery", envvar="GW_DISCOVERY", help="HOST:PORT of discovery.")
-@click.option("--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected requests a second.")
-@click.option("--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="Dispatchers at the site.")
+@click.option(
+    "--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected requests per second."
+)
+@click.option(
+    "--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="Number of dispatchers at the site."
+)
 @click.option("--force", is_flag=True, help="Replace an existing file.")
 @catalogue_option
 def new(output: Path, source: Path | None, force: bool, catalogue: str | None, **options: Any) -> None:
@@ -234,7 +238,7 @@
     except FileExistsError:
         exit_with_error(f"{output} exists: use --force to replace it")
     except OSError as error:
-        exit_with_error(f"{output}: cannot be written: {error.strerror}")
+        exit_with_error(f"cannot write {output}: {error.strerror}")
     click.echo(f"wrote {output}; `weldquay config check {output}` checks it as the dispatcher does")
 
 
@@ -310,7 +314,7 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """Read the JSON object in a file; exit with status 2 if the file cannot be read or holds none."""
+    """Read the JSON object in a file; exit with status 2 if there is none or the file cannot be read."""
     try:
         document = reading.parse(reading.decode(read_input(path)))
     except reading.ReadingError as error:
--- a/weldquay/config/catalogue.py
+++ b/weldquay/config/catalogue.py
@@ -15,7 +15,7 @@
 
 DurationNs = Annotated[int, Meta(gt=0)]
 BUILTIN_DIRECTORY = "catalogues"
-MIN_SIMILARITY = 0.82  # ratio of difflib from which one name counts as a misspelling of another
+MIN_SIMILARITY = 0.82  # difflib ratio of two names from which one counts as a misspelling of the other
 
 
 class CatalogueError(OperatorError, ValueError):
@@ -66,7 +66,7 @@
     kinds: list[JobKind] = []
     customers: list[Customer] = []
     limits: Limits = Limits()
-    networks: list[str] = []  # that may contain the configured addresses; empty: any address
+    networks: list[str] = []  # networks that must contain the configured addresses; empty: any address
 
     def kind(self, name: str) -> JobKind | None:
         """Return the kind with this name, compared in normalized form, or None."""
@@ -109,7 +109,7 @@
     try:
         return msgspec.convert(reading.parse(reading.decode(data)), Catalogue)
     except (reading.ReadingError, msgspec.ValidationError) as error:
-        raise CatalogueError(f"{name}: not a catalogue: {error}") from None
+        raise CatalogueError(f"{name}: not a valid catalogue: {error}") from None
 
 
 def builtin_sites() -> list[str]:
--- a/weldquay/config/checking.py
+++ b/weldquay/config/checking.py
@@ -26,7 +26,9 @@
     except reading.ReadingError as error:
         return [Finding("WQ002", True, (), str(error), error.line, error.column)]
     if not isinstance(document, dict):
-        return [Finding("WQ002", True, (), f"the file holds {_type_name(document)}, not a JSON object", 1, 1)]
+        return [
+            Finding("WQ002", True, (), f"the file contains {_type_name(document)}, not a JSON object", 1, 1)
+        ]
     findings = run_rules(CheckContext(document, catalogue, sidecar))
     located = _locate(text, findings)
     return sorted(
--- a/weldquay/config/difference.py
+++ b/weldquay/config/difference.py
@@ -10,7 +10,7 @@
 from weldquay.config.schema import short_json
 
 MISSING = object()
-STARTUP_ONLY = {"seed": "read only at startup", "known": "read only at startup"}
+STARTUP_ONLY = {"seed": "only read at startup", "known": "only read at startup"}
 IGNORED = {"origin": "not read by the program"}
 LISTS_BY_NAME = {("settings", "services"), ("settings", "customers")}  # their entries are compared by name
 
@@ -18,7 +18,7 @@
 class ChangeEffect(Enum):
     """When a change takes effect."""
 
-    RELOAD = "applied at SIGHUP"
+    RELOAD = "applied on SIGHUP"
     RESTART = "needs a restart"
     NEVER = "no effect"
 
--- a/weldquay/config/reading.py
+++ b/weldquay/config/reading.py
@@ -17,9 +17,9 @@
 
 from weldquay.errors import OperatorError
 
-MAX_BYTES = 16 * 1024 * 1024  # of a file: enough for a list of 100,000 workers; a larger one is an error
-MAX_DEPTH = 64  # levels of nesting; a configuration has five
-READ_SIZE = 1 << 20
+MAX_BYTES = 16 * 1024 * 1024  # maximum size of a file; enough for a list of 100,000 workers
+MAX_DEPTH = 64  # maximum levels of nesting; a configuration has five
+READ_SIZE = 1 << 20  # bytes
 KeyPath = tuple[str | int, ...]  # path to a value: keys of objects and indexes of lists
 
 
@@ -78,7 +78,7 @@
         return data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line, column = line_and_column(data[: error.start].decode("utf-8", "replace"), error.start)
-        raise ReadingError(f"byte {error.start} is no UTF-8", line, column) from None
+        raise ReadingError(f"byte {error.start} is not valid UTF-8", line, column) from None
 
 
 def parse(text: str) -> Any:
@@ -94,10 +94,10 @@
         raise ReadingError(error.msg[0].lower() + error.msg[1:], error.lineno, error.colno) from None
     except _DuplicateKey as error:
         key, position = str(error), _duplicate_key_position(text, str(error))
-        raise ReadingError(f"the key {json.dumps(key)} stands twice in one object", *position) from None
+        raise ReadingError(f"duplicate key {json.dumps(key)} in an object", *position) from None
     except _NotFinite as error:
         raise ReadingError(
-            f"{error} is no JSON number", *line_and_column(text, text.find(str(error)))
+            f"{error} is not a valid JSON number", *line_and_column(text, text.find(str(error)))
         ) from None
     except ValueError as error:  # an integer with more digits than Python converts
         raise ReadingError(str(error).split(";")[0].lower()) from None
--- a/weldquay/config/rules/consistency.py
+++ b/weldquay/config/rules/consistency.py
@@ -33,20 +33,20 @@
 def _index_out_of_range(context: CheckContext) -> Violations:
     zones, zone = context.settings.get("zones"), context.number_at("settings", "zone", default=0.0) or 0.0
     if isinstance(zones, list) and zones and zone >= len(zones):
-        yield ("settings", "zone"), f"zone is {zone:g}, but zones has length {len(zones)}, counted from 0"
+        yield ("settings", "zone"), f"zone is {zone:g}, but zones has length {len(zones)}; indexes start at 0"
     dispatcher_count = context.number_at("settings", "group_size", default=1.0) or 1.0
     dispatcher_index = context.number_at("settings", "me", default=0.0) or 0.0
     if dispatcher_index >= dispatcher_count:
         yield (
             ("settings", "me"),
-            f"me is {dispatcher_index:g}, but group_size is {dispatcher_count:g}, counted from 0",
+            f"me is {dispatcher_index:g}, but group_size is {dispatcher_count:g}; indexes start at 0",
         )
 
 
 @rule(
     "WQ702",
     Level.SITE,
-    "The length of a list by class differs from the number of classes",
+    "The length of a per-class list differs from the number of classes",
     why="Values would apply to other classes than intended, and surplus ones to none.",
     bad='{"services": [{...}, {...}], "class_stretch": [2.0, 2.0, 1.75]}',
     good='{"services": [{...}, {...}], "class_stretch": [2.0, 1.75]}',
@@ -83,7 +83,10 @@
         if isinstance(shapes, list) and value is not None and value >= max(1, len(shapes)):
             yield (
                 ("settings", "family_info", "class_kind", index),
-                (f"class_kind is {value:g}, but shapes has length {len(shapes)}, counted from 0; -1 is any"),
+                (
+                    f"class_kind is {value:g}, but shapes has length {len(shapes)}; indexes start at 0, and "
+                    "-1 means any"
+                ),
             )
 
 
--- a/weldquay/config/rules/customers.py
+++ b/weldquay/config/rules/customers.py
@@ -102,7 +102,10 @@
     assert context.catalogue is not None
     known = [customer.name for customer in context.catalogue.customers]
     for index, name, correction in context.misspelled_names("customers", known):
-        yield ("settings", "customers", index, "name"), f"{name} is not {correction}: write {correction}"
+        yield (
+            ("settings", "customers", index, "name"),
+            f"{name} looks like a misspelling of {correction}: write {correction}",
+        )
 
 
 @rule(
--- a/weldquay/config/rules/jobs.py
+++ b/weldquay/config/rules/jobs.py
@@ -42,8 +42,8 @@
         yield (
             ("settings", "services", index, "name"),
             (
-                f"{name} is not {correction}: requests for {correction} would not match it; write "
-                f"{correction}, or a name that cannot be confused with it"
+                f"{name} looks like a misspelling of {correction}, and requests for {correction} would not "
+                f"match it: write {correction}, or a name that cannot be confused with it"
             ),
         )
 
@@ -125,7 +125,7 @@
         yield (
             ("settings", "clients", "retries_fragile"),
             (
-                f"clients would retry {', '.join(fragile)} after a failure, so that it may run twice: "
+                f"clients would retry {', '.join(fragile)} after a failure, so that a job may run twice: "
                 "write false"
             ),
         )
@@ -145,10 +145,7 @@
         if entry.get("effect") == "dedup" and not entry.get("window_ns"):
             yield (
                 ("settings", "services", index, "window_ns"),
-                (
-                    f"{entry.get('name')} is dedup with a window of 0: write for how long workers drop "
-                    "duplicates"
-                ),
+                (f"{entry.get('name')} is dedup with a window of 0: write how long workers drop duplicates"),
             )
 
 
--- a/weldquay/config/rules/limits.py
+++ b/weldquay/config/rules/limits.py
@@ -15,7 +15,8 @@
     RESERVED_DESCRIPTORS,
 )
 
-# Of the file descriptors; net/connection_pool.py and net/client_server.py divide them in the same way.
+# Fraction of the file descriptors that is reserved for connections to workers, as in net/connection_pool.py
+# and net/client_server.py.
 WORKER_DESCRIPTOR_FRACTION = 0.3
 
 # Safety settings that may be stricter than the site's limit, but not laxer: key, direction in which a value
@@ -29,7 +30,8 @@
     (
         "ask_within_ns",
         1,
-        "discovery would be polled too seldom: a drain counts as reported before a poll shows it",
+        "discovery would be polled too rarely: the site counts a drain as reported before the dispatcher has "
+        "received it",
     ),
 )
 
@@ -75,7 +77,7 @@
     for name in ("listen", "mgmt", "discovery"):
         value = context.document.get(name)
         if isinstance(value, str) and ":" in value and _port(value) > MAX_PORT:
-            yield (name,), f"{name} is {value}: a port is at most {MAX_PORT}"
+            yield (name,), f"{name} is {value}: the port must be at most {MAX_PORT}"
 
 
 @rule(
@@ -133,7 +135,7 @@
         except ValueError:
             continue  # a host name; it is not resolved here
         if host is not None and not host.is_loopback and not any(host in network for network in allowed):
-            yield (name,), f"{name} is {value}, outside {', '.join(context.catalogue.networks)}"
+            yield (name,), f"{name} is {value}, which is outside {', '.join(context.catalogue.networks)}"
 
 
 @rule(
@@ -176,7 +178,7 @@
             ("settings", "caps", "max_open"),
             (
                 f"{value:g} requests may be open, but {sockets:g} file descriptors and {memory:g} MB suffice "
-                f"for {capacity} clients"
+                f"for only {capacity} clients"
             ),
         )
 
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -16,19 +16,19 @@
 from weldquay.reservations.settings import ReservationSettings
 
 PositiveDurationNs = Annotated[
-    int, Meta(gt=0, le=86_400_000_000_000, description="nanoseconds, above 0, at most a day")
+    int, Meta(gt=0, le=86_400_000_000_000, description="a number of nanoseconds above 0, at most one day")
 ]
 DurationNs = Annotated[
-    int, Meta(ge=0, le=86_400_000_000_000, description="nanoseconds from 0, at most a day")
+    int, Meta(ge=0, le=86_400_000_000_000, description="a number of nanoseconds from 0 to one day")
 ]
-Fraction = Annotated[float, Meta(ge=0, le=1, description="a part from 0 to 1")]
-Cost = Annotated[float, Meta(ge=0, le=1000, description="a cost from 0 up")]
+Fraction = Annotated[float, Meta(ge=0, le=1, description="a fraction from 0 to 1")]
+Cost = Annotated[float, Meta(ge=0, le=1000, description="a cost from 0 to 1000")]
 Name = Annotated[str, Meta(min_length=1, max_length=200, description="a name of 1 to 200 characters")]
 HostPort = Annotated[
     str,
     Meta(pattern=r"^(\[[0-9A-Fa-f:.]+\]|[^:\s\[\]]+):[0-9]{1,5}$", description="HOST:PORT, or [IPv6]:PORT"),
 ]
-PositiveCount = Annotated[int, Meta(ge=1, le=1_000_000, description="a whole number from 1 up")]
+PositiveCount = Annotated[int, Meta(ge=1, le=1_000_000, description="a whole number from 1 to 1000000")]
 
 
 class Section(Struct, frozen=True, kw_only=True):
@@ -54,8 +54,8 @@
         Literal["all", "zone", "cell"],
         Meta(description="all, zone or cell: the workers that drop a dedup job's repeats"),
     ] = "all"
-    window_ns: Annotated[DurationNs, Meta(extra={"why": "how long they drop repeats"})] = 0
-    worth: Annotated[float, Meta(ge=0, le=1e6, description="a number from 0 up")] = 1.0
+    window_ns: Annotated[DurationNs, Meta(extra={"why": "how long these workers drop repeats"})] = 0
+    worth: Annotated[float, Meta(ge=0, le=1e6, description="a number from 0 to 1000000")] = 1.0
     late_value: Annotated[
         Fraction, Meta(extra={"why": "fraction of the worth that a late response keeps"})
     ] = 0.0
@@ -91,7 +91,7 @@
         Meta(
             gt=0,
             le=1,
-            description="a part above 0, at most 1",
+            description="a fraction above 0, at most 1",
             extra={"why": "fraction of its capacity that a worker has right after its start"},
         ),
     ]
@@ -139,8 +139,10 @@
     """settings.customers[]: a customer and its share of the capacity."""
 
     name: Name
-    fraction: Annotated[float, Meta(gt=0, le=1, description="a part above 0, at most 1")]
-    quota_per_s: Annotated[float, Meta(gt=0, le=1e6, description="requests a second, above 0")] = 1.0
+    fraction: Annotated[float, Meta(gt=0, le=1, description="a fraction above 0, at most 1")]
+    quota_per_s: Annotated[
+        float, Meta(gt=0, le=1e6, description="a number of requests per second above 0")
+    ] = 1.0
 
 
 class Tariffs(Section, frozen=True, kw_only=True):
@@ -191,8 +193,8 @@
     tariffs: Tariffs = Tariffs()
     goal: Goal = Goal()
     group_size: Annotated[PositiveCount, Meta(extra={"why": "number of dispatchers"})] = 1
-    me: Annotated[int, Meta(ge=0, description="the index of this dispatcher, from 0 up")] = 0
-    zone: Annotated[int, Meta(ge=0, description="an index into zones, from 0 up")] = 0
+    me: Annotated[int, Meta(ge=0, description="the index of this dispatcher, counted from 0")] = 0
+    zone: Annotated[int, Meta(ge=0, description="an index into zones, counted from 0")] = 0
     zones: list[str] = []
     shapes: list[str] = []
     granularity_ns: DurationNs = 1_000_000
@@ -208,9 +210,11 @@
 class Limits(Section, frozen=True, kw_only=True):
     """limits: resources that the process may use."""
 
-    cores: Annotated[float, Meta(gt=0, description="above 0")] = 1.0
-    memory_mb: Annotated[int, Meta(ge=24, description="a whole number of MB from 24 up")] = 192
-    sockets: Annotated[int, Meta(ge=128, description="a whole number of descriptors from 128 up")] = 1024
+    cores: Annotated[float, Meta(gt=0, description="a number of CPU cores above 0")] = 1.0
+    memory_mb: Annotated[int, Meta(ge=24, description="a whole number of MB, at least 24")] = 192
+    sockets: Annotated[int, Meta(ge=128, description="a whole number of file descriptors, at least 128")] = (
+        1024
+    )
 
 
 class Access(Section, frozen=True, kw_only=True):
@@ -227,7 +231,7 @@
     name: Annotated[Name, Meta(extra={"variable": "GW_NAME"})]
     listen: Annotated[
         HostPort,
-        Meta(extra={"variable": "GW_LISTEN", "why": "address for clients, health checks and call-backs"}),
+        Meta(extra={"variable": "GW_LISTEN", "why": "address for clients, health checks and callbacks"}),
     ]
     discovery: Annotated[HostPort, Meta(extra={"variable": "GW_DISCOVERY"})]
     settings: Settings
