--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -35,6 +35,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 DEFAULT_CELLS = "10:1:0,10:410:0,100:1:0,100:200:100,1400:1:0,1400:410:0,1400:410:100,10000:410:0"
+# Workers, dispatchers, whether workers are probed, queued jobs.
 REGRESSION_CELLS = ((10, 1, False, 10), (10, 3, True, 10), (100, 40, True, 30), (300, 410, True, 30))
 REQUESTS_PER_PHASE = 20
 COMPREHENSION_FRAMES = ("<listcomp>", "<dictcomp>", "<setcomp>")  # only Python before 3.12 has these
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -20,10 +20,10 @@
 from weldquay.reservations.settings import ReservationSettings
 from weldquay.reservations.timetable import RunningJob, Timetable
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS, SECOND = 1_000_000, 1_000_000_000  # nanoseconds
 RUNNING_JOBS = 10_000
 LARGE_JOBS = 20  # queued jobs that need more slots than are free
-FREE_SLOTS = 4.0  # of each worker, by its load report
+FREE_SLOTS = 4.0  # number of free slots in the load report of each worker
 
 
 def create_settings(reservations: ReservationSettings | None) -> api.Settings:
--- a/benchmarks/script.py
+++ b/benchmarks/script.py
@@ -18,7 +18,7 @@
 from weldquay import interface as api
 from weldquay.policy.dispatcher import Dispatcher
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS, SECOND = 1_000_000, 1_000_000_000  # nanoseconds
 START_TIME_NS = 1000 * SECOND
 SLOW_START_NS = 10 * SECOND
 SLOTS_BY_KIND = (2, 4, 8)
@@ -118,7 +118,7 @@
         self.dispatcher = Dispatcher(settings(dispatcher_count, with_probes), seed)
         self.workers = {number: SimulatedWorker(number) for number in range(1, worker_count + 1)}
         self.dispatcher_count = dispatcher_count
-        self.queued_jobs = queued_jobs  # received at the start of the phase "held", before its other requests
+        self.queued_jobs = queued_jobs  # number of requests in the burst at the start of the phase "held"
         self.now_ns = START_TIME_NS
         self.last_request = 0
         self.schedule_sequence = 0
@@ -212,10 +212,10 @@
         def end_attempt(outcome: api.Outcome, elapsed_ns: int, released_slots: int) -> list[api.Event]:
             worker.own_slots -= released_slots
             load_report = self.load_report(worker) if outcome is not api.Outcome.RESET else None
-            is_last = outcome is api.Outcome.OK
+            request_finished = outcome is api.Outcome.OK
             return [
                 api.AttemptEnded(
-                    request_id, attempt, worker.number, outcome, elapsed_ns, is_last, load_report
+                    request_id, attempt, worker.number, outcome, elapsed_ns, request_finished, load_report
                 )
             ]
 
@@ -253,8 +253,8 @@
         """Send requests at random intervals, and process all scheduled events that are due in between."""
         for index in range(request_count):
             before_each(index)
-            has_no_reports = self.dispatcher.settings.may_probe or self.reports_are_missing
-            if index % 20 == 0 and not has_no_reports:
+            skips_reports = self.dispatcher.settings.may_probe or self.reports_are_missing
+            if index % 20 == 0 and not skips_reports:
                 self.send_load_reports()
             due_ns = self.now_ns + int(self.random.expovariate(1 / self.mean_interarrival_ns))
             while self.schedule and self.schedule[0][0] <= due_ns:
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -24,7 +24,7 @@
 
 CONFIG = Path(__file__).parents[1] / "example" / "config.json"
 SECOND_NS = 1_000_000_000
-SETTLING_TIME_S = 0.25  # from a change of the list to the measurement
+SETTLING_TIME_S = 0.25  # wait between a change of the list and the measurement
 # Memory is measured after these numbers of rounds; each round replaces the ids of all workers in the list.
 MEASURED_AFTER_ROUNDS = (0, 6, 120)
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -15,14 +15,14 @@
 
 Algorithms:
 
-- `landed`, the one in use (weldquay/fleet/subset.py): the dispatchers are divided into rounds, and each round
-  divides all workers, in an order of its own, into groups of equal size.
+- `current`, the one in use (weldquay/fleet/subset.py): the dispatchers are divided into rounds, and each
+  round divides all workers, in an order of its own, into groups of equal size.
 - `rendezvous`: rendezvous hashing (Thaler and Ravishankar 1998).  Each dispatcher takes the workers with the
   lowest hashes of worker and dispatcher.
 - `rings, by count`: deterministic aperture.  The workers are ordered by hash on a ring, and a dispatcher
   takes the workers that follow its position, which is a fraction of their number.
 - `rings, by angle`: the same, but a dispatcher's position is a fixed hash value.
-- `arcs`: rounds as in `landed`, but a group is an arc of hash values.  The number of arcs is a power of two,
+- `arcs`: rounds as in `current`, but a group is an arc of hash values.  The number of arcs is a power of two,
   and a group that is too small is extended with workers of the next arc.
 """
 
@@ -113,7 +113,7 @@
 
 
 ALGORITHMS: dict[str, Algorithm] = {
-    "landed": subset,
+    "current": subset,
     "rendezvous": rendezvous,
     "rings, by count": ring_by_count,
     "rings, by angle": ring_by_angle,
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -41,9 +41,9 @@
 WORKERS = 4
 PERSISTENT_CLIENTS = 12  # each uses one connection for all its requests
 NON_PERSISTENT_CLIENTS = 3  # each opens a new connection for each request
-REQUEST_PAUSE_S = 0.05  # between a response and the client's next request
-MAX_REQUESTS = 600  # of all clients together
-CLIENT_TIMEOUT_MS = 5000  # sent with each request
+REQUEST_PAUSE_S = 0.05  # pause of a client between a response and its next request
+MAX_REQUESTS = 600  # limit on the total number of requests of all clients
+CLIENT_TIMEOUT_MS = 5000  # remaining time that a client sends with each request
 RESPONSE_TIMEOUT_S = 8.0  # a request without a response by then counts as lost
 # Duration of each stage: before the ban, before the start of the newer process, after the older process has
 # exited, and after the ban has been lifted.
@@ -52,7 +52,7 @@
 EXIT_TIMEOUT_S = 15.0
 UPGRADE_TIMEOUT_S = 90.0
 POLL_INTERVAL_S = 0.05
-MAX_DELIVERY_DELAY_S = 0.05  # of a job that was sent before the ban
+MAX_DELIVERY_DELAY_S = 0.05  # a job sent before the ban may arrive at the worker this long after it
 MAX_CALLBACK_ATTEMPTS = 10
 
 
--- a/benchmarks/upgrade_figures.py
+++ b/benchmarks/upgrade_figures.py
@@ -29,7 +29,7 @@
     """The figures of one direction."""
 
     results: Counter[RequestResult] = field(default_factory=Counter)
-    connections: int = 0  # of persistent clients
+    connections: int = 0  # number of connections of persistent clients
     connections_reopened: int = 0
     surplus_responses: int = 0
     ready_after_s: float = 0.0
--- a/example/toy.py
+++ b/example/toy.py
@@ -20,13 +20,13 @@
 
 __all__ = ["Discovery", "Message", "Server", "Worker", "encode_message", "read_message", "request"]
 
-SLOTS = 4  # concurrent jobs of a worker, according to its load report
+SLOTS = 4  # number of job slots in the load report of a worker
 RUN_S = 0.2  # running time of a job
 NO_LOAD = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
 
 
 class Worker(Server):
-    """A match worker that accepts each job with 202 and sends call-backs to the dispatcher."""
+    """A match worker that accepts each job with 202 and sends callbacks to the dispatcher."""
 
     def __init__(self, name: str, dispatcher: str) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         }
 
     async def run(self, request_id: str, body: bytes) -> None:
-        """Run one job and send its call-backs."""
+        """Run one job and send its callbacks."""
         await self.send_callback(request_id, state="started")
         await asyncio.sleep(RUN_S)
         self.jobs.pop(request_id, None)
@@ -67,7 +67,7 @@
         await self.send_callback(request_id, state="done", result=body.decode().upper(), load=self.load())
 
     async def send_callback(self, request_id: str, **fields: Any) -> Message:
-        """Send one call-back and return the dispatcher's response."""
+        """Send one callback and return the dispatcher's response."""
         body = json.dumps({"id": request_id, "from": self.name, **fields}).encode()
         return await request(self.dispatcher, encode_message("POST /callback HTTP/1.1", body))
 
