--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -39,7 +39,7 @@
     for line in filter(str.strip, text.splitlines()):
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 4 or not all(fields):
-            raise ValueError(f"KNOWN-RED.txt: not `{FORMAT}`: {line!r}")
+            raise ValueError(f"KNOWN-RED.txt: expected `{FORMAT}`, got {line!r}")
         entry = KnownFailure(*fields)
         if entry.test_id in entries:
             raise ValueError(f"KNOWN-RED.txt: listed twice: {entry.test_id}")
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -22,7 +22,7 @@
 
 SITE = catalogue.load("sapporo-tm")
 SECOND_NS = 1_000_000_000
-REMOVED = object()  # as a value: the key is removed
+REMOVED = object()  # marks a key that is to be removed
 
 
 def valid_config(**changes: Any) -> dict[str, Any]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -55,7 +55,7 @@
     reloaded, needs_restart = reload(environ, running)
     assert reloaded.discovery == Address("127.0.0.1", 2) and reloaded.settings.max_attempts == 2
     assert reloaded.class_names == ("lookup", "import", "newer") and reloaded.offered == {"import", "newer"}
-    assert [rules.client_timeout_ns // 10**9 for rules in reloaded.settings.classes] == [5, 0, 10]
+    assert [job_class.client_timeout_ns // 10**9 for job_class in reloaded.settings.classes] == [5, 0, 10]
     assert (reloaded.name, reloaded.sockets) == (running.name, running.sockets)
     assert needs_restart == ["name", "sockets", "memory_mb"]
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,7 +15,7 @@
 TESTS = "def test_red():\n    assert 0\n\n\ndef test_green():\n    pass\n"
 FOUR_RED_TESTS = "".join(f"def test_{number}():\n    assert 0\n\n\n" for number in range(4))
 RED, GREEN = "tests/test_some.py::test_red", "tests/test_some.py::test_green"
-MALFORMED = "not `test id | command and seed | what was seen | issue`"
+MALFORMED = "expected `test id | command and seed | what was seen | issue`, got"
 
 
 def run_pytest(folder: Path, tests: str, entries: str | None) -> subprocess.CompletedProcess[str]:
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -45,8 +45,8 @@
     text = writer.format_configuration(document)
     assert [entry for entry in checking.check(text.encode()) if entry.error] == []
     config = config_from_document({}, json.loads(text))
-    for kind, rules in zip(description["kinds"], config.settings.classes, strict=True):
-        assert rules.idempotency is (
+    for kind, job_class in zip(description["kinds"], config.settings.classes, strict=True):
+        assert job_class.idempotency is (
             Idempotency.IDEMPOTENT if kind["repeat_harmless"] else Idempotency.NON_IDEMPOTENT
         )
     assert (
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -155,7 +155,7 @@
         click.echo(f"{path}: no findings")
 
 
-def print_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
+def print_errors_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
     """Print errors in a file on standard error, and exit with status 1."""
     for finding in errors:
         click.echo(format_finding(finding, path), err=True)
@@ -232,7 +232,7 @@
         exit_with_error(str(error))
     text = writer.format_configuration(document)
     if errors := [finding for finding in checking.check(text.encode(), site) if finding.error]:
-        print_and_exit(errors, output)
+        print_errors_and_exit(errors, output)
     try:
         writer.write_file(output, text, force)
     except FileExistsError:
@@ -372,7 +372,7 @@
     """
     data = read_input(file)
     if errors := [finding for finding in checking.check(data) if finding.error]:
-        print_and_exit(errors, file)
+        print_errors_and_exit(errors, file)
     document = msgspec.convert(reading.parse(reading.decode(data)), schema.Document)
     value: Any = msgspec.to_builtins(document)
     for step in path.split(".") if path else ():
--- a/weldquay/config/schema.py
+++ b/weldquay/config/schema.py
@@ -54,7 +54,7 @@
         Literal["all", "zone", "cell"],
         Meta(description="all, zone or cell: the workers that drop a dedup job's repeats"),
     ] = "all"
-    window_ns: Annotated[DurationNs, Meta(extra={"why": "how long these workers drop repeats"})] = 0
+    window_ns: Annotated[DurationNs, Meta(extra={"why": "how long workers drop repeats"})] = 0
     worth: Annotated[float, Meta(ge=0, le=1e6, description="a number from 0 to 1000000")] = 1.0
     late_value: Annotated[
         Fraction, Meta(extra={"why": "fraction of the worth that a late response keeps"})
@@ -246,63 +246,67 @@
     origin: Annotated[Any, Meta(extra={"why": "where the values come from; not read by the program"})] = None
 
 
-def nested_struct(kind: Any) -> type[Struct] | None:
+def nested_struct(annotation: Any) -> type[Struct] | None:
     """Return the struct type of a key or of the entries of its list; None for a plain value."""
-    for candidate in _nested_types(kind):
+    for candidate in _nested_types(annotation):
         if isinstance(candidate, type) and issubclass(candidate, Struct):
             return candidate
     return None
 
 
-def _nested_types(kind: Any) -> list[Any]:
-    inner = getattr(kind, "__args__", ())
-    origin = getattr(kind, "__origin__", None)
+def _nested_types(annotation: Any) -> list[Any]:
+    inner = getattr(annotation, "__args__", ())
+    origin = getattr(annotation, "__origin__", None)
     return [
-        kind,
+        annotation,
         *([origin] if isinstance(origin, type) else []),
         *(nested for argument in inner for nested in _nested_types(argument)),
     ]
 
 
-def key_types(group: type[Struct]) -> dict[str, Any]:
+def key_types(struct: type[Struct]) -> dict[str, Any]:
     """Return the type of each key of a struct."""
-    return {field.encode_name: field.type for field in msgspec.structs.fields(group)}
+    return {field.encode_name: field.type for field in msgspec.structs.fields(struct)}
 
 
-def valid_values(kind: Any) -> str:
+def valid_values(annotation: Any) -> str:
     """Describe the valid values of a type in words."""
-    for meta in _all_metadata(kind):
+    for meta in _all_metadata(annotation):
         if meta.description:
             return str(meta.description)
     literal = next(
-        (candidate for candidate in _nested_types(kind) if getattr(candidate, "__origin__", None) is Literal),
+        (
+            candidate
+            for candidate in _nested_types(annotation)
+            if getattr(candidate, "__origin__", None) is Literal
+        ),
         None,
     )
     if literal is not None:
         return " or ".join(short_json(value) for value in literal.__args__)
     names = {bool: "true or false", int: "a whole number", float: "a number", str: "a string", list: "a list"}
-    for candidate in _nested_types(kind):
+    for candidate in _nested_types(annotation):
         if candidate in names:
             return names[candidate]
-    group = nested_struct(kind)
-    return "an object" if group is not None else "another value"
+    struct = nested_struct(annotation)
+    return "an object" if struct is not None else "any value"
 
 
-def _all_metadata(kind: Any) -> list[Meta]:
-    own = [entry for entry in getattr(kind, "__metadata__", ()) if isinstance(entry, Meta)]
-    origin = getattr(kind, "__origin__", None)
-    inner = _all_metadata(origin) if origin is not None and origin is not kind else []
+def _all_metadata(annotation: Any) -> list[Meta]:
+    own = [entry for entry in getattr(annotation, "__metadata__", ()) if isinstance(entry, Meta)]
+    origin = getattr(annotation, "__origin__", None)
+    inner = _all_metadata(origin) if origin is not None and origin is not annotation else []
     unions = (
-        [meta for argument in getattr(kind, "__args__", ()) for meta in _all_metadata(argument)]
+        [meta for argument in getattr(annotation, "__args__", ()) for meta in _all_metadata(argument)]
         if not own
         else []
     )
     return [*own, *inner, *unions]
 
 
-def extra_text(kind: Any, name: str) -> str:
+def extra_text(annotation: Any, name: str) -> str:
     """Return an entry of a type's `extra` metadata (why, variable); empty if there is none."""
-    for meta in _all_metadata(kind):
+    for meta in _all_metadata(annotation):
         if meta.extra and name in meta.extra:
             return str(meta.extra[name])
     return ""
--- a/weldquay/config/writer.py
+++ b/weldquay/config/writer.py
@@ -24,10 +24,12 @@
 from weldquay.limits import BASE_MEMORY_MB, CONNECTION_BYTES, RESERVED_DESCRIPTORS
 
 NS_PER_MS, NS_PER_S = 1_000_000, 1_000_000_000
-TIMEOUT_MULTIPLE = 10.0  # of the wanted time, if neither the description nor the catalogue has a timeout
+# The timeout as a multiple of the wanted time, if neither the description nor the catalogue has a timeout.
+TIMEOUT_MULTIPLE = 10.0
+# Lower bounds of the generated limits; above the minimum that the program needs (weldquay/limits.py).
 MIN_SOCKETS, MIN_MEMORY_MB = 256, 64
-# The limit of open requests is HEADROOM times the expected number, for which a request takes as long as its
-# clients wait, but at most MAX_REQUEST_DURATION_S.
+# The limit on open requests is HEADROOM times the expected number.  For that number, a request is assumed to
+# be open for as long as its client waits, but at most MAX_REQUEST_DURATION_S.
 MAX_REQUEST_DURATION_S = 5.0
 HEADROOM = 3.0
 
@@ -40,7 +42,7 @@
 
 
 class KindDescription(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A kind of job of the application; what the catalogue contains may be omitted."""
+    """A kind of job of the application; values that the catalogue contains may be omitted."""
 
     name: schema.Name
     repeat_harmless: bool | None = None
@@ -80,7 +82,7 @@
     names = [normalize_name(entry["name"]) for entry in services]
     if len(set(names)) < len(names):
         raise DescriptionError("two kinds have the same name, or names that differ only in spelling")
-    stretches = [_stretch(kind, site) for kind in description.kinds]
+    class_stretches = [_class_stretch(kind, site) for kind in description.kinds]
     limits, open_requests = _limits(description, services, origin)
     settings = {
         "group_size": description.dispatchers,
@@ -91,7 +93,7 @@
         "discovery": "ask",
         "worth_by": "work",
         "services": services,
-        "family_info": {"class_stretch": stretches, "tells_start": True, "queue_order": "fifo"},
+        "family_info": {"class_stretch": class_stretches, "tells_start": True, "queue_order": "fifo"},
         "load_info": {"fields": ["svc_ms", "pending", "x0", "x1"], "via": "inline"},
         "customers": _customers(description, site, origin),
         "caps": _caps(services, site, origin, open_requests),
@@ -179,7 +181,8 @@
         )
 
 
-def _stretch(kind: KindDescription, site: Catalogue | None) -> float:
+def _class_stretch(kind: KindDescription, site: Catalogue | None) -> float:
+    """Return the runtime allowance of a kind of job in the catalogue; 0 if the kind is not in it."""
     site_kind = site.kind(kind.name) if site is not None else None
     return site_kind.stretch if site_kind is not None else 0.0
 
