--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -22,7 +22,7 @@
 
 SITE = catalogue.load("sapporo-tm")
 SECOND_NS = 1_000_000_000
-REMOVED = object()  # as a value: the key is removed
+REMOVED = object()  # marks a key that is to be removed
 
 
 def valid_config(**changes: Any) -> dict[str, Any]:
@@ -67,9 +67,9 @@
     (f"{CLASS}3__effect", "retryable", "WQ201", "segment-commit must never run twice"),
     (f"{CLASS}2__effect", "retryable", "WQ201", "batch-import must never run twice"),
     (f"{CLASS}3__effect", "dedup", "WQ201", "write fragile"),
-    (f"{CLASS}3__name", "Segment_Commit", "WQ202", "is not segment-commit"),
-    (f"{CLASS}3__name", "segment-comit", "WQ202", "is not segment-commit"),
-    (f"{CLASS}2__name", "batch.import", "WQ202", "is not batch-import"),
+    (f"{CLASS}3__name", "Segment_Commit", "WQ202", "misspelling of segment-commit"),
+    (f"{CLASS}3__name", "segment-comit", "WQ202", "misspelling of segment-commit"),
+    (f"{CLASS}2__name", "batch.import", "WQ202", "misspelling of batch-import"),
     (
         f"{CLASS}4",
         {**loads.settings()["services"][3], "effect": "retryable"},
@@ -100,10 +100,10 @@
     ("settings__customers__0__fraction", 0.5, "WQ402", "add up to 1.33"),
     ("settings__customers__0__fraction", 0.12, "WQ403", "the share of kushiro-soft is 0.17, not 0.12"),
     ("settings__customers__9", {"name": "Rumoi_Works", "fraction": 0.01}, "WQ404", "already in the list"),
-    ("settings__customers__4__name", "tomakomai-itt", "WQ405", "is not tomakomai-it"),
-    ("settings__customers__4__name", "Tomakomai-IT", "WQ405", "is not tomakomai-it"),
+    ("settings__customers__4__name", "tomakomai-itt", "WQ405", "misspelling of tomakomai-it"),
+    ("settings__customers__4__name", "Tomakomai-IT", "WQ405", "misspelling of tomakomai-it"),
     ("settings__customers__0__fraction", -0.17, "WQ102", "fraction is -0.17"),
-    ("settings__customers__0__fraction", 0, "WQ102", "a part above 0"),
+    ("settings__customers__0__fraction", 0, "WQ102", "a fraction above 0"),
     ("settings__customers__3__name", "", "WQ102", "a name of 1 to 200"),
     # slow starts and drains
     ("settings__safety__fall_multiple", 10.0, "WQ501", "a load under which it fails"),
@@ -111,7 +111,7 @@
     ("settings__safety__warm_after_ns", 2 * SECOND_NS, "WQ501", "the site's limit is 8.9 s"),
     ("settings__safety__overload_for_ns", SECOND_NS // 2, "WQ501", "too short a time"),
     ("settings__safety__stop_sending_within_ns", SECOND_NS, "WQ501", "after the allowed delay"),
-    ("settings__safety__ask_within_ns", 60 * SECOND_NS, "WQ501", "too seldom"),
+    ("settings__safety__ask_within_ns", 60 * SECOND_NS, "WQ501", "too rarely"),
     (
         "settings__safety__warm_after_ns",
         0,
@@ -170,14 +170,14 @@
 INVALID_TEXTS: list[tuple[bytes, str]] = [
     (b"", "expecting value"),
     (b"{", "expecting"),
-    (b"null", "holds null"),
-    (b"[]", "holds a list"),
+    (b"null", "contains null"),
+    (b"[]", "contains a list"),
     (json.dumps(valid_config()).encode()[:-30], "expecting"),
     (json.dumps(valid_config()).encode() + b"x", "extra data"),
-    (b'{"name": "a", "name": "b"}', 'the key "name" stands twice'),
-    (b'{"a": NaN}', "NaN is no JSON number"),
-    (b'{"a": -Infinity}', "is no JSON number"),
-    (b'{"a": "\xff"}', "is no UTF-8"),
+    (b'{"name": "a", "name": "b"}', 'duplicate key "name" in an object'),
+    (b'{"a": NaN}', "NaN is not a valid JSON number"),
+    (b'{"a": -Infinity}', "-Infinity is not a valid JSON number"),
+    (b'{"a": "\xff"}', "byte 7 is not valid UTF-8"),
     (b"[" * 100 + b"]" * 100, "nested more than 64 levels"),
     (b'{"a": ' + b"9" * 5000 + b"}", "4300"),
     (b"{'a': 1}", "property name"),
--- a/weldquay/cli.py
+++ b/weldquay/cli.py
@@ -155,7 +155,7 @@
         click.echo(f"{path}: no findings")
 
 
-def print_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
+def print_errors_and_exit(errors: Sequence[Finding], path: Path) -> NoReturn:
     """Print errors in a file on standard error, and exit with status 1."""
     for finding in errors:
         click.echo(format_finding(finding, path), err=True)
@@ -197,14 +197,18 @@
     "kinds",
     multiple=True,
     metavar="NAME[:once|repeat[:WANTED_MS[:GIVE_UP_S]]]",
-    help="A kind of job; what the catalogue contains may be omitted.",
+    help="A kind of job; values that the catalogue contains may be omitted.",
 )
 @click.option("--customer", "customers", multiple=True, metavar="NAME=SHARE", help="A customer's share.")
 @click.option("--listen", envvar="GW_LISTEN", help="HOST:PORT for the application's requests.")
 @click.option("--mgmt", envvar="GW_MGMT", help="HOST:PORT for operators.")
 @click.option("--discovery", envvar="GW_DISCOVERY", help="HOST:PORT of discovery.")
-@click.option("--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected requests a second.")
-@click.option("--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="Dispatchers at the site.")
+@click.option(
+    "--calls-per-s", type=float, envvar="WELDQUAY_CALLS_PER_S", help="Expected requests per second."
+)
+@click.option(
+    "--dispatchers", type=int, envvar="WELDQUAY_DISPATCHERS", help="Number of dispatchers at the site."
+)
 @click.option("--force", is_flag=True, help="Replace an existing file.")
 @catalogue_option
 def new(output: Path, source: Path | None, force: bool, catalogue: str | None, **options: Any) -> None:
@@ -228,13 +232,13 @@
         exit_with_error(str(error))
     text = writer.format_configuration(document)
     if errors := [finding for finding in checking.check(text.encode(), site) if finding.error]:
-        print_and_exit(errors, output)
+        print_errors_and_exit(errors, output)
     try:
         writer.write_file(output, text, force)
     except FileExistsError:
         exit_with_error(f"{output} exists: use --force to replace it")
     except OSError as error:
-        exit_with_error(f"{output}: cannot be written: {error.strerror}")
+        exit_with_error(f"cannot write {output}: {error.strerror}")
     click.echo(f"wrote {output}; `weldquay config check {output}` checks it as the dispatcher does")
 
 
@@ -310,7 +314,7 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """Read the JSON object in a file; exit with status 2 if the file cannot be read or holds none."""
+    """Read the JSON object in a file; exit with status 2 if there is none or the file cannot be read."""
     try:
         document = reading.parse(reading.decode(read_input(path)))
     except reading.ReadingError as error:
@@ -368,7 +372,7 @@
     """
     data = read_input(file)
     if errors := [finding for finding in checking.check(data) if finding.error]:
-        print_and_exit(errors, file)
+        print_errors_and_exit(errors, file)
     document = msgspec.convert(reading.parse(reading.decode(data)), schema.Document)
     value: Any = msgspec.to_builtins(document)
     for step in path.split(".") if path else ():
