--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -171,7 +171,7 @@
         async with site(discovery_mode="push", discovery=(discovery := SilentDiscovery())) as test_site:
             assert not discovery.lists
             test_site.program.coordinator.dispatcher.lease.expiry_ns = 0
-            waiting = asyncio.create_task(test_site.program.parts.readiness.wait_for_endpoint_list())
+            waiting = asyncio.create_task(test_site.program.components.readiness.wait_for_endpoint_list())
             await asyncio.sleep(0)
             started_at = time.monotonic()
             test_site.program.request_shutdown()
--- a/weldquay/net/config_reload.py
+++ b/weldquay/net/config_reload.py
@@ -7,7 +7,7 @@
 import os
 
 from weldquay.net.config import ConfigError, reload
-from weldquay.net.dispatcher_parts import DispatcherParts
+from weldquay.net.dispatcher_components import DispatcherComponents
 from weldquay.net.lifecycle import Phase
 from weldquay.net.persistence import StateFile
 
@@ -17,19 +17,19 @@
 class ConfigReloader:
     """Reloads the configuration, and saves the running one for the next process."""
 
-    def __init__(self, parts: DispatcherParts) -> None:
-        """Create a reloader; parts: what a reload reconfigures."""
-        self.parts = parts
+    def __init__(self, components: DispatcherComponents) -> None:
+        """Reload the configuration of these components."""
+        self.components = components
         self.requested = asyncio.Event()
-        self.saved_config = StateFile(parts.config.name, ".config")
+        self.saved_config = StateFile(components.config.name, ".config")
 
     def save(self) -> None:
         """Save the running configuration."""
-        self.saved_config.write(self.parts.config.document)
+        self.saved_config.write(self.components.config.document)
 
     async def run(self) -> None:
         """Reload when requested, in every phase from the start to the end of a drain."""
-        lifecycle = self.parts.lifecycle
+        lifecycle = self.components.lifecycle
         while True:
             await self.requested.wait()
             self.requested.clear()
@@ -41,12 +41,12 @@
     def _reload(self) -> None:
         """Apply the file's configuration; if it is invalid, nothing changes."""
         try:
-            config, restart_keys = reload(os.environ, self.parts.config)
+            config, restart_keys = reload(os.environ, self.components.config)
         except ConfigError as error:
             self._report_failure(error)
             return
-        self.parts.counters.add("reloads")
-        self.parts.reconfigure(config)
+        self.components.counters.add("reloads")
+        self.components.reconfigure(config)
         self.save()
         if restart_keys:
             log.warning(
@@ -54,5 +54,5 @@
             )
 
     def _report_failure(self, error: ConfigError) -> None:
-        self.parts.counters.add("reloads_rejected")
+        self.components.counters.add("reloads_rejected")
         log.error("configuration reload failed, the configuration stays as it is: %s", error.advice())
--- a/weldquay/net/dispatcher_parts.py
+++ b/weldquay/net/dispatcher_components.py
@@ -13,7 +13,7 @@
 from weldquay.net.worker_client import HttpWorkerClient
 
 
-class DispatcherParts:
+class DispatcherComponents:
     """The configuration, lifecycle, coordinator, servers and clients of one process."""
 
     def __init__(self, config: Config) -> None:
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -13,7 +13,7 @@
 from weldquay.net.config import Config
 from weldquay.net.config_reload import ConfigReloader
 from weldquay.net.connection_table import LINGER_TIMEOUT_S
-from weldquay.net.dispatcher_parts import DispatcherParts
+from weldquay.net.dispatcher_components import DispatcherComponents
 from weldquay.net.hot_restart_messages import NO_DESCRIPTOR, HotRestartMessage
 from weldquay.net.lifecycle import Phase
 from weldquay.net.loop_monitor import LoopMonitor
@@ -49,24 +49,24 @@
 
     def __init__(self, config: Config) -> None:
         """Create the components in a running event loop."""
-        self.parts = DispatcherParts(config)
-        self.lifecycle = self.parts.lifecycle
-        self.counters = self.parts.counters
-        self.tasks = self.parts.tasks
-        self.coordinator = self.parts.coordinator
-        self.workers = self.parts.workers
-        self.discovery = self.parts.discovery
-        self.server = self.parts.server
-        self.service = ServiceControl(self.parts, self._send_to_peer)
+        self.components = DispatcherComponents(config)
+        self.lifecycle = self.components.lifecycle
+        self.counters = self.components.counters
+        self.tasks = self.components.tasks
+        self.coordinator = self.components.coordinator
+        self.workers = self.components.workers
+        self.discovery = self.components.discovery
+        self.server = self.components.server
+        self.service = ServiceControl(self.components, self._send_to_peer)
         self.operators = OperatorServer(config.mgmt, self.counters, self.service)
-        self.migration = ProcessMigration(self.parts, self.service)
+        self.migration = ProcessMigration(self.components, self.service)
         self.hot_restart = self.migration.hot_restart
-        self.reloader = ConfigReloader(self.parts)
+        self.reloader = ConfigReloader(self.components)
 
     @property
     def config(self) -> Config:
         """The current configuration."""
-        return self.parts.config
+        return self.components.config
 
     @property
     def phase(self) -> Phase:
@@ -129,7 +129,7 @@
         if offer is not None:
             await self.migration.take_over(offer)
         elif self.config.settings.has_local_discovery_agent:
-            await self.parts.readiness.wait_for_endpoint_list()
+            await self.components.readiness.wait_for_endpoint_list()
         await self.server.accept()
         self.lifecycle.enter(Phase.SERVING)
         if offer is not None and offer.out_of_service_since is not None:
@@ -162,7 +162,7 @@
         # In the same iteration of the loop in which nothing is pending: a later request would be lost.
         self.server.reject_requests()
         self.lifecycle.enter(Phase.STOPPING)
-        await self._stop_parts(final_answers_at + FINAL_ANSWERS_S - EXIT_S)
+        await self._stop_components(final_answers_at + FINAL_ANSWERS_S - EXIT_S)
         self.lifecycle.enter(Phase.STOPPED)
 
     def _time_until_final_answers_s(self) -> float:
@@ -185,7 +185,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         await self.hot_restart.end_migration()
 
-    async def _stop_parts(self, deadline: float) -> None:
+    async def _stop_components(self, deadline: float) -> None:
         """Stop all components; deadline: for clients that read slowly, on the loop's clock (s)."""
         await self.tasks.stop()
         await self.discovery.stop()
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -11,7 +11,7 @@
 
 from weldquay.errors import OperatorError
 from weldquay.net.config import Address
-from weldquay.net.dispatcher_parts import DispatcherParts
+from weldquay.net.dispatcher_components import DispatcherComponents
 from weldquay.net.hot_restart import HotRestart
 from weldquay.net.hot_restart_messages import (
     NO_DESCRIPTOR,
@@ -60,11 +60,11 @@
 class ProcessMigration:
     """Migrates the state of one process during a hot restart; implements `HotRestartDelegate`."""
 
-    def __init__(self, parts: DispatcherParts, service: ServiceControl) -> None:
-        """Migrate the state of these parts, and of a drain by operators."""
-        self.parts = parts
+    def __init__(self, components: DispatcherComponents, service: ServiceControl) -> None:
+        """Migrate the state of these components, and of a drain by operators."""
+        self.components = components
         self.service = service
-        self.hot_restart = HotRestart(parts.config.name, parts.counters, self)
+        self.hot_restart = HotRestart(components.config.name, components.counters, self)
         self.endpoint_list_chunks: list[EndpointListChunk] = []  # of the older process
         self.peer_connections = 0  # number of client connections of the older process
         self.phase_before_migration = Phase.STARTING
@@ -90,7 +90,7 @@
 
     async def _check_address(self, offer: ListenerOffer) -> None:
         """Raise AddressConflict if the offered listener does not have the configured address."""
-        configured = self.parts.config.listen
+        configured = self.components.config.listen
         listener = socket.socket(fileno=os.dup(offer.descriptor))
         with listener:
             offered = Address(*listener.getsockname()[:2])
@@ -100,30 +100,30 @@
             return
         os.close(offer.descriptor)
         self.hot_restart.stop()
-        raise AddressConflict(self.parts.config.name, offered, configured)
+        raise AddressConflict(self.components.config.name, offered, configured)
 
     def _adopt_endpoint_list(self) -> None:
         """Start with the older process's endpoint list, which is more recent than the configured one."""
-        parts = self.parts
+        components = self.components
         chunks = self.endpoint_list_chunks
         # Another discovery service does not know this revision; since revision 0 it sends the complete list.
-        is_same_discovery = chunks[0].discovery_address == parts.config.discovery
+        is_same_discovery = chunks[0].discovery_address == components.config.discovery
         revision = chunks[0].revision if is_same_discovery else 0
         endpoints = [endpoint for chunk in chunks for endpoint in chunk.endpoints]
-        parts.config = replace(
-            parts.config,
+        components.config = replace(
+            components.config,
             known=endpoint_list_from_json({"revision": revision, "complete": True, "members": endpoints}),
             lease=chunks[-1].lease,
         )
-        parts.discovery.revision = revision
-        parts.coordinator.config = parts.config
+        components.discovery.revision = revision
+        components.coordinator.config = components.config
 
     async def take_over(self, offer: ListenerOffer) -> None:
         """Take over from the older process once the endpoint list is confirmed, or after its timeout."""
-        self.parts.workers.limit_connections(NEWER_PROCESS_WORKER_FRACTION)
+        self.components.workers.limit_connections(NEWER_PROCESS_WORKER_FRACTION)
         for worker_id in offer.banned_worker_ids:
-            self.parts.coordinator.set_worker_ban(worker_id, True)
-        await self.parts.readiness.wait_for_endpoint_list()
+            self.components.coordinator.set_worker_ban(worker_id, True)
+        await self.components.readiness.wait_for_endpoint_list()
         await self.hot_restart.confirm_ready()
 
     def forward_callback(self, body: bytes) -> None:
@@ -138,53 +138,53 @@
         Returns:
             The offer with a duplicate of the listener, or None if this process is not serving.
         """
-        parts = self.parts
-        if not parts.lifecycle.allows_hot_restart or parts.server.listener is None:
+        components = self.components
+        if not components.lifecycle.allows_hot_restart or components.server.listener is None:
             return None
-        parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS)
-        parts.workers.limit_connections(1 - NEWER_PROCESS_WORKER_FRACTION)
-        if parts.coordinator.is_endpoint_list_confirmed:
+        components.server.table.reserve(NEWER_PROCESS_DESCRIPTORS)
+        components.workers.limit_connections(1 - NEWER_PROCESS_WORKER_FRACTION)
+        if components.coordinator.is_endpoint_list_confirmed:
             self._send_endpoint_list()
-        is_out_of_service = parts.lifecycle.phase is Phase.OUT_OF_SERVICE
+        is_out_of_service = components.lifecycle.phase is Phase.OUT_OF_SERVICE
         return ListenerOffer(
-            descriptor=os.dup(parts.server.listener.fileno()),
-            banned_worker_ids=tuple(sorted(parts.coordinator.banned_worker_ids)),
+            descriptor=os.dup(components.server.listener.fileno()),
+            banned_worker_ids=tuple(sorted(components.coordinator.banned_worker_ids)),
             out_of_service_since=self.service.out_of_service_since if is_out_of_service else None,
         )
 
     def _send_endpoint_list(self) -> None:
-        parts = self.parts
-        parts.discovery.report_observation()
-        parts.coordinator.process_pending()
-        for chunk in split_into_chunks(map(endpoint_to_json, parts.workers.listed_endpoints())):
+        components = self.components
+        components.discovery.report_observation()
+        components.coordinator.process_pending()
+        for chunk in split_into_chunks(map(endpoint_to_json, components.workers.listed_endpoints())):
             self.hot_restart.send(
                 EndpointListChunk(
-                    revision=parts.discovery.revision,
-                    discovery_address=parts.discovery.config.discovery,
-                    lease=parts.coordinator.dispatcher.lease.state(),
+                    revision=components.discovery.revision,
+                    discovery_address=components.discovery.config.discovery,
+                    lease=components.coordinator.dispatcher.lease.state(),
                     endpoints=tuple(chunk),
                 )
             )
 
     def start_migration(self) -> None:
         """Stop accepting connections, send the state of the workers, and migrate the client connections."""
-        parts = self.parts
-        if not parts.lifecycle.allows_hot_restart:
+        components = self.components
+        if not components.lifecycle.allows_hot_restart:
             return
-        self.phase_before_migration = parts.lifecycle.phase
+        self.phase_before_migration = components.lifecycle.phase
         self.service.stop_draining()
-        parts.lifecycle.enter(Phase.MIGRATING)
-        for worker_id, snapshot in parts.coordinator.worker_snapshots().items():
-            host, port = parts.workers.address(worker_id)
+        components.lifecycle.enter(Phase.MIGRATING)
+        for worker_id, snapshot in components.coordinator.worker_snapshots().items():
+            host, port = components.workers.address(worker_id)
             self.hot_restart.send(WorkerStateMessage(worker_id, host, port, snapshot))
-        for request_ids in split_into_chunks(parts.server.context.open_request_ids):
+        for request_ids in split_into_chunks(components.server.context.open_request_ids):
             self.hot_restart.send(OpenRequests(tuple(request_ids)))
         self._send_connection_count()
-        parts.server.start_migration(self.hot_restart.send)
-        parts.tasks.start(self._report_connection_count(), "connection count for the newer process")
+        components.server.start_migration(self.hot_restart.send)
+        components.tasks.start(self._report_connection_count(), "connection count for the newer process")
 
     def _send_connection_count(self) -> None:
-        self.hot_restart.send(ClientConnectionCount(len(self.parts.server.connections)))
+        self.hot_restart.send(ClientConnectionCount(len(self.components.server.connections)))
 
     async def _report_connection_count(self) -> None:
         """Send the number of client connections regularly; the newer process leaves descriptors for them."""
@@ -196,61 +196,61 @@
 
     def handle_message(self, message: HotRestartMessage) -> None:
         """Handle a message from the other process."""
-        parts = self.parts
+        components = self.components
         match message:
             case WorkerStateMessage():
-                parts.workers.add_unlisted_worker(message.worker_id, message.host, message.port)
-                parts.coordinator.restore_worker(message.worker_id, message.snapshot)
+                components.workers.add_unlisted_worker(message.worker_id, message.host, message.port)
+                components.coordinator.restore_worker(message.worker_id, message.snapshot)
             case EndpointListChunk():
                 self.endpoint_list_chunks.append(message)
             case OpenRequests():
-                parts.server.context.peer_request_ids.update(message.request_ids)
+                components.server.context.peer_request_ids.update(message.request_ids)
             case MigratedConnection():
                 self._accept_connection(message)
             case ClientConnectionCount():
                 self._reserve_for_peer(message.connections)
             case BanChange():
-                parts.coordinator.set_worker_ban(message.worker_id, message.is_banned)
+                components.coordinator.set_worker_ban(message.worker_id, message.is_banned)
             case ForwardedCallback():
                 self._handle_forwarded_callback(message)
 
     def _accept_connection(self, connection: MigratedConnection) -> None:
         if connection.descriptor == NO_DESCRIPTOR:  # this process had reached its limit of descriptors
-            self.parts.counters.add("hot_restart_connections_without_descriptor")
+            self.components.counters.add("hot_restart_connections_without_descriptor")
             return
         if self.peer_connections:
             self._reserve_for_peer(self.peer_connections - 1)
-        self.parts.server.accept_migrated(connection)
+        self.components.server.accept_migrated(connection)
 
     def _reserve_for_peer(self, connections: int) -> None:
         """Reserve descriptors for the client connections of the older process."""
         self.peer_connections = connections
-        self.parts.server.table.reserve(NEWER_PROCESS_DESCRIPTORS + connections)
+        self.components.server.table.reserve(NEWER_PROCESS_DESCRIPTORS + connections)
 
     def _handle_forwarded_callback(self, message: ForwardedCallback) -> None:
         """Handle a callback that matched no attempt of the other process."""
         with suppress(MessageError):
-            callback = parse_callback(message.body, self.parts.config.report_fields)
-            is_matched = self.parts.coordinator.handle_callback(callback)
+            callback = parse_callback(message.body, self.components.config.report_fields)
+            is_matched = self.components.coordinator.handle_callback(callback)
             # A callback can arrive before its request has migrated.  If it is sent back, it arrives at the
             # newer process after the request.
-            if not is_matched and self.parts.server.context.migrate_connection is not None:
+            if not is_matched and self.components.server.context.migrate_connection is not None:
                 self.hot_restart.send(message)
 
     def on_peer_lost(self, unsent: Iterable[HotRestartMessage]) -> None:
         """Release what was reserved for the peer, and serve again if a newer process ended prematurely."""
-        parts = self.parts
-        parts.server.table.reserve(0)
-        parts.workers.limit_connections(1)
-        parts.server.context.peer_request_ids.clear()
-        parts.server.context.migrate_connection = None
+        components = self.components
+        components.server.table.reserve(0)
+        components.workers.limit_connections(1)
+        components.server.context.peer_request_ids.clear()
+        components.server.context.migrate_connection = None
         for message in unsent:
             self._resume_unsent(message)
-        if parts.lifecycle.phase is Phase.DRAINING:
-            parts.server.begin_closing()
-        elif parts.lifecycle.phase is Phase.MIGRATING:
-            parts.tasks.start(parts.server.accept(), "accepting after a failed hot restart")
-            parts.lifecycle.enter(Phase.SERVING)
+        if components.lifecycle.phase is Phase.DRAINING:
+            components.server.begin_closing()
+        elif components.lifecycle.phase is Phase.MIGRATING:
+            components.tasks.start(components.server.accept(), "accepting after a failed hot restart")
+            components.lifecycle.enter(Phase.SERVING)
             if self.phase_before_migration is Phase.OUT_OF_SERVICE:
                 self.service.take_out_of_service(self.service.out_of_service_since)
 
@@ -260,7 +260,7 @@
             return
         if message.descriptor == NO_DESCRIPTOR:
             return
-        is_stopping = self.parts.lifecycle.phase in (Phase.STOPPING, Phase.STOPPED)
+        is_stopping = self.components.lifecycle.phase in (Phase.STOPPING, Phase.STOPPED)
         if isinstance(message, MigratedConnection) and not is_stopping:
             self.handle_message(message)
         else:
--- a/weldquay/net/service_control.py
+++ b/weldquay/net/service_control.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from weldquay.net.dispatcher_parts import DispatcherParts
+from weldquay.net.dispatcher_components import DispatcherComponents
 from weldquay.net.hot_restart_messages import BanChange, HotRestartMessage
 from weldquay.net.lifecycle import Phase
 from weldquay.net.persistence import BanList
@@ -21,17 +21,24 @@
 class ServiceControl:
     """The actions of operators on one process; implements `operators.OperatorActions`."""
 
-    def __init__(self, parts: DispatcherParts, send_to_peer: Callable[[HotRestartMessage], None]) -> None:
-        """Control these parts; send_to_peer sends a message to the other process of a hot restart, if any."""
-        self.parts = parts
+    def __init__(
+        self, components: DispatcherComponents, send_to_peer: Callable[[HotRestartMessage], None]
+    ) -> None:
+        """Control a process with these components.
+
+        Args:
+            components: the components of the process.
+            send_to_peer: sends a message to the other process of a hot restart, if there is one.
+        """
+        self.components = components
         self.send_to_peer = send_to_peer
-        self.saved_bans = BanList(parts.config.name)
-        self.out_of_service_since = parts.lifecycle.started_at  # seconds, monotonic clock
+        self.saved_bans = BanList(components.config.name)
+        self.out_of_service_since = components.lifecycle.started_at  # seconds, monotonic clock
         self.draining_task: asyncio.Task[None] | None = None
 
     def is_ready(self) -> bool:
         """Return whether requests can be served."""
-        return self.parts.readiness.is_ready()
+        return self.components.readiness.is_ready()
 
     def take_out_of_service(self, since: float | None = None) -> bool:
         """Drain the dispatcher.  Return False if the phase does not allow it.
@@ -39,25 +46,25 @@
         Args:
             since: when an older process started the drain, in seconds of the monotonic clock; None: now.
         """
-        lifecycle = self.parts.lifecycle
+        lifecycle = self.components.lifecycle
         if lifecycle.phase is Phase.SERVING:
             self.out_of_service_since = time.monotonic() if since is None else since
             lifecycle.enter(Phase.OUT_OF_SERVICE)
-            self.draining_task = self.parts.tasks.start(self._drain(), "drain for operators")
+            self.draining_task = self.components.tasks.start(self._drain(), "drain for operators")
         return lifecycle.phase is Phase.OUT_OF_SERVICE
 
     def return_to_service(self) -> bool:
         """End the drain and accept clients again.  Return False if the phase does not allow it."""
-        lifecycle = self.parts.lifecycle
+        lifecycle = self.components.lifecycle
         if lifecycle.phase is Phase.OUT_OF_SERVICE:
             self.stop_draining()
-            self.parts.server.reopen()
+            self.components.server.reopen()
             lifecycle.enter(Phase.SERVING)
         return lifecycle.phase is Phase.SERVING
 
     async def _drain(self) -> None:
         """Close idle connections and, after their responses, the others; later reject job requests."""
-        server = self.parts.server
+        server = self.components.server
         await asyncio.sleep(self.out_of_service_since + CLOSE_AFTER_S - time.monotonic())
         server.begin_closing()
         await asyncio.sleep(self.out_of_service_since + REJECT_AFTER_S - time.monotonic())
@@ -71,7 +78,7 @@
 
     def set_worker_ban(self, worker_id: str, is_banned: bool) -> bool:
         """Ban a worker or lift its ban.  Return False if the id is neither listed nor banned."""
-        coordinator = self.parts.coordinator
+        coordinator = self.components.coordinator
         if not coordinator.is_known_worker(worker_id):
             return False
         coordinator.set_worker_ban(worker_id, is_banned)
@@ -82,4 +89,4 @@
     def restore_bans(self) -> None:
         """Restore the bans that the previous process persisted."""
         for worker_id in self.saved_bans.read():
-            self.parts.coordinator.set_worker_ban(worker_id, True)
+            self.components.coordinator.set_worker_ban(worker_id, True)
