--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -19,8 +19,10 @@
     {"name": name, "aim_ns": 300_000_000, "give_up_ns": 600_000_000, "effect": effect}
     for name, effect in (("lookup", "retryable"), ("import", "fragile"))
 ]
-SIGKILL_AFTER_S = 0.6 + dispatcher_process.KILL_DELAY_S  # after SIGTERM, with these client timeouts
-FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]  # of the time from SIGTERM until the final responses
+# Time from SIGTERM to SIGKILL with these client timeouts.
+SIGKILL_AFTER_S = 0.6 + dispatcher_process.KILL_DELAY_S
+# When a request is sent, as a fraction of the time from SIGTERM until the final responses.
+FRACTIONS = [0.0, 0.2, 0.5, 0.7, 0.9, 0.97, 1.0]
 
 
 @pytest.mark.parametrize("worker_hangs", [False, True])
@@ -40,7 +42,7 @@
             existing = await asyncio.open_connection("127.0.0.1", port)
             started_at = time.monotonic()
             shutdown = asyncio.create_task(test_site.program.shut_down())
-            remaining_s = 0.6 + dispatcher_process.KILL_DELAY_S - dispatcher_process.FINAL_ANSWERS_S
+            remaining_s = 0.6 + dispatcher_process.KILL_DELAY_S - dispatcher_process.FINAL_RESPONSES_S
             await asyncio.sleep(fraction * remaining_s)
             clients = [existing]
             try:
@@ -110,7 +112,7 @@
             existing = socket.create_connection(("127.0.0.1", test_site.program.server.port))
             started_at = time.monotonic()
             test_site.program.request_shutdown()
-            await asyncio.sleep(1.0)  # the rest of the startup
+            await asyncio.sleep(1.0)  # stands for the rest of the startup
             await test_site.program.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
             existing.close()
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -45,7 +45,7 @@
 OPTIONAL_KEYS = {"room", "origin"}  # keys of the file that a reload may add, remove or change freely
 
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
-DEFAULT_MAX_OPEN = 10_000  # requests
+DEFAULT_MAX_OPEN = 10_000  # open requests
 DEFAULT_SOCKETS = 1024  # file descriptors
 DEFAULT_MEMORY_MB = 192
 
@@ -101,11 +101,11 @@
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # for operators' requests
+    mgmt: Address | None  # address of the listener for operators; None: there is none
     seed: int
     settings: api.Settings
-    class_names: tuple[str, ...]  # by class number
-    offered: frozenset[str]  # classes that requests may use; without those that a reload has removed
+    class_names: tuple[str, ...]  # the index of a name is the number of the class
+    offered: frozenset[str]  # names of the classes that requests may use; a reload can remove some
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     report_fields: dict[str, str]  # the meaning of each field of a load report
@@ -277,11 +277,11 @@
         raise ValueError("access is not enforced by this version: remove it")
     mgmt = environ.get("GW_MGMT") or document.get("mgmt")
     return Config(
-        name=_text("GW_NAME", environ.get("GW_NAME") or document.get("name")),
+        name=_required_text("GW_NAME", environ.get("GW_NAME") or document.get("name")),
         listen=parse_address("GW_LISTEN", environ.get("GW_LISTEN") or document.get("listen")),
         discovery=parse_address("GW_DISCOVERY", environ.get("GW_DISCOVERY") or document.get("discovery")),
         mgmt=parse_address("GW_MGMT", mgmt) if mgmt else None,
-        seed=_seed(document.get("seed", "0")),
+        seed=_parse_seed(document.get("seed", "0")),
         settings=_settings_for_http_discovery(settings, document),
         class_names=class_names,
         offered=frozenset(class_names),
@@ -351,13 +351,13 @@
     return value
 
 
-def _text(name: str, value: object) -> str:
+def _required_text(name: str, value: object) -> str:
     if not isinstance(value, str) or not value:
         raise ValueError(f"{name} is not set")
     return value
 
 
-def _seed(value: object) -> int:
+def _parse_seed(value: object) -> int:
     try:
         return int(str(value), 16)
     except ValueError:
@@ -366,7 +366,7 @@
 
 def parse_address(name: str, value: object) -> Address:
     """Parse HOST:PORT; name: the setting's, for errors.  Raises ValueError."""
-    host, colon, port = _text(name, value).rpartition(":")
+    host, colon, port = _required_text(name, value).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(f"{name} is not of the form HOST:PORT: {value!r}")
     return Address(host.strip("[]"), int(port))
--- a/weldquay/net/counters.py
+++ b/weldquay/net/counters.py
@@ -18,7 +18,7 @@
         """Increment a counter."""
         self.counts[name] += 1
 
-    def peak(self, name: str, value: float) -> None:
+    def record_peak(self, name: str, value: float) -> None:
         """Record a value of a quantity; only the largest is kept."""
         if value > self.peaks.get(name, 0.0):
             self.peaks[name] = value
--- a/weldquay/net/discovery_client.py
+++ b/weldquay/net/discovery_client.py
@@ -35,13 +35,13 @@
 
 READ_SIZE = 64 * 1024  # bytes
 HEARTBEAT_S = 2.0  # maximum interval between two lines of a watch
-HEARTBEAT_GRACE_S = 0.6  # for a late line; changes are deemed known 6 s after the last line
+HEARTBEAT_GRACE_S = 0.6  # tolerated delay of a line; a missed change is deemed known 6 s after the last line
 CONNECT_TIMEOUT_S = 1.6  # allows for one SYN retransmission, which is sent after 1 s
 RESPONSE_TIMEOUT_S = 2.4  # discovery queues a request for up to 2 s; two such waits fit into 6 s
 QUEUE_FAILURE_S = 0.5  # a request that fails later than this has waited in discovery's queue
 LOCAL_AGENT_TIMEOUT_S = 0.2
-MIN_READ_S = 0.05  # bytes that have arrived are read even if this process has stalled past the timeout
-VALUE_TIMEOUT_S = 3.0  # a value that is never complete would hide later changes
+MIN_READ_S = 0.05  # shortest wait for bytes, so that those that arrived while this process stalled are read
+VALUE_TIMEOUT_S = 3.0  # limit for each value; one that is never complete would hide later changes
 # After these failures discovery may be unreachable, which connection attempts show.  After the others it has
 # accepted a connection, so that another one would show nothing new.
 SAMPLED_FAILURES = (
@@ -96,7 +96,8 @@
         self._tasks = Tasks()
         self._sampler = ReachabilitySampler(self._tasks, self._counters, self._endpoint_list.on_observation)
         self._watch_task: asyncio.Task[None] | None = None
-        self._consecutive_failures: Counter[str] = Counter()  # since the last value, by kind
+        # The number of failed polls since the last value, by the kind of failure.
+        self._consecutive_failures: Counter[str] = Counter()
         # The state of the current poll; times are seconds of the monotonic clock.
         self._polled_at = 0.0
         self._is_connected = False
@@ -288,7 +289,9 @@
             )
             self._consecutive_failures.clear()
         if not self._has_value:
-            self._counters.peak("longest_discovery_response_ms", (time.monotonic() - self._polled_at) * 1000)
+            self._counters.record_peak(
+                "longest_discovery_response_ms", (time.monotonic() - self._polled_at) * 1000
+            )
             self._has_value = True
             self._sampler.reset()
         if not value:
--- a/weldquay/net/dispatcher_process.py
+++ b/weldquay/net/dispatcher_process.py
@@ -27,13 +27,14 @@
 # may be unavailable at the same moment, so clients whose connections close at once may find no dispatcher.
 # Connections that stay open longer deliver requests that this process cannot complete.
 DRAIN_KEEP_CONNECTIONS_S = 2.0
-DRAIN_KEEP_CONNECTIONS_FRACTION = 0.58  # upper bound, as a fraction of the time until the final answers
+# Upper bound of that time, as a fraction of the time that is left until the final responses.
+DRAIN_KEEP_CONNECTIONS_FRACTION = 0.58
 # SIGKILL follows SIGTERM after the longest client timeout (at most MAX_CLIENT_TIMEOUT_S) and KILL_DELAY_S.
 MAX_CLIENT_TIMEOUT_S = 3.0
 KILL_DELAY_S = 0.7
-FINAL_ANSWERS_S = 0.35  # reserved before SIGKILL for the last answers, cancellation of attempts, and exit
-CANCELLATION_S = 0.12  # part of FINAL_ANSWERS_S: for the cancellation of attempts
-EXIT_S = 0.15  # part of FINAL_ANSWERS_S: from the close of all connections to the process exit
+FINAL_RESPONSES_S = 0.35  # reserved before SIGKILL for final responses, cancellation of attempts, and exit
+CANCELLATION_S = 0.12  # part of FINAL_RESPONSES_S: for the cancellation of attempts
+EXIT_S = 0.15  # part of FINAL_RESPONSES_S: from the close of all connections to the process exit
 POLL_INTERVAL_S = 0.05
 
 
@@ -144,8 +145,8 @@
         """
         loop = asyncio.get_running_loop()
         requested_at = self.lifecycle.shutdown_requested_at or loop.time()
-        final_answers_at = requested_at + self._time_until_final_answers_s()
-        remaining_s = max(0.0, final_answers_at - loop.time())
+        final_responses_at = requested_at + self._time_until_final_responses_s()
+        remaining_s = max(0.0, final_responses_at - loop.time())
         self.service.stop_draining()
         is_migrating = self.phase is Phase.MIGRATING
         self.lifecycle.enter(Phase.DRAINING)
@@ -155,20 +156,20 @@
             self.lifecycle.enter(Phase.CLOSING)
             self.server.begin_closing()
         with suppress(TimeoutError):
-            async with asyncio.timeout_at(final_answers_at + CANCELLATION_S):
+            async with asyncio.timeout_at(final_responses_at + CANCELLATION_S):
                 await self._wait_for_pending_work()
                 if is_migrating:
                     await self._wait_for_migration()
         # In the same iteration of the loop in which nothing is pending: a later request would be lost.
         self.server.reject_requests()
         self.lifecycle.enter(Phase.STOPPING)
-        await self._stop_components(final_answers_at + FINAL_ANSWERS_S - EXIT_S)
+        await self._stop_components(final_responses_at + FINAL_RESPONSES_S - EXIT_S)
         self.lifecycle.enter(Phase.STOPPED)
 
-    def _time_until_final_answers_s(self) -> float:
+    def _time_until_final_responses_s(self) -> float:
         """Return the time (s) from SIGTERM until open requests must be answered, before SIGKILL follows."""
         longest_ns = max(job_class.client_timeout_ns for job_class in self.config.settings.classes)
-        return min(longest_ns / 1e9, MAX_CLIENT_TIMEOUT_S) + KILL_DELAY_S - FINAL_ANSWERS_S
+        return min(longest_ns / 1e9, MAX_CLIENT_TIMEOUT_S) + KILL_DELAY_S - FINAL_RESPONSES_S
 
     async def _wait_for_pending_work(self) -> None:
         """Wait until no request is open and no attempt or cancellation is pending."""
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -41,7 +41,7 @@
         self._zone_numbers = assign_numbers(config.zones)
         self._kind_numbers = assign_numbers(config.kinds)
         self._last_number = 0
-        self._has_lease_expired = False  # and requests are held
+        self._has_logged_expiry = False
         self.worker_numbers: dict[str, int] = {}
         self.worker_ids: dict[int, str] = {}
         self.banned_worker_ids: set[str] = set()  # ids of workers that operators have banned
@@ -92,9 +92,9 @@
 
     @property
     def send_deadline_ns(self) -> int:
-        """The time on the monotonic clock from which on no attempt may be sent by the list.
+        """The time on the monotonic clock from which on no attempt may be sent, since the list may be stale.
 
-        0: none may be sent at all, since the list has no lease.
+        0: the list has no lease, so no attempt may be sent.
         """
         return self._dispatcher.lease.send_deadline_ns
 
@@ -126,12 +126,12 @@
     def log_lease_changes(self, now_ns: int, has_requests: bool) -> None:
         """Log when requests are first held because there is no valid lease, and when there is one again."""
         has_expired = now_ns >= self._dispatcher.lease.send_deadline_ns
-        if has_expired and has_requests and not self._has_lease_expired:
-            self._has_lease_expired = True
+        if has_expired and has_requests and not self._has_logged_expiry:
+            self._has_logged_expiry = True
             self._counters.add("endpoint_list_leases_expired")
             log.warning("no valid lease on the endpoint list: requests are held until discovery responds")
-        elif self._has_lease_expired and not has_expired:
-            self._has_lease_expired = False
+        elif self._has_logged_expiry and not has_expired:
+            self._has_logged_expiry = False
             log.info("the lease on the endpoint list is valid again: requests are no longer held")
 
     def _discard_departed(self) -> None:
--- a/weldquay/net/loop_monitor.py
+++ b/weldquay/net/loop_monitor.py
@@ -30,7 +30,7 @@
         if phase == "start":
             self.collection_started_at = time.monotonic()
         else:
-            self.counters.peak(
+            self.counters.record_peak(
                 "longest_collection_ms", (time.monotonic() - self.collection_started_at) * 1000
             )
 
@@ -39,4 +39,4 @@
         while True:
             due_at = time.monotonic() + MEASUREMENT_INTERVAL_S
             await asyncio.sleep(MEASUREMENT_INTERVAL_S)
-            self.counters.peak("longest_loop_delay_ms", (time.monotonic() - due_at) * 1000)
+            self.counters.record_peak("longest_loop_delay_ms", (time.monotonic() - due_at) * 1000)
--- a/weldquay/net/request_coordinator.py
+++ b/weldquay/net/request_coordinator.py
@@ -230,4 +230,4 @@
             handlers[type(action)](action)
         self.endpoint_list.log_lease_changes(started_ns, has_requests=bool(self.requests.by_number))
         self.counters.add("steps")
-        self.counters.peak("longest_step_ms", (time.monotonic_ns() - started_ns) / 1e6)
+        self.counters.record_peak("longest_step_ms", (time.monotonic_ns() - started_ns) / 1e6)
