--- a/weldquay/net/connection_pool.py
+++ b/weldquay/net/connection_pool.py
@@ -23,9 +23,11 @@
 )
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-IDLE_TIMEOUT_FRACTION = 0.8  # of the workers' idle timeout; connections idle for longer are not reused
+# A connection that was idle for longer than this fraction of the workers' idle timeout is not reused.
+IDLE_TIMEOUT_FRACTION = 0.8
 MAX_IDLE_PER_WORKER = 2
-CONNECTION_WAIT_S = 0.2  # wait for the limit; together with connecting it fits into the accept timeout
+# How long a request waits for a free connection.  With the time for connecting it fits into ACCEPT_TIMEOUT_S.
+CONNECTION_WAIT_S = 0.2
 IDLE_CHECK_INTERVAL_S = 1.0
 
 
@@ -36,8 +38,8 @@
         self._counters = counters
         self._tasks = Tasks()
         self.reconfigure(config)
-        self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # of all workers, longest idle first
-        self.waiters: deque[asyncio.Future[None]] = deque()  # requests waiting for the limit
+        self.idle: dict[WorkerConnection, WorkerEndpoint] = {}  # all idle connections, longest idle first
+        self.waiters: deque[asyncio.Future[None]] = deque()  # requests that wait for a free connection
         self.open_connections = 0
         self.connection_limit = config.sockets * 3 // 10  # the other sockets are for client connections
         self.max_connections = self.connection_limit
@@ -119,7 +121,7 @@
         except OSError as error:  # TimeoutError is a subclass
             self._on_closed()
             if isinstance(error, TimeoutError) and self.has_stalled(timeout):
-                raise AttemptAborted("this process stalled while it connected") from error
+                raise AttemptAborted("this process stalled while connecting") from error
             self._counters.add("worker_connections_failed")
             raise RequestNotSent(f"connecting failed: {error}") from error
         except BaseException:
--- a/weldquay/net/hot_restart_codec.py
+++ b/weldquay/net/hot_restart_codec.py
@@ -104,7 +104,7 @@
         ValueError: a list has the wrong length.
     """
     if (decoder := _DECODERS.get(packet.kind)) is None:
-        raise UnknownMessageKind(packet.kind)
+        raise UnknownMessageKind(f"unknown message kind: {packet.kind}")
     return decoder(packet)
 
 
