--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -29,7 +29,8 @@
 )
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-ACCEPT_TIMEOUT_S = 0.6  # includes connecting; workers accept or reject within 50 ms, or 250 ms if they pause
+# Limit from connecting to the response.  Workers accept or reject within 50 ms, or 250 ms if they pause.
+ACCEPT_TIMEOUT_S = 0.6
 LATE_RESPONSE_S = 2.0  # how long the 202 may arrive after the callback that ended the attempt
 
 ACCEPTED = 202
--- a/weldquay/net/cancellation.py
+++ b/weldquay/net/cancellation.py
@@ -12,8 +12,8 @@
 from weldquay.net.worker_connection import WorkerRequestError
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-CANCEL_TIMEOUT_S = 2.0  # for one DELETE, including connecting
-CANCEL_RETRY_S = 0.1  # initial backoff after a failed DELETE; doubled after each further failure
+CANCEL_TIMEOUT_S = 2.0  # limit for one DELETE, from connecting to the response
+CANCEL_RETRY_S = 0.1  # delay after the first failed DELETE; each further failure doubles it
 
 
 class JobCancellation:
--- a/weldquay/net/client_connection.py
+++ b/weldquay/net/client_connection.py
@@ -2,10 +2,10 @@
 
 Rules:
 - One request is handled at a time.
-- Reading continues while a request waits for its answer, since only a read detects that the client has
+- Reading continues while a request waits for its response, since only a read detects that the client has
   disconnected.
 - A bad request is answered, then the connection is closed.
-- Every close is a lingering close, so that no reset destroys an answer.  A request that arrives after the
+- Every close is a lingering close, so that no reset discards a response.  A request that arrives after the
   write half has been shut down is not handled.
 - The server owns the connection and may close it at any time.
 
@@ -31,7 +31,9 @@
 from weldquay.net.requests import AcceptedRequest
 from weldquay.net.streams import WRITABLE, CountingReader, has_event, has_unread_bytes
 
-MAX_POSTPONED_TIMEOUTS = 3  # 0.3 s for a client that keeps sending; longer only if the event loop runs late
+# How often the timeout of a state may be postponed.  Timeouts are checked every 0.1 s, so a client that keeps
+# sending gains 0.3 s, and more only if the event loop runs late.
+MAX_POSTPONED_TIMEOUTS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,11 +65,11 @@
             context, self.channel, self, None if adopted is None else adopted.accepted
         )
         self.has_received_data = False
-        self.migration: ConnectionMigration | None = None  # to the newer process
+        self.migration: ConnectionMigration | None = None  # the migration to the newer process, once started
         self.lingering_close: LingeringClose | None = None
         self.state = ConnectionState.READING
-        self.state_entered_at = time.monotonic()  # s
-        self.postponed_timeouts = 0  # in this state, see _is_local_io_pending
+        self.state_entered_at = time.monotonic()  # seconds
+        self.postponed_timeouts = 0  # how often this state's timeout was postponed
         if adopted is not None and adopted.migrated.request is None:
             if adopted.migrated.is_idle:
                 self.state = ConnectionState.IDLE
@@ -78,7 +80,7 @@
 
     @property
     def is_lingering(self) -> bool:
-        """Whether the last answer has been written and the connection is closing."""
+        """Whether the last response has been written and the connection is closing."""
         return self.state is ConnectionState.LINGERING
 
     def enter(self, state: ConnectionState) -> None:
@@ -154,11 +156,11 @@
         return has_unread_bytes(self.reader, self.writer)
 
     def has_unsent_data(self) -> bool:
-        """Return whether part of an answer is not yet in the system's send buffer."""
+        """Return whether part of a response is not yet in the system's send buffer."""
         return self.writer.transport.get_write_buffer_size() > 0
 
     def write(self, data: bytes) -> None:
-        """Queue bytes of an answer for sending."""
+        """Queue bytes of a response for sending."""
         self.writer.write(data)
 
     async def run(self) -> None:
@@ -169,7 +171,7 @@
         """
         while not self.is_lingering:
             if self.requests.open_request is None:
-                # Not while a request is open: a client that does not read answers must not stop the reads.
+                # Not while a request is open: a client that does not read responses must not stop the reads.
                 await self.writer.drain()
             data = await self.reader.read(READ_SIZE)
             if self.migration is not None:
@@ -193,7 +195,7 @@
             self.channel.feed_data(data)
 
     def _advance(self) -> None:
-        """Parse and handle buffered requests until one waits for its answer."""
+        """Parse and handle buffered requests until one waits for its response."""
         requests = self.requests
         while requests.open_request is None and not self.is_lingering and self.migration is None:
             progress = self.channel.advance()
@@ -213,9 +215,9 @@
                 return
 
     async def resume(self) -> None:
-        """Handle the requests already in the buffer, once the client has read its earlier answers.
+        """Handle the requests already in the buffer, once the client has read its earlier responses.
 
-        Otherwise a client that sends requests without reading would fill the memory with answers.
+        Otherwise a client that sends requests without reading would fill the memory with responses.
         """
         with suppress(OSError):
             await self.writer.drain()
--- a/weldquay/net/client_context.py
+++ b/weldquay/net/client_context.py
@@ -16,7 +16,7 @@
 
 
 def _drop_callback(_body: bytes) -> None:
-    """Drop a callback that matches no attempt, since there is no older process to forward it to."""
+    """Drop a callback that matches no attempt, since there is no other process to forward it to."""
 
 
 class ClientContext:
@@ -36,14 +36,14 @@
         self.is_serving = is_serving
         self.read_ahead_budget = read_ahead_budget
         self.tasks = Tasks()
-        self.is_closing = False  # each connection closes after its next answer
+        self.is_closing = False  # each connection closes after its next response
         self.is_rejecting = False  # new job requests are rejected
         self.open_request_ids: set[str] = set()
         # During a hot restart: ids of the requests that are open in the older process.
         self.peer_request_ids: set[str] = set()
         # During a hot restart: sends a connection to the newer process.
         self.migrate_connection: Callable[[MigratedConnection], None] | None = None
-        # Forwards to the older process the body of a callback that matches no attempt here.
+        # During a hot restart: forwards the body of a callback that matches no attempt to the other process.
         self.forward_callback: Callable[[bytes], None] = _drop_callback
         self.reconfigure(config)
 
--- a/weldquay/net/client_server.py
+++ b/weldquay/net/client_server.py
@@ -24,13 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-LISTEN_BACKLOG = 1024  # connections; beyond it the system drops SYNs, which clients repeat after a second
+LISTEN_BACKLOG = 1024  # connections; when the queue is full, clients must retransmit their SYN after 1 s
 # Connections accepted in one iteration of the event loop.  They are counted up to four iterations later;
 # limits.RESERVED_DESCRIPTORS includes descriptors for them.
 MAX_ACCEPTS = 4
 TIMEOUT_CHECK_INTERVAL_S = 0.1
 STOP_POLL_INTERVAL_S = 0.01
-READ_AHEAD_FRACTION = 1 / 8  # of the memory available to clients
+READ_AHEAD_FRACTION = 1 / 8  # limit on read-ahead, as a share of the memory available to clients
 
 
 async def _bind(address: Address) -> socket.socket:
@@ -145,7 +145,7 @@
         try:
             await connection.run()
         except OSError:
-            pass  # the connection is lost, so no answer can be sent
+            pass  # the connection is lost, so no response can be sent
         except Exception:
             log.exception("client connection failed")
             counters.add("client_connections_failed")
@@ -194,13 +194,13 @@
     # --- closing ---
 
     def begin_closing(self) -> None:
-        """Close idle connections now, and the others after their next answer."""
+        """Close idle connections now, and the others after their next response."""
         self.context.is_closing = True
         for connection in list(self.table.by_state[ConnectionState.IDLE]):
             connection.close_gracefully()
 
     def reject_requests(self) -> None:
-        """Reject new job requests, and close each connection after its next answer."""
+        """Reject new job requests, and close each connection after its next response."""
         self.context.is_closing = True
         self.context.is_rejecting = True
 
@@ -210,7 +210,7 @@
         self.context.is_rejecting = False
 
     async def stop(self, linger_s: float = LINGER_TIMEOUT_S) -> None:
-        """Close the listener, and all connections once their answers are written, or after linger_s.
+        """Close the listener, and all connections once their responses are written, or after linger_s.
 
         New job requests are rejected.  The listen queue is emptied first, since closing the listener would
         reset the connections in it.
--- a/weldquay/net/connection_migration.py
+++ b/weldquay/net/connection_migration.py
@@ -46,7 +46,7 @@
     async def run(self, data: bytes) -> None:
         """Migrate the connection with `data` and all other data that has been read.
 
-        Waits until the open request, if any, can migrate or is answered, and until all answers are written.
+        Waits until the open request, if any, can migrate or is answered, and until all responses are written.
 
         Raises:
             OSError: the connection is lost.
--- a/weldquay/net/connection_state.py
+++ b/weldquay/net/connection_state.py
@@ -10,9 +10,9 @@
     """The states of a client connection."""
 
     READING = "reading"  # new, or part of a request has arrived; limited to REQUEST_TIMEOUT_S
-    WAITING = "waiting"  # a request is open and not answered yet
+    WAITING = "waiting"  # a request waits for its response
     IDLE = "idle"  # kept open between two requests
-    LINGERING = "lingering"  # last answer written, received bytes dropped; limited to LINGER_TIMEOUT_S
+    LINGERING = "lingering"  # last response written, received bytes dropped; limited to LINGER_TIMEOUT_S
 
     # Enum.__hash__ is implemented in Python and would run at each table lookup; members compare by identity.
     __hash__ = object.__hash__
--- a/weldquay/net/connection_table.py
+++ b/weldquay/net/connection_table.py
@@ -8,10 +8,10 @@
 from weldquay.net.counters import Counters
 
 MIN_CONNECTIONS = 8  # lower bound of the limit, however many connections the other process has
-# From the start of the connection, or the first byte of a later request, to the last byte of the request.
-# The protocol allows slow clients 3 s.
+# Limit from the start of the connection, or the first byte of a later request, to the last byte of the
+# request.  The protocol allows slow clients 3 s.
 REQUEST_TIMEOUT_S = 2.6
-LINGER_TIMEOUT_S = 1.0  # for a lingering close whose client reads nothing
+LINGER_TIMEOUT_S = 1.0  # limit for a lingering close whose client reads nothing
 EVICTION_COUNTERS: dict[ConnectionState, str] = {
     ConnectionState.READING: "client_connections_evicted_reading",
     ConnectionState.IDLE: "client_connections_evicted_idle",
@@ -24,13 +24,13 @@
     """The part of a client connection that the table needs."""
 
     state: ConnectionState
-    state_entered_at: float  # monotonic clock (s); progress of a lingering close resets it
+    state_entered_at: float  # on the monotonic clock (s); progress of a lingering close resets it
 
     def has_unread_data(self) -> bool:
         """Return whether bytes or the end of the stream have arrived and are unread."""
 
     def has_unsent_data(self) -> bool:
-        """Return whether part of an answer is not yet in the system's send buffer."""
+        """Return whether part of a response is not yet in the system's send buffer."""
 
     def abort(self) -> None:
         """Close at once, discarding unsent data."""
@@ -47,7 +47,7 @@
 
     def __init__(self, counters: Counters, connection_limit: int) -> None:
         self.counters = counters
-        self.connection_limit = connection_limit  # if no other process of this dispatcher is running
+        self.connection_limit = connection_limit  # the limit while no other process of this dispatcher runs
         self.max_connections = connection_limit
         self.connections: dict[ConnectionT, None] = {}
         # The oldest in a state come first; in READING, the one that has received nothing for longest.
--- a/weldquay/net/health_checks.py
+++ b/weldquay/net/health_checks.py
@@ -14,7 +14,7 @@
 from weldquay.net.worker_connection import AttemptAborted, ConnectionLost, RequestNotSent
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-HEALTH_CHECK_TIMEOUT_S = 1.0  # includes connecting
+HEALTH_CHECK_TIMEOUT_S = 1.0  # limit from connecting to the response
 LOAD_REPORT_TARGET = b"/_load"
 PING_TARGET = b"/ping"
 
--- a/weldquay/net/hot_restart_messages.py
+++ b/weldquay/net/hot_restart_messages.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequests:
-    """The ids of requests that are open at the older process; the newer one rejects them in new requests."""
+    """The ids of the older process's open requests; the newer process rejects new requests with these ids."""
 
     request_ids: tuple[str, ...] = ()
 
--- a/weldquay/net/http_channel.py
+++ b/weldquay/net/http_channel.py
@@ -100,7 +100,7 @@
     def body(self) -> Body:
         """The body of the current request; a view of the received bytes if it arrived in one part."""
         if len(self.body_parts) != 1:
-            self.body_parts = [b"".join(self.body_parts)]  # releases the single parts
+            self.body_parts = [b"".join(self.body_parts)]  # frees the separate parts
         return self.body_parts[0]
 
     @property
--- a/weldquay/net/lifecycle.py
+++ b/weldquay/net/lifecycle.py
@@ -31,7 +31,7 @@
         """Start in the phase STARTING; name is the dispatcher's name in log lines."""
         self.name = name
         self.phase = Phase.STARTING
-        self.started_at = time.monotonic()  # seconds
+        self.started_at = time.monotonic()  # seconds, monotonic clock
         self.shutdown_requested = asyncio.Event()
         self.shutdown_requested_at = 0.0  # seconds, monotonic clock; 0: not requested
 
--- a/weldquay/net/lingering_close.py
+++ b/weldquay/net/lingering_close.py
@@ -9,8 +9,8 @@
 import asyncio
 
 READ_SIZE = 16 * 1024  # bytes
-MAX_DISCARDED_BYTES = 1024 * 1024  # for each lingering close
-SLOW_READER_TIMEOUT_S = 10.0  # for a client that reads its last response slowly
+MAX_DISCARDED_BYTES = 1024 * 1024  # limit for each lingering close
+SLOW_READER_TIMEOUT_S = 10.0  # limit for a client that reads its last response slowly
 
 
 class LingeringClose:
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -16,7 +16,7 @@
 CORRELATION_ID = b"x-correlation-id"
 TIME_LEFT = b"x-time-left-ms"
 FACTS = b"x-facts"
-RUNTIME_HINT = b"x-weight-hint"  # microseconds
+RUNTIME_HINT = b"x-weight-hint"  # in microseconds
 COOKIE = b"cookie"
 REPEAT = b"x-repeat"
 
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -23,7 +23,7 @@
 READ_SIZE = 4 * 1024  # bytes
 MAX_HEAD_BYTES = 4 * 1024
 LISTEN_BACKLOG = 64  # when the kernel's queue is full, a client has to retransmit its SYN after one second
-MAX_CONNECTIONS = 8  # another connection closes the oldest one
+MAX_CONNECTIONS = 8  # one more connection evicts the oldest one
 REQUEST_TIMEOUT_S = 2.0  # from accepting the connection to the last byte of the response
 
 
@@ -88,7 +88,7 @@
         """Create the server; `listen` opens its listener, unless address is None."""
         self.address = address
         self.counters = counters
-        self.connections: dict[asyncio.StreamWriter, None] = {}  # in the order of their start
+        self.connections: dict[asyncio.StreamWriter, None] = {}  # the oldest connection comes first
         self.server: asyncio.Server | None = None
         self.handlers: dict[Operation, Callable[[str], bool]] = {
             Operation.READY: lambda _: actions.is_ready(),
--- a/weldquay/net/peer_timeout.py
+++ b/weldquay/net/peer_timeout.py
@@ -11,7 +11,7 @@
 
 MAX_TIMER_LATENESS_S = 0.02  # a timer that runs later than this indicates a stall
 EXTENSION_S = 0.05  # data that has arrived takes a few iterations of the event loop to process
-MAX_EXTENSIONS = 5  # for consecutive stalls
+MAX_EXTENSIONS = 5  # limit for consecutive stalls, so that a process that always runs late stops waiting
 STALL_THRESHOLD_S = 0.1  # if a timer ran later than this, the timeout shows nothing about the peer
 CHECK_LEAD_S = 0.001  # the check must run before the timeout if both are due in one loop iteration
 
--- a/weldquay/net/process_migration.py
+++ b/weldquay/net/process_migration.py
@@ -36,9 +36,9 @@
 from weldquay.net.service_control import ServiceControl
 
 NEWER_PROCESS_DESCRIPTORS = 24  # descriptors that a newer process needs before it has clients
-NEWER_PROCESS_WORKER_FRACTION = 1 / 3  # share of the connections to workers while both processes run
+NEWER_PROCESS_WORKER_FRACTION = 1 / 3  # its share of the connections to workers while both processes run
 CONNECTION_COUNT_INTERVAL_S = 0.2
-ANY_PORT = 0  # in a configuration: the system chooses the port
+ANY_PORT = 0  # configured port for which the system chooses a free one
 
 
 class AddressConflict(OperatorError):
@@ -65,7 +65,7 @@
         self.components = components
         self.service = service
         self.hot_restart = HotRestart(components.config.name, components.counters, self)
-        self.endpoint_list_chunks: list[EndpointListChunk] = []  # of the older process
+        self.endpoint_list_chunks: list[EndpointListChunk] = []  # received from the older process
         self.peer_connections = 0  # number of client connections of the older process
         self.phase_before_migration = Phase.STARTING
 
--- a/weldquay/net/reachability_sampler.py
+++ b/weldquay/net/reachability_sampler.py
@@ -26,7 +26,7 @@
 from weldquay.net.peer_timeout import PeerTimeout
 from weldquay.net.tasks import Tasks
 
-SAMPLE_INTERVAL_S = 0.075  # 1.3 KB/s, at 100 bytes per attempt
+SAMPLE_INTERVAL_S = 0.075  # causes traffic of 1.3 KB/s, at 100 bytes per attempt
 SAMPLE_TIMEOUT_S = 0.4
 # Errors of this host, which show nothing about discovery.
 LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
@@ -59,8 +59,8 @@
         self._counters = counters
         self._on_observation = on_observation
         self._active_tasks: set[asyncio.Task[None]] = set()
-        self._samples: deque[Sample] = deque()  # by start, from the first pending one
-        self._was_reachable = False  # since the last update
+        self._samples: deque[Sample] = deque()  # in the order of their start; the first one is pending
+        self._was_reachable = False  # whether discovery was reachable since its last update
         # Since the last report discovery was unreachable throughout this interval (ns); 0: no interval.
         self._outage_from_ns = 0
         self._outage_until_ns = 0
--- a/weldquay/net/service_control.py
+++ b/weldquay/net/service_control.py
@@ -14,7 +14,8 @@
 # Both delays are counted from the time when the process was taken out of service.  The load balancer in front
 # of the dispatchers requests /_health ten times a second, and sends no new clients from 0.2 s after a 503.
 CLOSE_AFTER_S = 0.5  # then connections close after their responses
-# Then job requests are rejected: 4 s after the 503 no accepted request may be less than 2 s old.
+# Then job requests are rejected.  4 s after /_health returned 503, no accepted request may be less than
+# 2 s old.
 REJECT_AFTER_S = 1.5
 
 
--- a/weldquay/net/worker_connection.py
+++ b/weldquay/net/worker_connection.py
@@ -13,7 +13,7 @@
 from weldquay.net.streams import CountingReader, has_unread_bytes
 
 READ_SIZE = 64 * 1024  # bytes
-MAX_HEAD_BYTES = 16 * 1024  # of a response
+MAX_HEAD_BYTES = 16 * 1024  # limit for the head of a response
 
 
 class WorkerRequestError(Exception):
@@ -49,7 +49,7 @@
         self.writer = writer
         writer.transport.set_write_buffer_limits(high=0)  # makes drain wait until all bytes are written
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.idle_since = 0.0  # s, monotonic clock
+        self.idle_since = 0.0  # seconds, monotonic clock
 
     async def send_request(self, request: h11.Request, body: Body = b"") -> WorkerResponse:
         """Send a request and read its response.
