--- a/tests/test_client_disconnections.py
+++ b/tests/test_client_disconnections.py
@@ -15,7 +15,8 @@
 from weldquay.net.worker_connection import WorkerConnection
 from weldquay.net.worker_endpoint import WorkerEndpoint
 
-EXTRA_BYTES = [0, 3_000, 20_000, 100_000, 400_000]  # sent after the request; within and above each limit
+# Numbers of bytes that a client sends after its request; within and above each limit on read-ahead.
+EXTRA_BYTES = [0, 3_000, 20_000, 100_000, 400_000]
 
 
 def connect_client(test_site: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
@@ -71,7 +72,7 @@
             await drain_worker(test_site)
             sock = connect_client(test_site, "c1", extra_bytes)
             await wait_for_open_requests(test_site, 1)
-            await asyncio.sleep(0.05)  # the extra bytes are read, up to the limit
+            await asyncio.sleep(0.05)  # until the extra bytes are read, up to the limit
             disconnect(sock, how)
             assert await wait_for_disconnections(test_site) < 1  # takes 0.1 s unless this machine stalls
             assert test_site.program.server.context.read_ahead_budget.used_bytes == 0
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -191,7 +191,7 @@
             test_site.program.discovery.watch()
             await until(lambda: test_site.program.discovery.revision == 8)
             (first_target, first_s), (second_target, second_s) = discovery.polls[-2:]
-            # The second poll follows after 0.5 s unless the machine stalls.
+            # The second poll follows after 0.5 s unless this machine stalls.
             assert (first_target[-1], second_target[-1]) == ("1", "7") and second_s - first_s < 2
             assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 1
             assert (await test_site.post(left_ms=300)).status == 503
@@ -217,7 +217,8 @@
             test_site.program.discovery.watch()
             await until(lambda: test_site.program.discovery.revision == 8)
             times = [at_s for _, at_s in discovery.polls[-5:]]
-            assert max(after - before for before, after in pairwise(times)) < 2  # 0.5 s unless it stalls
+            # Each poll follows after 0.5 s unless this machine stalls.
+            assert max(after - before for before, after in pairwise(times)) < 2
             assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 4
 
     asyncio.run(scenario())
@@ -244,13 +245,14 @@
     async def scenario() -> None:
         discovery = SilentDiscovery()
         async with site(discovery=discovery, discovery_mode="push", group_size=DISPATCHER_COUNT) as test_site:
-            # The list in its configuration may be of any age, so no attempt is sent by it.
+            # The configured list may be of any age, so no attempt is sent to its worker.
             assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
             polls_before = len(discovery.polls)
             discovery.lists.append(list_of_one_worker(9, "DRAINING", test_site.workers[0].address))
             await until(lambda: test_site.program.discovery.revision == 9)
             assert len(discovery.polls) - polls_before <= 2
             times = [at_s for _, at_s in discovery.polls]
-            assert max(after - before for before, after in pairwise(times)) < 2  # 0.3 s, unless this stalls
+            # Each poll follows after 0.3 s unless this machine stalls.
+            assert max(after - before for before, after in pairwise(times)) < 2
 
     asyncio.run(scenario())
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Interrupted outages of discovery: no attempt is sent by a list that may have missed a change."""
+"""Interrupted outages of discovery: no attempt is sent while the list may lack a change."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     """The simulation of `test_list_lease`, with connection attempts between the polls."""
 
     sample_interval_ns: int = int(SAMPLE_INTERVAL_S * SECOND)
-    was_reachable: bool = False  # since the last update
+    was_reachable: bool = False  # whether discovery was reachable since its last update
     is_sampling: bool = False
     observed_from_ns: int = 0  # end of the last reported interval; 0: no report since the last update
     without_lease_ns: int = 0  # total time in which no attempt could be sent
@@ -126,7 +126,7 @@
 
 
 def max_lateness_ns(faults: list[tuple[str, int, int]], dispatcher_count: int, seed: int) -> int:
-    """Return the maximum lateness of an attempt by a stale list; negative: no attempt is late."""
+    """Return the maximum lateness of an attempt based on a stale list; negative: no attempt is late."""
     return SampledSimulation(faults).simulate(dispatcher_count, seed, faults[-1][2] + 10 * SECOND)
 
 
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -146,7 +146,7 @@
             sock, _ = await idle_client(test_site)
             test_site.program.server.begin_closing()
             sock.send(job("c2"))
-            sock.send(job("c3"))  # would fail on a reset connection
+            sock.send(job("c3"))  # a reset connection would raise an error
             assert await read_to_end(sock) == b""
             assert not test_site.program.coordinator.requests and test_site.workers[0].methods() == ["POST"]
             sock.close()
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -165,7 +165,7 @@
         ending = asyncio.create_task(second.end_migration())
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not ending.done()  # the third process has not confirmed
+        assert not ending.done()  # the third process has not sent its confirmation
         packet = await asyncio.to_thread(third.recv, MAX_PACKET_BYTES)
         assert Packet.decode(packet).kind == "end"
         third.send(Packet("ended", {}).encode())
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -15,7 +15,7 @@
 from weldquay.discovery.backoff import Backoff
 from weldquay.net import readiness
 
-MAX_READY_S = 10.0  # limit for nine in ten restarted processes
+MAX_READY_S = 10.0  # nine in ten restarted processes must be ready within this time
 
 
 class SlowDiscovery(Server):
