--- a/weldquay/net/attempt_runner.py
+++ b/weldquay/net/attempt_runner.py
@@ -31,7 +31,7 @@
 
 # Limit from connecting to the response.  Workers accept or reject within 50 ms, or 250 ms if they pause.
 ACCEPT_TIMEOUT_S = 0.6
-LATE_RESPONSE_S = 2.0  # how long the 202 may arrive after the callback that ended the attempt
+LATE_RESPONSE_S = 2.0  # how long after the callback that ended the attempt its 202 may arrive
 
 ACCEPTED = 202
 
--- a/weldquay/net/config.py
+++ b/weldquay/net/config.py
@@ -365,7 +365,7 @@
 
 
 def parse_address(name: str, value: object) -> Address:
-    """Parse HOST:PORT; name: the setting's, for errors.  Raises ValueError."""
+    """Parse HOST:PORT.  Raises ValueError with the name of the setting."""
     host, colon, port = _required_text(name, value).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(f"{name} is not of the form HOST:PORT: {value!r}")
--- a/weldquay/net/connection_migration.py
+++ b/weldquay/net/connection_migration.py
@@ -17,7 +17,7 @@
 from weldquay.net.requests import ClientRequest
 from weldquay.net.streams import HUNG_UP, CountingReader, has_event
 
-MIGRATION_POLL_INTERVAL_S = 0.02  # between checks whether the open request can migrate
+MIGRATION_POLL_INTERVAL_S = 0.02  # time between two checks whether the open request can migrate
 
 
 class MigratableConnection(Protocol):
--- a/weldquay/net/endpoint_list_adapter.py
+++ b/weldquay/net/endpoint_list_adapter.py
@@ -139,7 +139,7 @@
 
         Pending events may still refer to a number, so nothing is discarded while there are any.
         """
-        # A hot restart may add departed workers.
+        # A hot restart may also add numbers of departed workers, which the decision module does not have.
         max_numbers = len(self._dispatcher.workers) + MAX_REMOVED_WORKERS
         if len(self.worker_numbers) <= max_numbers or self._events.pending:
             return
--- a/weldquay/net/operators.py
+++ b/weldquay/net/operators.py
@@ -24,7 +24,7 @@
 MAX_HEAD_BYTES = 4 * 1024
 LISTEN_BACKLOG = 64  # when the kernel's queue is full, a client has to retransmit its SYN after one second
 MAX_CONNECTIONS = 8  # one more connection evicts the oldest one
-REQUEST_TIMEOUT_S = 2.0  # from accepting the connection to the last byte of the response
+REQUEST_TIMEOUT_S = 2.0  # limit from accepting the connection to the last byte of the response
 
 
 class Operation(Enum):
