--- a/tests/newer_process.py
+++ b/tests/newer_process.py
@@ -16,8 +16,8 @@
 @asynccontextmanager
 async def newer_process(test_site: Site) -> AsyncIterator[DispatcherProcess]:
     """Start a newer process by a hot restart, with the older one's client address; stop it at the end."""
-    listen = Address("127.0.0.1", test_site.program.server.port)
-    newer = DispatcherProcess(replace(test_site.program.config, listen=listen))
+    listen = Address("127.0.0.1", test_site.process.server.port)
+    newer = DispatcherProcess(replace(test_site.process.config, listen=listen))
     await newer.start()
     try:
         yield newer
--- a/tests/site.py
+++ b/tests/site.py
@@ -106,10 +106,10 @@
     """A dispatcher with the configuration of the example, its workers and discovery."""
 
     def __init__(
-        self, program: DispatcherProcess, discovery: Discovery, workers: list[ScriptedWorker]
+        self, process: DispatcherProcess, discovery: Discovery, workers: list[ScriptedWorker]
     ) -> None:
-        self.program, self.discovery, self.workers = program, discovery, workers
-        self.address = f"127.0.0.1:{program.server.port}"
+        self.process, self.discovery, self.workers = process, discovery, workers
+        self.address = f"127.0.0.1:{process.server.port}"
 
     async def post(self, request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> Message:
         """Send one request and return its response."""
@@ -117,7 +117,7 @@
 
     async def operate(self, operation: str, method: str = "POST") -> int:
         """Send an operator request and return the status of its response."""
-        address = f"127.0.0.1:{self.program.operators.port}"
+        address = f"127.0.0.1:{self.process.operators.port}"
         response = await request(address, encode_message(f"{method} /control/{operation} HTTP/1.1"))
         return int(response.start_line.split()[1])
 
@@ -168,31 +168,31 @@
         await worker.start()
         toy_discovery.add(worker)
     config_document["known"] = toy_discovery.list_document()
-    program = DispatcherProcess(config_from_document({}, config_document))
+    process = DispatcherProcess(config_from_document({}, config_document))
     failures: list[Any] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
-    await program.start()
-    test_site = Site(program, toy_discovery, fleet)
+    await process.start()
+    test_site = Site(process, toy_discovery, fleet)
     for worker in fleet:
         worker.dispatcher = test_site.address
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             yield test_site
     finally:
-        program.hot_restart.stop()
+        process.hot_restart.stop()
         for component in (
-            program.tasks,
-            program.operators,
-            program.discovery,
-            program.server,
-            program.workers,
+            process.tasks,
+            process.operators,
+            process.discovery,
+            process.server,
+            process.workers,
         ):
             await component.stop()
         for server in (toy_discovery, *fleet, *([discovery] if discovery else [])):
             server.stop()
-    assert not failures and not program.counters.counts["client_connections_failed"]
+    assert not failures and not process.counters.counts["client_connections_failed"]
     assert (
-        not program.counters.counts["steps_failed"] and not program.counters.counts["requests_past_deadline"]
+        not process.counters.counts["steps_failed"] and not process.counters.counts["requests_past_deadline"]
     )
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -149,13 +149,13 @@
                 if caps:
                     test_site.discovery.members["w0"]["host_port"] = address
                     await test_site.discovery.change(test_site.workers[1], "SERVING")
-                    await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+                    await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
                 else:
                     test_site.workers[0].stop()
                 responses = [await test_site.post(f"c{number}", "/import") for number in range(4)]
             assert {response.start_line.split()[1] for response in responses} == {"200"}
             assert test_site.workers[1].methods() == ["POST"] * 4
-            assert test_site.program.counters.counts["worker_connections_failed"] >= 1
+            assert test_site.process.counters.counts["worker_connections_failed"] >= 1
 
     run_scenario(scenario())
 
@@ -192,8 +192,8 @@
             worker.script = report_before_accepting
             assert (await test_site.post()).body == b"mine"
             await accepted.wait()
-            assert test_site.program.counters.counts["attempts_ok"] == 1
-            assert test_site.program.counters.counts["callbacks_unmatched"] == 2
+            assert test_site.process.counters.counts["attempts_ok"] == 1
+            assert test_site.process.counters.counts["callbacks_unmatched"] == 2
 
     run_scenario(scenario())
 
@@ -204,13 +204,13 @@
     async def scenario() -> None:
         async with site() as test_site:
             test_site.workers[0].script = test_site.workers[0].accept
-            _, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(job())
             await test_site.workers[0].until("POST")
             writer.close()
             await test_site.workers[0].until("POST", "DELETE")
             assert test_site.workers[0].received[-1].target == "/jobs/c1"
-            assert test_site.program.counters.counts["clients_disconnected"] == 1
+            assert test_site.process.counters.counts["clients_disconnected"] == 1
 
     run_scenario(scenario())
 
@@ -233,7 +233,7 @@
                 request_id = message.headers["x-correlation-id"]
                 if has_started:
                     await worker.send_callback(request_id, state="started")
-                    await until(lambda: test_site.program.counters.counts["worker_responses_missing"])
+                    await until(lambda: test_site.process.counters.counts["worker_responses_missing"])
                     await worker.send_callback(request_id, state="done", result="late")
                 await asyncio.sleep(3600)
 
@@ -258,7 +258,7 @@
             await test_site.workers[0].until("POST")
             stall(0.5)
             assert (await response).start_line.split()[1] == "503"
-            assert not test_site.program.counters.counts["requests_past_deadline"]
+            assert not test_site.process.counters.counts["requests_past_deadline"]
 
     run_scenario(scenario())
 
@@ -269,7 +269,7 @@
     async def scenario() -> None:
         async with site(workers=2) as test_site:
             await test_site.discovery.change(test_site.workers[0], "DRAINING")
-            await until(lambda: test_site.program.discovery.revision >= test_site.discovery.revision)
+            await until(lambda: test_site.process.discovery.revision >= test_site.discovery.revision)
             for number in range(6):
                 await test_site.post(f"c{number}")
             assert test_site.workers[0].methods() == []
@@ -286,7 +286,7 @@
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as test_site:
-            connections, list_received = test_site.program.workers.connections, asyncio.Event()
+            connections, list_received = test_site.process.workers.connections, asyncio.Event()
             connect, departing_worker = connections.connect, test_site.workers[0]
 
             async def connect_after_list(worker: WorkerEndpoint) -> WorkerConnection:
@@ -296,7 +296,7 @@
 
             connections.connect = connect_after_list  # type: ignore[method-assign]
             responses = [asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(8)]
-            attempts = test_site.program.coordinator.attempts
+            attempts = test_site.process.coordinator.attempts
             await until(
                 lambda: any(worker_id == departing_worker.name for _, worker_id in attempts.by_worker)
             )
@@ -305,7 +305,7 @@
                 await test_site.discovery.notify_watches()
             else:
                 await test_site.discovery.change(departing_worker, phase)
-            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+            await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
             list_received.set()
             assert {(await response).start_line.split()[1] for response in responses} == {"200"}
             assert departing_worker.methods() == []
@@ -318,7 +318,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            coordinator, remaining_worker = test_site.program.coordinator, test_site.workers[0]
+            coordinator, remaining_worker = test_site.process.coordinator, test_site.workers[0]
             await until(lambda: coordinator.is_endpoint_list_confirmed)
             for number in range(30):
                 test_site.discovery.members[f"old{number}"] = {
@@ -327,14 +327,14 @@
                     "phase": "SERVING",
                 }
                 await test_site.discovery.change(remaining_worker, "SERVING")
-                await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+                await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
                 if number == 0:
                     assert await test_site.operate("match-workers/old0/offline") == 200
                 del test_site.discovery.members[f"old{number}"]
             await test_site.discovery.change(remaining_worker, "SERVING")
-            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+            await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
             numbers = coordinator.endpoint_list.worker_numbers
-            tables = test_site.program.workers.workers, numbers, coordinator.dispatcher.workers
+            tables = test_site.process.workers.workers, numbers, coordinator.dispatcher.workers
             assert all(len(table) <= 8 for table in tables) and coordinator.is_known_worker("old0")
             assert (await test_site.post()).body == b"TEXT"
 
@@ -353,7 +353,7 @@
                 for writer in list(test_site.workers[0].writers):
                     writer.close()
                     await writer.wait_closed()
-            assert test_site.program.counters.counts["attempts_reset"] == 0
+            assert test_site.process.counters.counts["attempts_reset"] == 0
 
     run_scenario(scenario())
 
@@ -378,7 +378,7 @@
             for number in range(6):
                 assert (await test_site.post(f"c{number}", "/import")).body == b"ok"
             assert (
-                len(next(iter(test_site.program.workers.workers.values())).idle_connections)
+                len(next(iter(test_site.process.workers.workers.values())).idle_connections)
                 <= MAX_IDLE_PER_WORKER
             )
 
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -71,8 +71,8 @@
             assert (await test_site.post(path=path, left_ms=1500)).status == status
             await until(
                 lambda: (
-                    not test_site.program.coordinator.attempts
-                    and not test_site.program.workers.has_pending_cancellations
+                    not test_site.process.coordinator.attempts
+                    and not test_site.process.workers.has_pending_cancellations
                 )
             )
             assert worker.methods().count("POST") == posts and "DELETE" in worker.methods()
@@ -97,7 +97,7 @@
                 if is_late:
                     await until(
                         lambda: any(
-                            worker.idle_connections for worker in test_site.program.workers.workers.values()
+                            worker.idle_connections for worker in test_site.process.workers.workers.values()
                         )
                     )
                     writer.write(OVERLOADED)
@@ -106,7 +106,7 @@
             worker.script = respond_twice
             assert (await test_site.post("c1")).body == b"one"
             assert (await test_site.post("c2")).body == b"TEXT"
-            counts = test_site.program.counters.counts
+            counts = test_site.process.counters.counts
             assert worker.methods() == ["POST", "POST"] and not counts["attempts_overloaded"]
             assert counts["attempts_ok"] == 2
 
@@ -121,7 +121,7 @@
 
 async def connect(test_site: Site) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Connect to the dispatcher."""
-    return await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+    return await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
 
 
 async def accepted_request(test_site: Site) -> asyncio.Task[Message]:
@@ -150,7 +150,7 @@
                 await writer.drain()
             assert (await reader.read(12)).startswith(b"HTTP/1.1 204")
             assert (await response_task).body == b"whole"
-            assert test_site.program.counters.counts["attempts_ok"] == 1
+            assert test_site.process.counters.counts["attempts_ok"] == 1
             writer.close()
 
     asyncio.run(scenario())
@@ -168,10 +168,10 @@
             await until(
                 lambda: any(
                     connection.has_received_data and connection.requests.open_request is None
-                    for connection in test_site.program.server.connections
+                    for connection in test_site.process.server.connections
                 )
             )
-            test_site.program.server.begin_closing()
+            test_site.process.server.begin_closing()
             writer.write(data[30:])
             assert b"204" in await reader.read() and (await response_task).body == b"late"
             writer.close()
@@ -187,14 +187,14 @@
         async with site() as test_site:
             worker = test_site.workers[0]
             worker.script = worker.completing_with("q" * 60_000)
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.setblocking(False)
             sock.send(job(path=path))
             await asyncio.get_running_loop().sock_recv(sock, 100)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-            await until(lambda: not test_site.program.server.connections)
-            assert worker.methods() == ["POST"] and not test_site.program.coordinator.requests
-            assert test_site.program.counters.counts["requests_completed"] == 1
+            await until(lambda: not test_site.process.server.connections)
+            assert worker.methods() == ["POST"] and not test_site.process.coordinator.requests
+            assert test_site.process.counters.counts["requests_completed"] == 1
 
     asyncio.run(scenario())
--- a/tests/test_client_disconnections.py
+++ b/tests/test_client_disconnections.py
@@ -20,7 +20,7 @@
 
 def connect_client(test_site: Site, request_id: str, extra_bytes: int = 0) -> socket.socket:
     """Connect, send one request followed by extra bytes, and return the client's socket."""
-    sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+    sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1024 * 1024)
     assert sock.send(job(request_id) + b"x" * extra_bytes) > extra_bytes / 2
@@ -39,13 +39,13 @@
 
 async def wait_for_open_requests(test_site: Site, count: int) -> None:
     """Wait until this number of requests is open."""
-    await until(lambda: len(test_site.program.coordinator.requests) == count)
+    await until(lambda: len(test_site.process.coordinator.requests) == count)
 
 
 async def wait_for_disconnections(test_site: Site, count: int = 1) -> float:
     """Wait until this number of clients is counted as disconnected, and return the elapsed time (s)."""
     started_at = time.monotonic()
-    await until(lambda: test_site.program.counters.counts["clients_disconnected"] == count)
+    await until(lambda: test_site.process.counters.counts["clients_disconnected"] == count)
     return time.monotonic() - started_at
 
 
@@ -58,7 +58,7 @@
 async def drain_worker(test_site: Site) -> None:
     """Drain the only worker, so that requests have to wait."""
     await test_site.discovery.change(test_site.workers[0], "DRAINING")
-    await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+    await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
@@ -74,7 +74,7 @@
             await asyncio.sleep(0.05)  # the extra bytes are read, up to the limit
             disconnect(sock, how)
             assert await wait_for_disconnections(test_site) < 1  # takes 0.1 s unless this machine stalls
-            assert test_site.program.server.context.read_ahead_budget.used_bytes == 0
+            assert test_site.process.server.context.read_ahead_budget.used_bytes == 0
             await return_worker_to_service(test_site)
             assert test_site.workers[0].methods() == ["POST"]
             sock.close()
@@ -107,7 +107,7 @@
 
     async def scenario() -> None:
         async with site(caps={"probes": False, "cancel": cancel}) as test_site:
-            workers, gate = test_site.program.workers, asyncio.Event()
+            workers, gate = test_site.process.workers, asyncio.Event()
             connect = workers.connections.connect
 
             async def delayed_connect(worker: WorkerEndpoint) -> WorkerConnection:
@@ -115,13 +115,13 @@
                 return await connect(worker)
 
             workers.connections.connect = delayed_connect  # type: ignore[method-assign]
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.sendall(job(path=path))
-            await until(lambda: test_site.program.coordinator.attempts)
+            await until(lambda: test_site.process.coordinator.attempts)
             sock.close()
             await wait_for_disconnections(test_site)
             gate.set()
-            await until(lambda: not test_site.program.coordinator.attempts and not workers.attempts.sending)
+            await until(lambda: not test_site.process.coordinator.attempts and not workers.attempts.sending)
             assert (await test_site.post("last")).body == b"TEXT"
             assert test_site.workers[0].methods() == ["POST"]  # no DELETE, since no job had been sent
 
@@ -147,12 +147,12 @@
                 await answer(message, writer)
 
             worker.script, worker.answer = abort, delay_delete  # type: ignore[method-assign]
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.sendall(job())
             await until(
                 lambda: any(
                     request.attempts_started == 2
-                    for request in test_site.program.coordinator.requests.by_number.values()
+                    for request in test_site.process.coordinator.requests.by_number.values()
                 )
             )
             sock.close()
@@ -160,8 +160,8 @@
             gate.set()
             await until(
                 lambda: (
-                    not test_site.program.workers.has_pending_cancellations
-                    and not test_site.program.workers.attempts.sending
+                    not test_site.process.workers.has_pending_cancellations
+                    and not test_site.process.workers.attempts.sending
                 )
             )
             assert len(posts) == 1
@@ -180,10 +180,10 @@
                 await asyncio.sleep(3600)
 
             worker.script = hang
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.sendall(job(path="/import"))
             await worker.until("POST")
-            test_site.program.server.start_migration(migrated.append)
+            test_site.process.server.start_migration(migrated.append)
             await asyncio.sleep(0.05)
             sock.close()
             await wait_for_disconnections(test_site)
@@ -197,7 +197,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             body = b"y" * 30_000
             for number in range(4):
                 writer.write(
@@ -227,15 +227,15 @@
                 await worker.send_callback(message.headers["x-correlation-id"], state="done", result="late")
 
             worker.script = complete_later
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(job())
             await worker.until("POST")
-            connection, *_ = test_site.program.server.connections
+            connection, *_ = test_site.process.server.connections
             for _ in range(32):
                 writer.write(b"z" * 100_000)
                 await writer.drain()
             await until(lambda: connection.requests.read_ahead.is_exceeded)
-            assert test_site.program.server.context.read_ahead_budget.used_bytes <= 256 * 1024
+            assert test_site.process.server.context.read_ahead_budget.used_bytes <= 256 * 1024
             may_finish.set()
             received = b""
             while data := await reader.read(65536):
--- a/tests/test_client_input.py
+++ b/tests/test_client_input.py
@@ -22,14 +22,14 @@
             test_site.workers[0].script = test_site.workers[0].completing_with("x" * 60_000)
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            client.connect(("127.0.0.1", test_site.program.server.port))
+            client.connect(("127.0.0.1", test_site.process.server.port))
             client.sendall(b"".join(job(f"c{number}") for number in range(300)))
-            connection, *_ = await until(lambda: list(test_site.program.server.connections))
+            connection, *_ = await until(lambda: list(test_site.process.server.connections))
             buffer_size = connection.writer.transport.get_write_buffer_size
             await until(lambda: buffer_size() > 60_000)
             await asyncio.sleep(0.1)
-            assert buffer_size() < 200_000 and len(test_site.program.coordinator.requests) <= 1
-            await test_site.program.shut_down()
+            assert buffer_size() < 200_000 and len(test_site.process.coordinator.requests) <= 1
+            await test_site.process.shut_down()
             client.close()
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.01)
@@ -87,12 +87,12 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(data)
             assert [(await read_message(reader)).start_line.split()[1] for _ in statuses] == statuses
             assert await reader.read() == b""
             assert test_site.workers[0].methods() == ["POST"] * statuses.count("200")
-            assert test_site.program.counters.counts["requests"] == statuses.count("200")
+            assert test_site.process.counters.counts["requests"] == statuses.count("200")
             writer.close()
 
     run_scenario(scenario())
@@ -110,7 +110,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             if is_reused:
                 writer.write(job())
                 assert (await read_message(reader)).body == b"TEXT"
@@ -133,13 +133,13 @@
     async def scenario() -> None:
         async with site() as test_site:
             data = job("c1")
-            client = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            client = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             client.sendall(data[:-1])
-            connection, *_ = await until(lambda: list(test_site.program.server.connections))
+            connection, *_ = await until(lambda: list(test_site.process.server.connections))
             await until(lambda: connection.has_received_data)
             client.sendall(data[-1:])
             after_timeout = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
-            test_site.program.server.table.enforce_timeouts(after_timeout)
+            test_site.process.server.table.enforce_timeouts(after_timeout)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 200
             writer.close()
@@ -153,14 +153,14 @@
     async def scenario() -> None:
         async with site() as test_site:
             data = job("c1")
-            client = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            client = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             client.sendall(data[:20])
-            connection, *_ = await until(lambda: list(test_site.program.server.connections))
+            connection, *_ = await until(lambda: list(test_site.process.server.connections))
             await until(lambda: connection.has_received_data)
             after_timeout = connection.state_entered_at + connection_table.REQUEST_TIMEOUT_S + 0.1
             for position in range(20, 30):
                 client.sendall(data[position : position + 1])
-                test_site.program.server.table.enforce_timeouts(after_timeout)
+                test_site.process.server.table.enforce_timeouts(after_timeout)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_message(reader)).status == 408
             writer.close()
@@ -180,12 +180,12 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(HEAD + b"X-Correlation-Id: a\r\nContent-Length: 60000000\r\n\r\n")
             assert (await read_message(reader)).start_line.split()[1] == "413"
             with pytest.raises(ConnectionError):
                 await send_megabytes(writer, 60)
-            assert not test_site.program.server.connections
+            assert not test_site.process.server.connections
 
     run_scenario(scenario())
 
@@ -195,22 +195,22 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            test_site.program.server.table.max_connections = 10
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            test_site.process.server.table.max_connections = 10
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             incomplete = []
             for number in range(5):
                 writer.write(job(f"c{number}"))
                 assert (await read_message(reader)).body == b"TEXT"
                 for _ in range(20):
                     incomplete.append(
-                        await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+                        await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
                     )
                     incomplete[-1][1].write(b"GET /_he")
                 assert (
                     await request(test_site.address, encode_message("GET /_health HTTP/1.1"))
                 ).body == b"ok"
-                assert len(test_site.program.server.connections) <= 10
-            assert test_site.program.counters.counts["client_connections_evicted_reading"] >= 80
+                assert len(test_site.process.server.connections) <= 10
+            assert test_site.process.counters.counts["client_connections_evicted_reading"] >= 80
             for _, other_writer in [*incomplete, (reader, writer)]:
                 other_writer.close()
 
@@ -222,11 +222,11 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            test_site.program.server.table.max_connections = 10
-            address = ("127.0.0.1", test_site.program.server.port)
+            test_site.process.server.table.max_connections = 10
+            address = ("127.0.0.1", test_site.process.server.port)
             reader, writer = await asyncio.open_connection(*address)
             silent: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-            counts = test_site.program.counters.counts
+            counts = test_site.process.counters.counts
             for piece in (job()[start : start + 20] for start in range(0, len(job()), 20)):
                 writer.write(piece)
                 silent.extend([await asyncio.open_connection(*address) for _ in range(5)])
@@ -244,7 +244,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            server = test_site.program.server
+            server = test_site.process.server
             reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
             writer.write(job("c0"))
             await read_message(reader)
@@ -267,13 +267,13 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            address = ("127.0.0.1", test_site.program.server.port)
+            address = ("127.0.0.1", test_site.process.server.port)
             socks = [socket.create_connection(address) for _ in range(100)]  # the loop does not run meanwhile
             descriptors_before = len(os.listdir("/proc/self/fd"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert len(os.listdir("/proc/self/fd")) - descriptors_before <= 2 * client_server.MAX_ACCEPTS
-            await until(lambda: test_site.program.counters.counts["client_connections"] >= 100)
+            await until(lambda: test_site.process.counters.counts["client_connections"] >= 100)
             for sock in socks:
                 sock.close()
 
@@ -285,10 +285,10 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             for number, (data, status) in enumerate(BAD_REQUESTS):
                 bad_reader, bad_writer = await asyncio.open_connection(
-                    "127.0.0.1", test_site.program.server.port
+                    "127.0.0.1", test_site.process.server.port
                 )
                 bad_writer.write(data)
                 response = await read_message(bad_reader)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -188,12 +188,12 @@
                 list_of_one_worker(7, "SERVING", test_site.workers[0].address),
                 list_of_one_worker(8, "DRAINING", test_site.workers[0].address),
             ]
-            test_site.program.discovery.watch()
-            await until(lambda: test_site.program.discovery.revision == 8)
+            test_site.process.discovery.watch()
+            await until(lambda: test_site.process.discovery.revision == 8)
             (first_target, first_s), (second_target, second_s) = discovery.polls[-2:]
             # The second poll follows after 0.5 s unless the machine stalls.
             assert (first_target[-1], second_target[-1]) == ("1", "7") and second_s - first_s < 2
-            assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 1
+            assert test_site.process.counters.counts["discovery_heartbeat_timeouts"] == 1
             assert (await test_site.post(left_ms=300)).status == 503
 
     asyncio.run(scenario())
@@ -214,11 +214,11 @@
                 b"",
                 list_of_one_worker(8, "DRAINING", address),
             ]
-            test_site.program.discovery.watch()
-            await until(lambda: test_site.program.discovery.revision == 8)
+            test_site.process.discovery.watch()
+            await until(lambda: test_site.process.discovery.revision == 8)
             times = [at_s for _, at_s in discovery.polls[-5:]]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.5 s unless it stalls
-            assert test_site.program.counters.counts["discovery_heartbeat_timeouts"] == 4
+            assert test_site.process.counters.counts["discovery_heartbeat_timeouts"] == 4
 
     asyncio.run(scenario())
 
@@ -230,7 +230,7 @@
         discovery = SilentDiscovery()
         discovery.lists, discovery.pause_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
         async with site(discovery=discovery, discovery_mode="push") as test_site:
-            assert test_site.program.discovery.revision == 9
+            assert test_site.process.discovery.revision == 9
             assert (await test_site.post(left_ms=300)).status == 503
             assert test_site.workers[0].methods() == []
 
@@ -248,7 +248,7 @@
             assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
             polls_before = len(discovery.polls)
             discovery.lists.append(list_of_one_worker(9, "DRAINING", test_site.workers[0].address))
-            await until(lambda: test_site.program.discovery.revision == 9)
+            await until(lambda: test_site.process.discovery.revision == 9)
             assert len(discovery.polls) - polls_before <= 2
             times = [at_s for _, at_s in discovery.polls]
             assert max(after - before for before, after in pairwise(times)) < 2  # 0.3 s, unless this stalls
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -208,12 +208,12 @@
 async def site_during_outage() -> AsyncIterator[tuple[Site, str]]:
     """Yield a site whose discovery refuses connections, and the address of discovery."""
     async with site() as test_site:
-        await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+        await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
         address = test_site.discovery.address
         test_site.discovery.stop()
         reserved_socket, _ = reserve_address(address)
         with reserved_socket:
-            await until(lambda: test_site.program.counters.counts["discovery_polls_refused"])
+            await until(lambda: test_site.process.counters.counts["discovery_polls_refused"])
             yield test_site, address
 
 
@@ -243,7 +243,7 @@
 
     async def scenario() -> None:
         async with site_during_outage() as (test_site, address):
-            await until(lambda: test_site.program.counters.counts["discovery_polls_refused"] >= 2)
+            await until(lambda: test_site.process.counters.counts["discovery_polls_refused"] >= 2)
             if accepting_s:
                 await accept_briefly(address, accepting_s)
             await asyncio.sleep(STALENESS_S + 0.2)
@@ -261,7 +261,7 @@
         async with site_during_outage() as (test_site, address):
             if accepting_s:
                 await accept_briefly(address, accepting_s)
-                await until(lambda: test_site.program.counters.counts["discovery_reachable_between_polls"])
+                await until(lambda: test_site.process.counters.counts["discovery_reachable_between_polls"])
             async with newer_process(test_site) as newer:
                 await asyncio.sleep(STALENESS_S + 0.2)
                 assert await statuses_of_requests(test_site, 0.5) == ({503} if accepting_s else {200})
@@ -277,8 +277,8 @@
         async with site_during_outage() as (test_site, _):
             reserved_socket, new_address = reserve_address()
             host, port = new_address.split(":")
-            test_site.program.discovery.reconfigure(
-                replace(test_site.program.config, discovery=Address(host, int(port)))
+            test_site.process.discovery.reconfigure(
+                replace(test_site.process.config, discovery=Address(host, int(port)))
             )
             await asyncio.sleep(STALENESS_S + 0.2)
             assert await statuses_of_requests(test_site, 0.5) == {200}
--- a/tests/test_drain_and_reload.py
+++ b/tests/test_drain_and_reload.py
@@ -33,19 +33,19 @@
             open_request = asyncio.create_task(test_site.post("c1"))
             await worker.until("POST")
             assert (await request(test_site.address, encode_message("GET /_health HTTP/1.1"))).body == b"ok"
-            shutdown = asyncio.create_task(test_site.program.shut_down())
+            shutdown = asyncio.create_task(test_site.process.shut_down())
             await asyncio.sleep(0)
             health = await request(test_site.address, encode_message("GET /_health HTTP/1.1"))
             assert health.start_line.split()[1] == "503"
             late_request = asyncio.create_task(test_site.post("c2"))
             await worker.until("POST", "POST")
-            await until(lambda: test_site.program.phase is Phase.CLOSING)
+            await until(lambda: test_site.process.phase is Phase.CLOSING)
             for request_id in ("c1", "c2"):
                 await worker.send_callback(request_id, state="done", result=request_id)
             for request_id, response in (("c1", await open_request), ("c2", await late_request)):
                 assert (response.body.decode(), response.headers["connection"]) == (request_id, "close")
             await shutdown
-            assert test_site.program.phase is Phase.STOPPED
+            assert test_site.process.phase is Phase.STOPPED
 
     monkeypatch.setattr(dispatcher_process, "DRAIN_KEEP_CONNECTIONS_S", 0.1)
     run_scenario(scenario())
@@ -56,14 +56,14 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
-            shutdown = asyncio.create_task(test_site.program.shut_down())
-            await until(lambda: test_site.program.phase is Phase.DRAINING)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
+            shutdown = asyncio.create_task(test_site.process.shut_down())
+            await until(lambda: test_site.process.phase is Phase.DRAINING)
             for number in range(2):
                 writer.write(job(f"c{number}"))
                 response = await read_message(reader)
                 assert (response.body, response.headers.get("connection")) == (b"TEXT", None)
-            assert await reader.read() == b"" and test_site.program.phase is not Phase.DRAINING
+            assert await reader.read() == b"" and test_site.process.phase is not Phase.DRAINING
             writer.close()
             await shutdown
 
@@ -81,7 +81,7 @@
             test_site.workers[0].script = test_site.workers[0].accept
             open_request = asyncio.create_task(test_site.post(path=path))
             await test_site.workers[0].until("POST")
-            await test_site.program.shut_down()
+            await test_site.process.shut_down()
             assert (await open_request).start_line.split()[1] == status
             await test_site.workers[0].until("POST", "DELETE")
 
@@ -112,18 +112,18 @@
             busy_worker = await until(
                 lambda: next((worker for worker in test_site.workers if worker.methods()), None)
             )
-            shutdown = asyncio.create_task(test_site.program.shut_down()) if is_draining else None
+            shutdown = asyncio.create_task(test_site.process.shut_down()) if is_draining else None
             for server in (unresponsive, new_discovery):
                 await server.start()
                 path.write_text(json.dumps({**document(), "listen": "h:1", "discovery": server.address}))
-                test_site.program.reloader.requested.set()
+                test_site.process.reloader.requested.set()
                 await wait_for_connection(server)
-            await until(lambda: test_site.program.discovery.revision == 7)
+            await until(lambda: test_site.process.discovery.revision == 7)
             await new_discovery.change(
                 next(worker for worker in test_site.workers if worker is not busy_worker), "DRAINING"
             )
-            await until(lambda: test_site.program.discovery.revision == 8)
-            assert test_site.program.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
+            await until(lambda: test_site.process.discovery.revision == 8)
+            assert test_site.process.phase is (Phase.DRAINING if is_draining else Phase.SERVING)
             await busy_worker.send_callback("c1", state="done", result="kept")
             assert (await open_request).body == b"kept"
             if shutdown is not None:
@@ -154,16 +154,16 @@
                 asyncio.create_task(test_site.post(f"c{number}", path))
                 for number, path in enumerate(("/lookup", "/import"))
             ]
-            await until(lambda: len(test_site.program.coordinator.attempts.by_worker) == 2)
+            await until(lambda: len(test_site.process.coordinator.attempts.by_worker) == 2)
             config = {**document(), "discovery": test_site.discovery.address}
             services = config["settings"]["services"]
             services[0].update(effect="fragile")
             services[1] = {**services[1], "name": "newer", "effect": "retryable"}
             path.write_text(json.dumps(config))
-            test_site.program.reloader.requested.set()
-            await until(lambda: test_site.program.counters.counts["reloads"])
+            test_site.process.reloader.requested.set()
+            await until(lambda: test_site.process.counters.counts["reloads"])
             assert (await test_site.post("c9", "/import")).start_line.split()[1] == "404"
-            for (request_id, _), attempt in list(test_site.program.coordinator.attempts.by_worker.items()):
+            for (request_id, _), attempt in list(test_site.process.coordinator.attempts.by_worker.items()):
                 worker = next(worker for worker in test_site.workers if worker.name == attempt.worker_id)
                 worker.script = None
                 await worker.send_callback(request_id, state="lost")
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -51,7 +51,7 @@
     """Start a request, and wait until its retry waits for the DELETE of its first attempt."""
     script = DelayedDelete(test_site.workers[0])
     script.request = asyncio.create_task(test_site.post(left_ms=3000))
-    requests = test_site.program.coordinator.requests.by_number
+    requests = test_site.process.coordinator.requests.by_number
     await until(
         lambda: script.deletes and any(request.attempts_started == 2 for request in requests.values())
     )
@@ -66,7 +66,7 @@
         async with site(caps={"probes": False}) as test_site:
             script = await start_retry_that_waits_for_delete(test_site)
             await test_site.discovery.change(test_site.workers[0], phase)
-            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+            await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
             script.gate.set()
             assert (await script.request).status == 503
             assert script.posts == 1
@@ -108,7 +108,7 @@
             if message.method == "POST":
                 posts.append(worker)
                 if len(posts) == 1:
-                    test_site.program.coordinator.set_worker_ban(
+                    test_site.process.coordinator.set_worker_ban(
                         worker.name, True
                     )  # so that the retry goes elsewhere
                     writer.transport.abort()
@@ -141,7 +141,7 @@
                     response_task.done()
                     or any(
                         request.attempts_started == 2
-                        for request in test_site.program.coordinator.requests.by_number.values()
+                        for request in test_site.process.coordinator.requests.by_number.values()
                     )
                 )
             )
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -96,7 +96,7 @@
 
     async def scenario() -> None:
         async with site() as here:
-            address = f"127.0.0.1:{here.program.operators.port}"
+            address = f"127.0.0.1:{here.process.operators.port}"
             answer = await request(address, encode_message(f"{call} HTTP/1.1"))
             document = json.loads(answer.body)
             assert answer.status == 404 and document["error"] == code and len(document["remedy"]) > 20
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -28,7 +28,7 @@
 
     async def scenario() -> None:
         async with site(workers=2) as test_site:
-            older, port = test_site.program, test_site.program.server.port
+            older, port = test_site.process, test_site.process.server.port
             worker = test_site.workers[1]
             await test_site.operate("match-workers/w0/offline")
             idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)
@@ -80,7 +80,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            worker, older, gate = test_site.workers[0], test_site.program, asyncio.Event()
+            worker, older, gate = test_site.workers[0], test_site.process, asyncio.Event()
 
             async def accept_after_gate(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
@@ -113,7 +113,7 @@
         async with site(workers=2, caps={"max_attempts": 2}) as test_site:
             for worker in test_site.workers:
                 worker.script = worker.accept
-            _, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(job("c1"))
             first_worker = await until(
                 lambda: next((worker for worker in test_site.workers if worker.methods()), None)
@@ -140,7 +140,7 @@
     async def scenario() -> None:
         async with site(workers=2) as test_site:
             await test_site.discovery.change(test_site.workers[0], "DRAINING")
-            await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+            await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
             test_site.discovery.stop()  # the configured list has both workers as SERVING
             async with newer_process(test_site) as newer:
                 assert [worker.endpoint.state.value for worker in newer.workers.workers.values()] == [
@@ -162,13 +162,13 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            test_site.program.server.stop_accepting()
-            port = test_site.program.server.port
+            test_site.process.server.stop_accepting()
+            port = test_site.process.server.port
             waiting = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
             for number, (_, writer) in enumerate(waiting):
                 writer.write(job(f"c{number}"))
             async with newer_process(test_site) as newer:
-                await test_site.program.shut_down()
+                await test_site.process.shut_down()
                 for reader, writer in waiting:
                     assert (await read_message(reader)).body == b"TEXT"
                     writer.close()
@@ -189,7 +189,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             received: list[Packet] = []
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(job("c0"))
             assert (await read_message(reader)).body == b"TEXT"
             for kinds, last_kind in ((["ask"], "offer"), (["ask", "ready"], "taken")):
@@ -200,8 +200,8 @@
                     link.send(Packet(kind, {"form": PROTOCOL_VERSION}))
                 await wait_for_packet(received, last_kind)
                 link.close()
-                await until(lambda: test_site.program.hot_restart.link is None)
-                assert test_site.program.phase is Phase.SERVING
+                await until(lambda: test_site.process.hot_restart.link is None)
+                assert test_site.process.phase is Phase.SERVING
                 assert (await test_site.post(f"n{len(kinds)}")).body == b"TEXT"
             for packet in received:
                 if packet.descriptor >= 0:
@@ -219,7 +219,7 @@
             is_listening = hot_restart.is_peer_listening(DISPATCHER_NAME)
             async with newer_process(test_site) as newer:
                 assert (
-                    is_listening and test_site.program.phase is Phase.MIGRATING and newer.service.is_ready()
+                    is_listening and test_site.process.phase is Phase.MIGRATING and newer.service.is_ready()
                 )
 
     asyncio.run(scenario())
@@ -233,7 +233,7 @@
             await test_site.operate("out-of-service")
             async with newer_process(test_site) as newer:
                 assert newer.service.is_ready() and await test_site.health() == 503
-                assert newer.service.out_of_service_since == test_site.program.service.out_of_service_since
+                assert newer.service.out_of_service_since == test_site.process.service.out_of_service_since
                 assert newer.service.return_to_service() and await test_site.health() == 200
 
     asyncio.run(scenario())
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -22,7 +22,7 @@
     """Connect a client with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    sock.connect(("127.0.0.1", test_site.program.server.port))
+    sock.connect(("127.0.0.1", test_site.process.server.port))
     sock.setblocking(False)
     return sock
 
@@ -30,8 +30,8 @@
 def return_large_results(test_site: Site) -> None:
     """Make the worker return large results, and shrink the dispatcher's send buffers."""
     test_site.workers[0].script = test_site.workers[0].completing_with(LARGE_RESULT)
-    assert test_site.program.server.server is not None
-    for sock in test_site.program.server.server.sockets:
+    assert test_site.process.server.server is not None
+    for sock in test_site.process.server.server.sockets:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
 
@@ -42,7 +42,7 @@
         lambda: next(
             (
                 connection
-                for connection in test_site.program.server.connections
+                for connection in test_site.process.server.connections
                 if connection.writer.get_extra_info("peername") == client_address
             ),
             None,
@@ -53,7 +53,7 @@
 
 async def idle_client(test_site: Site) -> tuple[socket.socket, ClientConnection]:
     """Connect a client, complete one request, and return both ends of the idle connection."""
-    sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+    sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
     sock.setblocking(False)
     sock.send(job("c1"))
     await asyncio.get_running_loop().sock_recv(sock, 4096)
@@ -67,7 +67,7 @@
     return_large_results(test_site)
     sock = connect_with_small_buffer(test_site)
     connection = await accepted_connection(test_site, sock)
-    test_site.program.server.context.is_closing = True
+    test_site.process.server.context.is_closing = True
     sock.send(job())
     await until(lambda: connection.is_lingering)
     return sock
@@ -111,7 +111,7 @@
             return_large_results(test_site)
             sock = connect_with_small_buffer(test_site)
             connection = await accepted_connection(test_site, sock)
-            test_site.program.server.context.is_closing = not is_half_closed
+            test_site.process.server.context.is_closing = not is_half_closed
             sock.send(job())
             if is_half_closed:
                 await until(lambda: connection.state is ConnectionState.IDLE)
@@ -132,7 +132,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             sock = await lingering_client(test_site)
-            await until(lambda: not test_site.program.server.connections)
+            await until(lambda: not test_site.process.server.connections)
             sock.close()
 
     asyncio.run(scenario())
@@ -144,13 +144,13 @@
     async def scenario() -> None:
         async with site() as test_site:
             sock, _ = await idle_client(test_site)
-            test_site.program.server.begin_closing()
+            test_site.process.server.begin_closing()
             sock.send(job("c2"))
             sock.send(job("c3"))  # would fail on a reset connection
             assert await read_to_end(sock) == b""
-            assert not test_site.program.coordinator.requests and test_site.workers[0].methods() == ["POST"]
+            assert not test_site.process.coordinator.requests and test_site.workers[0].methods() == ["POST"]
             sock.close()
-            await until(lambda: not test_site.program.server.connections)
+            await until(lambda: not test_site.process.server.connections)
 
     asyncio.run(scenario())
 
@@ -166,7 +166,7 @@
                 sock.send(job("c2"))
             else:
                 connection.reader.feed_data(job("c2"))
-            test_site.program.server.begin_closing()
+            test_site.process.server.begin_closing()
             received = await read_to_end(sock)
             assert (
                 received.startswith(b"HTTP/1.1 200")
@@ -197,17 +197,17 @@
     async def scenario() -> None:
         async with site() as test_site:
             # Until then /_health returns 503.
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
             writer.write(data)
             if following:
-                await until(lambda: test_site.program.server.table.by_state[ConnectionState.LINGERING])
+                await until(lambda: test_site.process.server.table.by_state[ConnectionState.LINGERING])
                 writer.write(b"z" * following)
                 await writer.drain()
             received = await reader.read()
             assert received.startswith(b"HTTP/1.1 " + status)
             writer.close()
-            await until(lambda: not test_site.program.server.connections)
+            await until(lambda: not test_site.process.server.connections)
 
     asyncio.run(scenario())
 
@@ -217,7 +217,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.setblocking(False)
             connection = await accepted_connection(test_site, sock)
             sock.send(job())
@@ -237,19 +237,19 @@
             return_large_results(test_site)
             slow_client, new_client = (
                 connect_with_small_buffer(test_site),
-                socket.create_connection(("127.0.0.1", test_site.program.server.port)),
+                socket.create_connection(("127.0.0.1", test_site.process.server.port)),
             )
             new_client.setblocking(False)
             slow_client.send(job("c1"))
             closing = await accepted_connection(test_site, slow_client)
             await until(lambda: closing.state is ConnectionState.IDLE)
-            test_site.program.server.context.is_closing = True
+            test_site.process.server.context.is_closing = True
             closing.close_gracefully()
             assert closing.is_lingering and closing.has_unsent_data()
             # Until the worker's connections have closed.
-            await until(lambda: len(test_site.program.server.connections) == 2)
+            await until(lambda: len(test_site.process.server.connections) == 2)
             new_client.send(job("c2"))
-            assert not test_site.program.server.table.evict_one()
+            assert not test_site.process.server.table.evict_one()
             assert (await read_to_end(slow_client)).count(b"r") >= len(LARGE_RESULT)
             received: Any = await read_to_end(new_client)
             assert received.startswith(b"HTTP/1.1 200")
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -108,7 +108,7 @@
 
 async def wait_for_drain(test_site: Site) -> None:
     """Wait until the worker is listed as draining, so that requests are rejected."""
-    await until(lambda: test_site.program.discovery.revision == 9)
+    await until(lambda: test_site.process.discovery.revision == 9)
     assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
 
 
@@ -158,7 +158,7 @@
             started_at = time.monotonic()
             await wait_for_drain(test_site)
             assert time.monotonic() - started_at < 2  # 0.3 s by the table on the page
-            assert test_site.program.counters.counts["discovery_response_timeouts"] == 1
+            assert test_site.process.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
 
@@ -174,8 +174,8 @@
             address = failing.address
             failing.stop()
             reserved_socket, _ = reserve_address(address)
-            test_site.program.discovery.watch()
-            await until(lambda: test_site.program.counters.counts["discovery_failures"] >= 4)
+            test_site.process.discovery.watch()
+            await until(lambda: test_site.process.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(reserved_socket)
             started_at = time.monotonic()
             await wait_for_drain(test_site)
@@ -196,9 +196,9 @@
             new_discovery.worker_address = test_site.workers[0].address
             await until(lambda: old_discovery.poll_times)
             host, port = new_discovery.address.split(":")
-            config = test_site.program.config
+            config = test_site.process.config
             changed_config = replace(config, discovery=type(config.discovery)(host, int(port)))
-            test_site.program.discovery.reconfigure(changed_config)
+            test_site.process.discovery.reconfigure(changed_config)
             await wait_for_drain(test_site)
             started_at = time.monotonic()
             await until(lambda: time.monotonic() - started_at > 0.5)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,16 +23,16 @@
             incomplete = []
             for _ in range(3 * operators.MAX_CONNECTIONS):
                 incomplete.append(
-                    await asyncio.open_connection("127.0.0.1", test_site.program.operators.port)
+                    await asyncio.open_connection("127.0.0.1", test_site.process.operators.port)
                 )
                 incomplete[-1][1].write(b"POST /control/in-")
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             assert await test_site.operate("ready", "GET") == 200
             for reader, _ in incomplete:
                 assert await reader.read() == b""
             assert await test_site.operate("ready", "POST") == 404
             assert await test_site.operate("in-service/x") == 404
-            address = f"127.0.0.1:{test_site.program.operators.port}"
+            address = f"127.0.0.1:{test_site.process.operators.port}"
             assert (await request(address, b"nonsense\r\n\r\n")).start_line.split()[1] == "400"
 
     monkeypatch.setattr(operators, "REQUEST_TIMEOUT_S", 0.2)
@@ -44,7 +44,7 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            worker, port = test_site.workers[0], test_site.program.server.port
+            worker, port = test_site.workers[0], test_site.process.server.port
             idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)
             idle_writer.write(job("c0"))
             await read_message(idle_reader)
@@ -56,7 +56,7 @@
             )
             assert await test_site.health() == 503
             assert await idle_reader.read() == b""
-            await until(lambda: test_site.program.server.context.is_rejecting)
+            await until(lambda: test_site.process.server.context.is_rejecting)
             late = await test_site.post("late")
             assert (late.start_line.split()[1], late.headers["connection"]) == ("503", "close")
             await worker.send_callback("c1", state="done", result="kept")
@@ -70,8 +70,8 @@
                 next_response := await test_site.post("c2")
             ).body == b"TEXT" and "connection" not in next_response.headers
             idle_writer.close()
-            ending = asyncio.create_task(test_site.program.shut_down())
-            await until(lambda: test_site.program.phase is Phase.DRAINING)
+            ending = asyncio.create_task(test_site.process.shut_down())
+            await until(lambda: test_site.process.phase is Phase.DRAINING)
             assert await test_site.operate("out-of-service") == await test_site.operate("in-service") == 503
             assert await test_site.operate("ready", "GET") == 503
             await ending
@@ -93,7 +93,7 @@
             assert await test_site.operate("match-workers/nobody/offline") == 404
             for phase in ("DELETED", "SERVING"):
                 await test_site.discovery.change(first, phase)
-                await until(lambda: test_site.program.discovery.revision == test_site.discovery.revision)
+                await until(lambda: test_site.process.discovery.revision == test_site.discovery.revision)
                 for number in range(4):
                     assert (await test_site.post(f"{phase}{number}")).body == b"TEXT"
             assert first.received == [] and second.methods() == ["POST"] * 8
@@ -113,7 +113,7 @@
 
     async def scenario() -> None:
         async with site(workers=2, caps={"probes": False}) as test_site:
-            workers, gate = test_site.program.workers, asyncio.Event()
+            workers, gate = test_site.process.workers, asyncio.Event()
             connect = workers.connections.connect
 
             async def connect_later(worker: WorkerEndpoint) -> WorkerConnection:
@@ -126,7 +126,7 @@
                 asyncio.create_task(test_site.post(f"c{number}", "/import")) for number in range(8)
             ]
             await until(
-                lambda: any(name == "w0" for _, name in test_site.program.coordinator.attempts.by_worker)
+                lambda: any(name == "w0" for _, name in test_site.process.coordinator.attempts.by_worker)
             )
             assert await test_site.operate("match-workers/w0/offline") == 200
             gate.set()
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -33,17 +33,17 @@
         return DispatcherProcess(config_from_document({}, document()))
     test_site = await stack.enter_async_context(site())
     if phase == "out of service":
-        test_site.program.service.take_out_of_service()
+        test_site.process.service.take_out_of_service()
     elif phase == "handed over":
         await stack.enter_async_context(newer_process(test_site))
     elif phase != "serving":
-        stack.callback(asyncio.create_task(test_site.program.shut_down()).cancel)
+        stack.callback(asyncio.create_task(test_site.process.shut_down()).cancel)
         if phase == "closing":  # an open request keeps the process in this phase
             test_site.workers[0].script = test_site.workers[0].accept
             request = asyncio.create_task(test_site.post())
             stack.callback(request.cancel)
-        await until(lambda: test_site.program.phase.value == phase)
-    return test_site.program
+        await until(lambda: test_site.process.phase.value == phase)
+    return test_site.process
 
 
 async def apply_event(process: DispatcherProcess, event: str, stack: AsyncExitStack) -> bool:
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -40,7 +40,7 @@
         async with site() as test_site:
             assert (await test_site.post()).body == b"TEXT"
             async with newer_process(test_site) as second:
-                assert second.phase is Phase.SERVING and test_site.program.phase is Phase.MIGRATING
+                assert second.phase is Phase.SERVING and test_site.process.phase is Phase.MIGRATING
         if peer == "nonsense":
             loop.remove_reader(sock)
         sock.close()
@@ -107,8 +107,8 @@
     async def scenario() -> None:
         async with site() as test_site:
             assert (
-                test_site.program.phase is Phase.SERVING
-                and test_site.program.hot_restart.listening_socket is None
+                test_site.process.phase is Phase.SERVING
+                and test_site.process.hot_restart.listening_socket is None
             )
             assert (await test_site.post()).body == b"TEXT" and await test_site.health() == 200
             assert not hot_restart.is_peer_listening(DISPATCHER_NAME)
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -36,17 +36,17 @@
 
             if worker_hangs:
                 test_site.workers[0].script = hang
-            port = test_site.program.server.port
+            port = test_site.process.server.port
             existing = await asyncio.open_connection("127.0.0.1", port)
             started_at = time.monotonic()
-            shutdown = asyncio.create_task(test_site.program.shut_down())
+            shutdown = asyncio.create_task(test_site.process.shut_down())
             remaining_s = 0.6 + dispatcher_process.KILL_DELAY_S - dispatcher_process.FINAL_ANSWERS_S
             await asyncio.sleep(fraction * remaining_s)
             clients = [existing]
             try:
                 clients.append(await asyncio.open_connection("127.0.0.1", port))
             except ConnectionRefusedError:  # the process has stopped
-                assert test_site.program.phase is Phase.STOPPED
+                assert test_site.process.phase is Phase.STOPPED
             for number, (_, writer) in enumerate(clients):
                 writer.write(job(f"c{number}", "/import", left_ms=600))
             for number, (reader, _) in enumerate(clients):
@@ -74,8 +74,8 @@
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
-            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.program.server.port)
-            shutdown = asyncio.create_task(test_site.program.shut_down())
+            reader, writer = await asyncio.open_connection("127.0.0.1", test_site.process.server.port)
+            shutdown = asyncio.create_task(test_site.process.shut_down())
             started_at = time.monotonic()
             assert await reader.read() == b""
             assert 0.4 < time.monotonic() - started_at < SIGKILL_AFTER_S
@@ -93,9 +93,9 @@
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
-            existing = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            existing = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             started_at = time.monotonic()
-            await test_site.program.shut_down()
+            await test_site.process.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5
             existing.close()
 
@@ -107,11 +107,11 @@
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
-            existing = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            existing = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             started_at = time.monotonic()
-            test_site.program.request_shutdown()
+            test_site.process.request_shutdown()
             await asyncio.sleep(1.0)  # the rest of the startup
-            await test_site.program.shut_down()
+            await test_site.process.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5  # 0.5 s for a slow machine
             existing.close()
 
@@ -128,8 +128,8 @@
         async with site() as test_site:
             test_site.workers[0].script = test_site.workers[0].accept
             client = socket.socket()
-            address = "127.0.0.1", test_site.program.server.port
-            stop_discovery = test_site.program.discovery.stop
+            address = "127.0.0.1", test_site.process.server.port
+            stop_discovery = test_site.process.discovery.stop
 
             async def send_request_and_stop() -> None:
                 monkeypatch.undo()
@@ -138,8 +138,8 @@
                 await asyncio.sleep(0.1)
                 await stop_discovery()
 
-            monkeypatch.setattr(test_site.program.discovery, "stop", send_request_and_stop)
-            await test_site.program.shut_down()
+            monkeypatch.setattr(test_site.process.discovery, "stop", send_request_and_stop)
+            await test_site.process.shut_down()
             client.setblocking(False)
             response = await asyncio.get_running_loop().sock_recv(client, 4096)
             assert response.startswith(b"HTTP/1.1 503") and test_site.workers[0].methods() == []
@@ -153,10 +153,10 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            sock = socket.create_connection(("127.0.0.1", test_site.program.server.port))
+            sock = socket.create_connection(("127.0.0.1", test_site.process.server.port))
             sock.sendall(job())
             sock.setblocking(False)
-            await test_site.program.server.stop()
+            await test_site.process.server.stop()
             response = await asyncio.get_running_loop().sock_recv(sock, 4096)
             assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
             sock.close()
@@ -170,11 +170,11 @@
     async def scenario() -> None:
         async with site(discovery_mode="push", discovery=(discovery := SilentDiscovery())) as test_site:
             assert not discovery.lists
-            test_site.program.coordinator.dispatcher.lease.expiry_ns = 0
-            waiting = asyncio.create_task(test_site.program.parts.readiness.wait_for_endpoint_list())
+            test_site.process.coordinator.dispatcher.lease.expiry_ns = 0
+            waiting = asyncio.create_task(test_site.process.parts.readiness.wait_for_endpoint_list())
             await asyncio.sleep(0)
             started_at = time.monotonic()
-            test_site.program.request_shutdown()
+            test_site.process.request_shutdown()
             await waiting
             assert time.monotonic() - started_at < 1
 
@@ -193,13 +193,13 @@
         async with site(services=SHORT_TIMEOUTS) as test_site:
             open_request = asyncio.create_task(test_site.post(left_ms=600))
             await test_site.workers[0].until("POST")
-            shutdown = asyncio.create_task(test_site.program.shut_down())
+            shutdown = asyncio.create_task(test_site.process.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
-                await wait_for_phase(test_site.program, phase)
-                test_site.program.request_shutdown()
+                await wait_for_phase(test_site.process, phase)
+                test_site.process.request_shutdown()
             assert (await open_request).body == b"TEXT"
             await shutdown
-            assert test_site.program.phase is Phase.STOPPED
+            assert test_site.process.phase is Phase.STOPPED
 
     asyncio.run(scenario())
 
@@ -226,7 +226,7 @@
                 assert (await open_request).status == 503
                 await delete_received.wait()
             started_at = time.monotonic()
-            await test_site.program.shut_down()
+            await test_site.process.shut_down()
             assert time.monotonic() - started_at < SIGKILL_AFTER_S + 0.5
             await open_request
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -148,8 +148,8 @@
 
     async def scenario() -> None:
         async with site(workers=6) as test_site:
-            pool, counts = test_site.program.workers.connections, test_site.program.counters.counts
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            pool, counts = test_site.process.workers.connections, test_site.process.counters.counts
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             pool.max_connections = 2
             for number in range(24):
                 assert (await test_site.post(f"c{number}")).body == b"TEXT"
@@ -173,10 +173,10 @@
             assert [(await task).body for task in response_tasks] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.process.coordinator.dispatcher.workers.values()
             )
             # Another process uses the remaining connections.
-            test_site.program.workers.limit_connections(1 / pool.connection_limit)
+            test_site.process.workers.limit_connections(1 / pool.connection_limit)
             await until(lambda: pool.open_connections <= 1)
 
     asyncio.run(scenario())
@@ -220,13 +220,13 @@
     async def scenario() -> None:
         discovery = ReleasedDiscovery(batches)
         async with site(workers=0, discovery=discovery) as test_site:
-            dispatcher, clients = test_site.program.coordinator.dispatcher, test_site.program.workers
+            dispatcher, clients = test_site.process.coordinator.dispatcher, test_site.process.workers
             for ready, listed in ((1100, 1100), (0, 1100), (700, 1100), (0, 400), (1100, 1100)):
                 discovery.released.release()
                 await until(lambda: len(dispatcher.ready_workers) == ready)  # noqa: B023
                 assert len(clients.listed_endpoints()) == listed
             assert len(clients.workers) == len(dispatcher.workers) == 1100
-            assert test_site.program.counters.counts["discovery_failures"] == 0
+            assert test_site.process.counters.counts["discovery_failures"] == 0
 
     asyncio.run(scenario())
 
@@ -254,14 +254,14 @@
             await test_site.discovery.notify_watches()
             listed_ids = {member["id"] for member in test_site.discovery.members.values()}
             await until(
-                lambda: {worker.id for worker in test_site.program.workers.listed_endpoints()} == listed_ids
+                lambda: {worker.id for worker in test_site.process.workers.listed_endpoints()} == listed_ids
             )
             test_site.discovery.stop()
             async with newer_process(test_site) as newer:
                 assert {worker.id for worker in newer.workers.listed_endpoints()} == listed_ids
                 assert len(newer.coordinator.dispatcher.ready_workers) == len(listed_ids) == 1101
                 assert newer.counters.counts["hot_restart_worker_states"] == 1101
-                assert newer.phase is Phase.SERVING and test_site.program.phase is Phase.MIGRATING
+                assert newer.phase is Phase.SERVING and test_site.process.phase is Phase.MIGRATING
             fleet.stop()
 
     monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # also the wait for discovery
@@ -286,13 +286,13 @@
 
     async def scenario() -> None:
         async with site(workers=2) as test_site:
-            counts = test_site.program.counters.counts
+            counts = test_site.process.counters.counts
             assert (await test_site.post()).body == b"TEXT"
             await until(lambda: counts["worker_connections_stalled"] == expected_stalls)
             assert counts["worker_connections"] and counts["attempts_aborted_before_send"] <= expected_stalls
             assert not counts["worker_connections_failed"] and not counts["attempts_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.process.coordinator.dispatcher.workers.values()
             )
 
     monkeypatch.setattr(connection_pool, "connect", connect_with_stall)
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -71,7 +71,7 @@
         async with site(discovery=discovery) as test_site:
             assert await test_site.health() == 503
             discovery.may_answer.set()
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             assert await test_site.health() == 200
 
     asyncio.run(scenario())
@@ -79,7 +79,7 @@
 
 async def wait_for_lease_to_expire(test_site: Site, _failing: FailingDiscovery) -> None:
     """Wait until the list is confirmed, send a request, and wait until the lease has expired."""
-    endpoint_list = test_site.program.coordinator.endpoint_list
+    endpoint_list = test_site.process.coordinator.endpoint_list
     await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
     assert (await test_site.post("before")).body == b"TEXT"
     await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
@@ -115,9 +115,9 @@
             await wait_for_lease_to_expire(test_site, failing)
             assert (await test_site.post("after", left_ms=200)).status == 503
             assert test_site.workers[0].methods() == ["POST"]
-            assert test_site.program.counters.counts["endpoint_list_leases_expired"] == 1
+            assert test_site.process.counters.counts["endpoint_list_leases_expired"] == 1
             failing.failures_left = 0
-            await until(lambda: test_site.program.discovery.revision == 9)
+            await until(lambda: test_site.process.discovery.revision == 9)
             assert (await test_site.post("drained", left_ms=200)).status == 503
             assert test_site.workers[0].methods() == ["POST"]
 
@@ -131,13 +131,13 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
-            connections = test_site.program.workers.connections
-            lease, connect = test_site.program.coordinator.dispatcher.lease, connections.connect
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
+            connections = test_site.process.workers.connections
+            lease, connect = test_site.process.coordinator.dispatcher.lease, connections.connect
 
             async def connect_slowly(worker: object) -> object:
                 connection = await connect(worker)  # type: ignore[arg-type]
-                if test_site.program.coordinator.attempts:
+                if test_site.process.coordinator.attempts:
                     lease.expiry_ns = 1  # it expires while the connection is established
                 return connection
 
@@ -145,7 +145,7 @@
             monkeypatch.setattr(connections, "connect", connect_slowly)
             assert (await test_site.post(left_ms=300)).status == 503
             assert test_site.workers[0].methods() == []
-            assert test_site.program.counters.counts["attempts_not_started"] == 1
+            assert test_site.process.counters.counts["attempts_not_started"] == 1
 
     asyncio.run(scenario())
 
@@ -158,18 +158,18 @@
         unresponsive = FailingDiscovery(no_response, 10**6)
         await unresponsive.start()
         async with site(group_size=3) as test_site:
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
-            config = test_site.program.config
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
+            config = test_site.process.config
             host, port = unresponsive.address.split(":")
-            test_site.program.discovery.reconfigure(
+            test_site.process.discovery.reconfigure(
                 replace(config, discovery=type(config.discovery)(host, int(port)))
             )
-            endpoint_list = test_site.program.coordinator.endpoint_list
+            endpoint_list = test_site.process.coordinator.endpoint_list
             await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
             assert (await test_site.post(left_ms=200)).status == 503 and test_site.workers[0].methods() == []
             unresponsive.worker_address = test_site.workers[0].address
             unresponsive.failures_left = 0
-            await until(lambda: test_site.program.discovery.revision == 9)
+            await until(lambda: test_site.process.discovery.revision == 9)
         unresponsive.stop()
 
     asyncio.run(scenario())
@@ -186,13 +186,13 @@
         down = FailingAfterList(failure_mode, closes_watch=True)
         async with site(discovery=down, group_size=3) as test_site:
             down.worker_address = test_site.workers[0].address
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             started_at = time.monotonic()
             await until(
                 lambda: len(down.poll_times) > 8 and time.monotonic() - started_at > 1.5
             )  # more than twice the staleness limit
             assert (await test_site.post()).body == b"TEXT"
-            assert test_site.program.counters.counts["endpoint_list_leases_expired"] == 0
+            assert test_site.process.counters.counts["endpoint_list_leases_expired"] == 0
 
     asyncio.run(scenario())
 
@@ -204,12 +204,12 @@
 
     async def scenario() -> None:
         async with site() as test_site:
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
-            lease = test_site.program.coordinator.dispatcher.lease
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
+            lease = test_site.process.coordinator.dispatcher.lease
             address = test_site.discovery.address
             test_site.discovery.stop()
             reserved_socket, _ = reserve_address(address)
-            await until(lambda: test_site.program.counters.counts["discovery_failures"])
+            await until(lambda: test_site.process.counters.counts["discovery_failures"])
             if has_expired:  # discovery was reachable meanwhile, and sent no update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
--- a/tests/test_two_settings.py
+++ b/tests/test_two_settings.py
@@ -96,7 +96,7 @@
 
     async def scenario() -> None:
         async with site(**FIRST) as test_site:
-            process, dispatcher = test_site.program, test_site.program.coordinator.dispatcher
+            process, dispatcher = test_site.process, test_site.process.coordinator.dispatcher
             assert dispatcher.components.runtimes.mean_runtime_ns() > 400e9
             changed = {**process.config.document, "settings": document(**SECOND)["settings"]}
             path.write_text(json.dumps(changed))
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -51,7 +51,7 @@
             response_task = asyncio.create_task(test_site.post())
             await until(lambda: failing.polls >= 2)
             assert (
-                test_site.program.counters.counts["discovery_failures"] >= 1
+                test_site.process.counters.counts["discovery_failures"] >= 1
                 and not test_site.workers[0].methods()
             )
             failing.is_healthy = True
