--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -52,9 +52,11 @@
         self.now = 1000 * SECOND
         self.worker_ids = list(range(1, workers + 1))
         self.actions: list[api.Action] = []
-        self.step(self.list_of())
+        self.step(self.complete_list())
 
-    def list_of(self, kind: api.EndpointListKind = api.EndpointListKind.CACHED) -> api.EndpointListUpdate:
+    def complete_list(
+        self, kind: api.EndpointListKind = api.EndpointListKind.CACHED
+    ) -> api.EndpointListUpdate:
         """Return the complete endpoint list, with two workers per cell."""
         entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
         return api.EndpointListUpdate(kind, tuple(entries))
@@ -96,7 +98,7 @@
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
-def started(
+def start_attempt(
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
 ) -> tuple[DispatcherDriver, api.Send]:
     """Return a driver with four workers, and the first attempt of request 7."""
--- a/tests/site.py
+++ b/tests/site.py
@@ -75,14 +75,14 @@
         super().__init__()
         self.polls: list[tuple[str, float]] = []  # request target and event loop time (s)
         self.lists: list[bytes] = []  # one for each poll; without one, a poll gets no response
-        self.pause_s = 0.0
+        self.list_delay_s = 0.0
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Record the poll, and respond if there is a list for it."""
         self.polls.append((message.target, asyncio.get_running_loop().time()))
         if self.lists:
             writer.write(WATCH_HEAD)
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.list_delay_s)
             writer.write(b"%x\r\n%s\n\r\n" % (len(self.lists[0]) + 1, self.lists.pop(0)))
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -171,7 +171,7 @@
     drive = DispatcherDriver(workers=0)
     drive.dispatcher = Dispatcher(settings(), 1)
     drive.worker_ids = [1, 2, 3]
-    drive.dispatcher.step(0, [drive.list_of()])
+    drive.dispatcher.step(0, [drive.complete_list()])
     actions = drive.dispatcher.step(1000, [api.RequestReceived(1, 0, 10 * SECOND)])
     assert any(isinstance(action, api.Probe) for action in actions) and not sends(actions)
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -228,7 +228,7 @@
 
     async def scenario() -> None:
         discovery = SilentDiscovery()
-        discovery.lists, discovery.pause_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
+        discovery.lists, discovery.list_delay_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
         async with site(discovery=discovery, discovery_mode="push") as test_site:
             assert test_site.process.discovery.revision == 9
             assert (await test_site.post(left_ms=300)).status == 503
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -6,7 +6,16 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings, started
+from tests.helpers import (
+    MS,
+    SECOND,
+    DispatcherDriver,
+    final_answers,
+    job_class,
+    sends,
+    settings,
+    start_attempt,
+)
 from weldquay import interface as api
 from weldquay.interface import DeduplicationScope, Idempotency, Outcome
 from weldquay.net.worker_state_codec import decode_worker_state, encode_worker_state
@@ -26,7 +35,7 @@
     idempotency: Idempotency, outcome: Outcome
 ) -> None:
     """Any request is retried after an attempt that was not executed, an idempotent one after any failure."""
-    drive, send = started(idempotency)
+    drive, send = start_attempt(idempotency)
     (retry,) = sends(drive.end(send, outcome))
     assert retry.request_id == 7 and retry.worker != send.worker
 
@@ -44,7 +53,7 @@
     This holds for a non-idempotent request that may have been executed, and for one that no worker can
     process.
     """
-    drive, send = started(idempotency)
+    drive, send = start_attempt(idempotency)
     actions = drive.end(send, outcome)
     assert final_answers(actions) == [api.Fail(7)] and not sends(actions)
     assert not final_answers(drive.run(12 * SECOND))
@@ -52,7 +61,7 @@
 
 def test_shutdown_accepts_only_requests_that_can_finish() -> None:
     """A request that would end too late is rejected at once, for another dispatcher; others are answered."""
-    drive, send = started(Idempotency.IDEMPOTENT)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT)
     drive.step(api.ShutdownStarted(3 * SECOND))
     drive.report(2, 4.0)
     long_request = drive.step(api.RequestReceived(8, 0, 10 * SECOND, runtime_hint_ns=5 * SECOND))
@@ -69,7 +78,7 @@
 @pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED)
 def test_idempotency_key_limits_retries_to_scope_and_window(outcome: Outcome) -> None:
     """Retries with a key go only to workers that recognise the key, and only while they do."""
-    drive, send = started(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL)
     (retry,) = sends(drive.end(send, outcome))
     assert retry.worker // 2 == send.worker // 2
     drive.run(4 * SECOND)
@@ -78,7 +87,7 @@
 
 def test_success_is_final() -> None:
     """Later events of an answered request cause neither a send nor another answer."""
-    drive, send = started(Idempotency.IDEMPOTENT)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT)
     drive.end(send, Outcome.OK, request_finished=True)
     later = drive.end(send, Outcome.ERROR) + drive.step(api.ClientDisconnected(7)) + drive.run(11 * SECOND)
     assert not sends(later) and not final_answers(later)
@@ -103,7 +112,7 @@
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_request_is_answered_by_its_deadline(idempotency: Idempotency) -> None:
     """A request whose attempt hangs is answered in time; a non-idempotent one in flight is never rejected."""
-    drive, _ = started(idempotency)
+    drive, _ = start_attempt(idempotency)
     answers = final_answers(drive.run(10 * SECOND, interval_ns=5 * MS))
     assert len(answers) == 1
     assert idempotency is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
@@ -111,7 +120,7 @@
 
 def test_attempts_are_limited() -> None:
     """After the maximum number of attempts, the request gets one final answer."""
-    drive, send = started(Idempotency.IDEMPOTENT)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT)
     count = 1
     for number in range(6):
         retry = sends(drive.end(send, Outcome.ERROR, attempt=number))
@@ -156,7 +165,7 @@
 
 def test_same_seed_and_events_give_same_actions() -> None:
     """All random choices depend only on the seed and the events."""
-    one, two = started(Idempotency.IDEMPOTENT)[0], started(Idempotency.IDEMPOTENT)[0]
+    one, two = start_attempt(Idempotency.IDEMPOTENT)[0], start_attempt(Idempotency.IDEMPOTENT)[0]
     assert one.actions == two.actions
 
 
@@ -190,7 +199,7 @@
 
 def test_late_request_that_may_have_run_is_not_queued_again() -> None:
     """A request that can only be late is answered at once, not at its deadline."""
-    drive, send = started(Idempotency.IDEMPOTENT)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT)
     drive.now += 3 * SECOND
     assert final_answers(drive.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -102,7 +102,7 @@
     (sent,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND, 1.0, 0.0, None, 0, False)))
     drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL))
     assert not dispatcher.ready_workers
-    drive.step(drive.list_of(api.EndpointListKind.FULL))
+    drive.step(drive.complete_list(api.EndpointListKind.FULL))
     assert len(dispatcher.ready_workers) == count and dispatcher.workers[7].is_ejected
     drive.step(list_update(range(sent.worker, sent.worker + 1), GONE))
     for first in range(count + 1, count + 1 + 3 * MAX_REMOVED_WORKERS, 512):  # new ids, as after a restart
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, DispatcherDriver, job_class, sends, settings, started
+from tests.helpers import MS, SECOND, DispatcherDriver, job_class, sends, settings, start_attempt
 from weldquay import interface as api
 from weldquay.estimators.runtime import RuntimeEstimator
 from weldquay.interface import Idempotency, Outcome
@@ -49,7 +49,7 @@
 
 def test_silent_worker_is_ejected_and_its_idempotent_request_is_retried() -> None:
     """A worker that does not respond gets no requests, and its retryable attempts are cancelled."""
-    drive, send = started(Idempotency.IDEMPOTENT, latency_objective_ns=6 * SECOND)
+    drive, send = start_attempt(Idempotency.IDEMPOTENT, latency_objective_ns=6 * SECOND)
     actions = drive.run(3 * SECOND)
     assert api.Cancel(7, 0) in actions
     retry, *_ = sends(drive.end(send, Outcome.CANCELLED) + drive.run(2 * SECOND))
@@ -58,7 +58,7 @@
 
 def test_non_idempotent_attempt_at_a_silent_worker_is_not_cancelled() -> None:
     """The worker may still answer it."""
-    drive, _ = started(Idempotency.NON_IDEMPOTENT)
+    drive, _ = start_attempt(Idempotency.NON_IDEMPOTENT)
     assert not any(isinstance(action, api.Cancel) for action in drive.run(5 * SECOND))
 
 
@@ -142,7 +142,7 @@
     drive.report(1, 4.0)
     drive.step(api.WorkerBanChanged(1))
     drive.step(
-        drive.list_of(api.EndpointListKind.FULL),
+        drive.complete_list(api.EndpointListKind.FULL),
         api.RequestReceived(1, 0, 5 * SECOND, runtime_hint_ns=100 * MS),
     )
     assert not sends(drive.run(SECOND)) and not any(isinstance(action, api.Probe) for action in drive.actions)
@@ -162,7 +162,7 @@
     drive = DispatcherDriver(workers=0)
     drive.step(api.WorkerBanChanged(1))
     drive.worker_ids = [1]
-    drive.step(drive.list_of(), api.RequestReceived(1, 0, 5 * SECOND))
+    drive.step(drive.complete_list(), api.RequestReceived(1, 0, 5 * SECOND))
     drive.report(1, 4.0)
     assert not sends(drive.actions)
 
