--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -113,16 +113,16 @@
 
 
 class DiscoveryModel:
-    """A model of discovery that serves polls in order; one that times out costs the same."""
+    """A model of discovery that serves polls one by one; it also spends time on those that have timed out."""
 
-    def __init__(self, work_ns: int, busy_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
-        self.work_ns = work_ns
-        self.free_ns = busy_ns
+    def __init__(self, service_time_ns: int, busy_until_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
+        self.service_time_ns = service_time_ns
+        self.busy_until_ns = busy_until_ns
         self.max_wait_ns = max_wait_ns
 
     def poll(self, now_ns: int) -> tuple[int, bool]:
         """Return the end of a poll, in ns, and whether it got a response."""
-        begin_ns = max(self.free_ns, now_ns)
-        self.free_ns = begin_ns + self.work_ns
+        begin_ns = max(self.busy_until_ns, now_ns)
+        self.busy_until_ns = begin_ns + self.service_time_ns
         is_too_late = begin_ns - now_ns > self.max_wait_ns
-        return (now_ns + self.max_wait_ns, False) if is_too_late else (begin_ns + self.work_ns, True)
+        return (now_ns + self.max_wait_ns, False) if is_too_late else (begin_ns + self.service_time_ns, True)
--- a/tests/site.py
+++ b/tests/site.py
@@ -74,8 +74,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.polls: list[tuple[str, float]] = []  # request target and event loop time (s)
-        self.lists: list[bytes] = []  # one for each poll; without one, a poll gets no response
-        self.list_delay_s = 0.0
+        self.lists: list[bytes] = []  # responses to the next polls; a poll after the last one gets none
+        self.list_delay_s = 0.0  # delay between the head of a response and its list
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Record the poll, and respond if there is a list for it."""
@@ -144,7 +144,7 @@
 
 
 def document(**settings: Any) -> dict[str, Any]:
-    """Return the configuration of the example with changed settings, by group."""
+    """Return the configuration of the example with these settings; a group keeps its other settings."""
     config_document: dict[str, Any] = json.loads(CONFIG.read_text())
     for group, values in settings.items():
         current = config_document["settings"].get(group)
@@ -156,7 +156,7 @@
 async def site(
     workers: int = 1, discovery: Server | None = None, discovery_mode: str = "ask", **settings: Any
 ) -> AsyncIterator[Site]:
-    """Run a site; at its end, everything is closed and no task may have failed."""
+    """Run a site, and close it at the end; no task, step or client connection may have failed."""
     toy_discovery = Discovery()
     config_document = document(discovery=discovery_mode, **settings)
     await (discovery or toy_discovery).start()
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -61,7 +61,7 @@
 
 
 def test_restarted_fleet_gets_updates_from_an_overloaded_discovery() -> None:
-    """Discovery has 2 s of requests queued; forty dispatchers retrying together would keep it overloaded."""
+    """Discovery is busy for the first 3 s; forty dispatchers retrying together would keep it overloaded."""
     updated_after_ns = restart_all(DiscoveryModel(120 * MS, 4 * SECOND), 60 * SECOND)
     assert len(updated_after_ns) == DISPATCHERS and max(updated_after_ns.values()) < 25 * SECOND
 
@@ -81,7 +81,7 @@
 
 @given(st.integers(1, 64), st.integers(0, 2**32))
 def test_poll_delay_stays_within_its_maximum(dispatchers: int, seed: int) -> None:
-    """After any number of failures."""
+    """The delay is at most 10 s, however many polls have failed before."""
     backoff = Backoff(random.Random(seed), dispatchers)
     assert all(0 <= backoff.retry_delay_ns(0, 10 * SECOND) <= 10 * SECOND for _ in range(40))
 
