--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,6 +18,7 @@
 from weldquay.limits import MIN_SOCKETS
 
 IDLE_CLIENTS = MIN_SOCKETS + 60  # more than the descriptor limit
+MIN_FREE_DESCRIPTORS = 20  # descriptors that idle clients leave for other connections
 
 
 def limit_descriptors() -> None:
@@ -63,14 +64,14 @@
         try:
             async with asyncio.timeout(30):
                 await wait_until_serving(process)
-                assert (await request(listen, job("c0"))).body == b"TEXT"  # by the configuration's list
+                assert (await request(listen, job("c0"))).body == b"TEXT"  # discovery has confirmed the list
                 failing.stop()
                 reserved_socket, _ = reserve_address(address)
                 host, port = listen.split(":")
                 for _ in range(IDLE_CLIENTS):
                     idle_clients.append(socket.create_connection((host, int(port))))
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert open_descriptors <= MIN_SOCKETS - 20  # the reserved descriptors are free
+                assert open_descriptors <= MIN_SOCKETS - MIN_FREE_DESCRIPTORS
                 assert (await request(listen, job("c1"))).body == b"TEXT"
                 assert (await request(listen, encode_message("GET /_health HTTP/1.1"))).status == 200
                 ready = await request(mgmt, encode_message("GET /control/ready HTTP/1.1"))
@@ -79,7 +80,8 @@
                 # Repeat until the new endpoint list reports the worker as draining.
                 while (await request(listen, job("late", left_ms=500))).status != 503:
                     idle_clients.append(socket.create_connection((host, int(port))))
-                assert len(os.listdir(f"/proc/{process.pid}/fd")) <= MIN_SOCKETS - 20
+                open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+                assert open_descriptors <= MIN_SOCKETS - MIN_FREE_DESCRIPTORS
                 process.terminate()
                 assert await process.wait() == 0
         finally:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,8 @@
-"""Tests with over a thousand workers and hundreds of dispatchers: complete lists, descriptors and memory."""
+"""Tests with over a thousand workers and hundreds of dispatchers.
+
+They cover complete endpoint lists, 700 changes of the list at once, subsets, hot restarts, stalls of the
+process, file descriptors and memory.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 from weldquay.policy.worker_table import MAX_REMOVED_WORKERS
 
 MAX_SOCKETS, MAX_MEMORY_MB = 576, 88  # the limits of a deployment
-RESERVED_DESCRIPTORS = 2  # left unused by the dispatcher
+RESERVED_DESCRIPTORS = 2  # descriptors below the limit that the dispatcher leaves unused
 READY, GONE = api.WorkerState.READY, api.WorkerState.GONE
 
 
@@ -115,7 +119,7 @@
 
 
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sorting 1,400 workers again for each of 1,400 changes would take seconds."""
+    """A step with 700 changes sorts the workers once; 1,400 sorts of 1,400 workers would take seconds."""
     drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
@@ -264,7 +268,8 @@
                 assert newer.phase is Phase.SERVING and test_site.process.phase is Phase.MIGRATING
             fleet.stop()
 
-    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # also the wait for discovery
+    # A new process waits this long for discovery.
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
 
 
@@ -276,11 +281,11 @@
 
     One that was not established in time counts as stalled, not as refused by the worker.
     """
-    stalls = [0.5]
+    pending_stalls_s = [0.5]
 
     async def connect_with_stall(host: str, port: int, limit: int) -> Any:
-        if stalls:
-            time.sleep(stalls.pop())  # noqa: ASYNC251  # the stalled event loop is tested here
+        if pending_stalls_s:
+            time.sleep(pending_stalls_s.pop())  # noqa: ASYNC251  # the stalled event loop is tested here
             await asyncio.sleep(connect_delay_s)
         return await connect(host, port, limit)
 
