--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -37,7 +37,8 @@
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)))
     drive.report(1, 4.0)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)]
-    assert len(sends(drive.step(*jobs))) == 2  # 0.6 x 3 x 0.2 x 4 slots x 2 s = 2.9 s of work
+    # The budget is 0.6 x overload multiple 3 x initial fraction 0.2 x 4 slots x 2 s = 2.9 s of work.
+    assert len(sends(drive.step(*jobs))) == 2
     drive = DispatcherDriver(workers=1)
     drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=21 * SECOND)
     drive.report(1, 4.0)
@@ -63,7 +64,7 @@
     assert not drive.actions
 
 
-def test_request_waits_for_probes_and_goes_to_a_worker_with_room() -> None:
+def test_request_waits_for_probes_and_goes_to_a_worker_with_free_slots() -> None:
     """Two to five random workers are probed before the request is placed."""
     drive = DispatcherDriver(settings(dispatcher_count=150), workers=80)
     actions = drive.step(api.RequestReceived(1, 0, 10 * SECOND))
@@ -111,13 +112,13 @@
         drive.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, workers))
         for number in range(4):
             drive.step(api.RequestReceived(number, 0, SECOND))
-        own = {action.worker for action in drive.actions if isinstance(action, api.Probe)}
-        assert len(own) <= 5 and own.isdisjoint(probed_before)
-        probed_before |= own
-        for worker in own:
+        probed_first = {action.worker for action in drive.actions if isinstance(action, api.Probe)}
+        assert len(probed_first) <= 5 and probed_first.isdisjoint(probed_before)
+        probed_before |= probed_first
+        for worker in probed_first:
             drive.report(worker, 0.0)
         drive.run(100 * MS)
-        assert {action.worker for action in drive.actions if isinstance(action, api.Probe)} - own
+        assert {action.worker for action in drive.actions if isinstance(action, api.Probe)} - probed_first
 
 
 def test_faster_machine_kind_gets_more_requests() -> None:
@@ -136,7 +137,7 @@
 
 
 def test_report_interval_is_learnt_from_repeated_reports() -> None:
-    """The figures change every 0.9 s and are received every 0.1 s."""
+    """The reported values change every 0.9 s, and a report arrives every 0.1 s."""
     drive = DispatcherDriver(workers=1)
     for number in range(1, 400):
         drive.now += 100 * MS
@@ -215,7 +216,7 @@
 
 
 def test_report_interval_is_learnt_from_rare_reports() -> None:
-    """The figures change every 1 s and are received every 0.8 s."""
+    """The reported values change every 1 s, and a report arrives every 0.8 s."""
     drive = DispatcherDriver(settings(may_probe=False), workers=1)
     for number in range(40):
         drive.report(1, 3.0 + int(number * 0.8) * 0.001)
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -14,7 +14,7 @@
 from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
-KEYED_SERVICES: list[dict[str, Any]] = [
+IDEMPOTENT_BY_KEY_SERVICES: list[dict[str, Any]] = [
     {
         "name": "lookup",
         "aim_ns": 1_000_000_000,
@@ -79,7 +79,7 @@
 
     async def scenario() -> None:
         async with site(
-            caps={"probes": False}, services=KEYED_SERVICES, family_info={"class_stretch": [2.0]}
+            caps={"probes": False}, services=IDEMPOTENT_BY_KEY_SERVICES, family_info={"class_stretch": [2.0]}
         ) as test_site:
             script = await start_retry_that_waits_for_delete(test_site)
             started_at = time.monotonic()
@@ -108,9 +108,8 @@
             if message.method == "POST":
                 posts.append(worker)
                 if len(posts) == 1:
-                    test_site.process.coordinator.set_worker_ban(
-                        worker.name, True
-                    )  # so that the retry goes elsewhere
+                    # The ban directs the retry to the other worker.
+                    test_site.process.coordinator.set_worker_ban(worker.name, True)
                     writer.transport.abort()
                     return
             if message.method != "DELETE" or await on_delete(worker, writer):
@@ -146,7 +145,7 @@
                 )
             )
             if may_hedge:
-                assert (await response_task).body == b"TEXT"  # at once, while the DELETE is pending
+                assert (await response_task).body == b"TEXT"  # the retry is sent while the DELETE is pending
             else:
                 await asyncio.sleep(0.2)
                 assert len(posts) == 1
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -19,6 +19,7 @@
     reset,
     revision_then_reset,
 )
+from tests.helpers import SECOND
 from tests.newer_process import newer_process
 from tests.site import WATCH_HEAD, Site, list_of_one_worker, site, until
 from weldquay.lab.site import reserve_address
@@ -77,7 +78,7 @@
     asyncio.run(scenario())
 
 
-async def wait_for_lease_to_expire(test_site: Site, _failing: FailingDiscovery) -> None:
+async def wait_for_lease_to_expire(test_site: Site) -> None:
     """Wait until the list is confirmed, send a request, and wait until the lease has expired."""
     endpoint_list = test_site.process.coordinator.endpoint_list
     await until(lambda: endpoint_list.send_deadline_ns > time.monotonic_ns())
@@ -94,7 +95,8 @@
 
     async def answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         """Send the list, and reset the watch if `closes_watch` is set; then fail as the base class does."""
-        await until(lambda: not self.worker_address.endswith(":1"))  # it is set after the start
+        # The test sets the worker's address after the start.
+        await until(lambda: not self.worker_address.endswith(":1"))
         if not self.is_first_poll:
             await super().answer(message, writer)
         elif self.closes_watch:
@@ -112,7 +114,7 @@
         failing = FailingAfterList(no_response, closes_watch=False)
         async with site(discovery=failing, group_size=3) as test_site:
             failing.worker_address = test_site.workers[0].address
-            await wait_for_lease_to_expire(test_site, failing)
+            await wait_for_lease_to_expire(test_site)
             assert (await test_site.post("after", left_ms=200)).status == 503
             assert test_site.workers[0].methods() == ["POST"]
             assert test_site.process.counters.counts["endpoint_list_leases_expired"] == 1
@@ -188,9 +190,8 @@
             down.worker_address = test_site.workers[0].address
             await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             started_at = time.monotonic()
-            await until(
-                lambda: len(down.poll_times) > 8 and time.monotonic() - started_at > 1.5
-            )  # more than twice the staleness limit
+            # 1.5 s is more than twice the reduced staleness limit.
+            await until(lambda: len(down.poll_times) > 8 and time.monotonic() - started_at > 1.5)
             assert (await test_site.post()).body == b"TEXT"
             assert test_site.process.counters.counts["endpoint_list_leases_expired"] == 0
 
@@ -210,10 +211,10 @@
             test_site.discovery.stop()
             reserved_socket, _ = reserve_address(address)
             await until(lambda: test_site.process.counters.counts["discovery_failures"])
-            if has_expired:  # discovery was reachable meanwhile, and sent no update
+            if has_expired:  # as if discovery had been reachable without sending an update
                 lease.may_have_missed_change, lease.expiry_ns = True, time.monotonic_ns()
             else:
-                lease.expiry_ns += 10**10  # longer than the test takes on a slow machine
+                lease.expiry_ns += 10 * SECOND  # longer than the test takes on a slow machine
             older_deadline_ns = lease.send_deadline_ns
             async with newer_process(test_site) as newer:
                 lease = newer.coordinator.dispatcher.lease
