--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,8 +15,15 @@
 from example.toy import encode_message, request
 from tests.site import CONFIG, site
 from weldquay.errors import OperatorError
-from weldquay.net.config import ConfigError, ConfigUnreadable, ConfigUnset, ReloadRefused, load, reload
-from weldquay.net.config import config_from_document as config_of
+from weldquay.net.config import (
+    ConfigError,
+    ConfigUnreadable,
+    ConfigUnset,
+    ReloadRefused,
+    config_from_document,
+    load,
+    reload,
+)
 
 ROOT = Path(weldquay.__file__).parent
 # Base classes of errors that are handled inside the program and never shown to operators, and OperatorError.
@@ -78,7 +85,7 @@
 def test_rejected_reload_has_its_own_class(tmp_path: Path) -> None:
     """Its remedy differs from that of a failed start, because the dispatcher keeps running."""
     document = json.loads(CONFIG.read_text())
-    running = config_of({}, document)
+    running = config_from_document({}, document)
     (tmp_path / "c.json").write_text(json.dumps({**document, "limits": None}))
     with pytest.raises(ReloadRefused, match="missing key limits"):
         reload({"GW_CONFIG": str(tmp_path / "c.json")}, running)
@@ -95,11 +102,11 @@
     """The JSON response has the error's code, so that programs can tell causes apart, and its remedy."""
 
     async def scenario() -> None:
-        async with site() as here:
-            address = f"127.0.0.1:{here.process.operators.port}"
-            answer = await request(address, encode_message(f"{call} HTTP/1.1"))
-            document = json.loads(answer.body)
-            assert answer.status == 404 and document["error"] == code and len(document["remedy"]) > 20
+        async with site() as test_site:
+            address = f"127.0.0.1:{test_site.process.operators.port}"
+            response = await request(address, encode_message(f"{call} HTTP/1.1"))
+            document = json.loads(response.body)
+            assert response.status == 404 and document["error"] == code and len(document["remedy"]) > 20
 
     asyncio.run(scenario())
 
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -26,9 +26,9 @@
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Start a dispatcher with its address in its file or in GW_LISTEN; kill it at the end if it runs."""
     path = folder / f"{listen.replace(':', '-')}.json"
-    in_file = listen if address_source == "file" else "127.0.0.1:1"
+    address_in_file = listen if address_source == "file" else "127.0.0.1:1"
     contents = document() | {
-        "listen": in_file,
+        "listen": address_in_file,
         "mgmt": f"127.0.0.1:{free_port()}",
         "discovery": discovery.address,
         "known": discovery.list_document(),
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("address_source", ["file", "GW_LISTEN"])
 @pytest.mark.parametrize("is_reversed", [False, True])
-def test_second_address_ends_with_one_line_and_the_first_process_serves_on(
+def test_process_with_another_address_exits_and_the_first_keeps_serving(
     address_source: str, is_reversed: bool, tmp_path: Path
 ) -> None:
     """The second process must not take over the listener, since its own address would refuse connections."""
@@ -100,21 +100,21 @@
     asyncio.run(scenario())
 
 
-def test_second_address_serves_while_the_first_process_is_draining(tmp_path: Path) -> None:
-    """A stop and a start change the address, since a draining process does not offer its listener."""
+def test_process_with_another_address_serves_while_the_first_is_draining(tmp_path: Path) -> None:
+    """A draining process offers no hot restart, so a new process can start at another address."""
 
     async def scenario() -> None:
         first, second = (f"127.0.0.1:{free_port()}" for _ in range(2))
         async with first_process(tmp_path, first, "file") as (process, discovery, worker):
             worker.script = worker.accept
-            waiting = asyncio.create_task(request(first, job("c1", left_ms=3000)))
+            response_task = asyncio.create_task(request(first, job("c1", left_ms=3000)))
             await worker.until("POST")
             process.send_signal(signal.SIGTERM)
             async with start_dispatcher(tmp_path, second, "file", discovery) as other:
                 await wait_until_serving(other)
                 assert process.returncode is None
                 await worker.send_callback("c1", state="done", result="late")
-                assert (await waiting).body == b"late" and await process.wait() == 0
+                assert (await response_task).body == b"late" and await process.wait() == 0
                 await until_healthy(second)
 
     asyncio.run(scenario())
--- a/tests/test_peer_timeout.py
+++ b/tests/test_peer_timeout.py
@@ -78,7 +78,7 @@
     assert TIMEOUT_S <= asyncio.run(scenario()) < 10
 
 
-def test_consecutive_stalls_extend_it_a_few_times() -> None:
+def test_consecutive_stalls_extend_the_timeout_a_few_times() -> None:
     """A process that always runs late must not wait forever."""
     iterations = 0
 
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "sends_partial_value", "limits"),
+    ("response", "sends_partial_value", "timeouts"),
     [
         # No heartbeat follows.
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", False, SHORT_TIMEOUTS),
@@ -27,7 +27,7 @@
     ids=["no heartbeat", "busy", "invalid JSON", "truncated value", "endless value"],
 )
 def test_failed_watch_is_polled_again(
-    response: bytes, sends_partial_value: bool, limits: dict[str, float], monkeypatch: pytest.MonkeyPatch
+    response: bytes, sends_partial_value: bool, timeouts: dict[str, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery sends nothing, is busy or sends invalid data; a request is held until its first valid value.
 
@@ -59,6 +59,6 @@
             failing.is_healthy = False
             assert (await test_site.post("c2")).body == b"TEXT"
 
-    for name, limit_s in limits.items():
-        monkeypatch.setattr(discovery_client, name, limit_s)
+    for name, timeout_s in timeouts.items():
+        monkeypatch.setattr(discovery_client, name, timeout_s)
     run_scenario(scenario())
