--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -139,7 +139,7 @@
         async with site(discovery=failing, group_size=dispatcher_count) as test_site:
             failing.worker_address = test_site.workers[0].address
             await wait_for_drain(test_site)
-            # 0.4 s by the table on the page; the rest allows for a busy machine.
+            # The table on the page gives 0.4 s; the limit allows for a busy machine.
             assert failing.poll_times[2] - failing.poll_times[1] < 2
             if failure_mode is older_revision:
                 assert failing.targets[2].endswith("since=0")
@@ -157,7 +157,7 @@
             failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
             await wait_for_drain(test_site)
-            assert time.monotonic() - started_at < 2  # 0.3 s by the table on the page
+            assert time.monotonic() - started_at < 2  # the table on the page gives 0.3 s
             assert test_site.process.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
@@ -179,7 +179,7 @@
             await failing.start_on(reserved_socket)
             started_at = time.monotonic()
             await wait_for_drain(test_site)
-            assert time.monotonic() - started_at < 2  # 0.36 s by the table on the page
+            assert time.monotonic() - started_at < 2  # the table on the page gives 0.36 s
 
     asyncio.run(scenario())
 
