--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -52,9 +52,11 @@
         self.now = 1000 * SECOND
         self.worker_ids = list(range(1, workers + 1))
         self.actions: list[api.Action] = []
-        self.step(self.list_of())
+        self.step(self.complete_list())
 
-    def list_of(self, kind: api.EndpointListKind = api.EndpointListKind.CACHED) -> api.EndpointListUpdate:
+    def complete_list(
+        self, kind: api.EndpointListKind = api.EndpointListKind.CACHED
+    ) -> api.EndpointListUpdate:
         """Return the complete endpoint list, with two workers per cell."""
         entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
         return api.EndpointListUpdate(kind, tuple(entries))
@@ -96,7 +98,7 @@
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
-def started(
+def start_attempt(
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, **changes: Any
 ) -> tuple[DispatcherDriver, api.Send]:
     """Return a driver with four workers, and the first attempt of request 7."""
@@ -111,16 +113,16 @@
 
 
 class DiscoveryModel:
-    """A model of discovery that serves polls in order; one that times out costs the same."""
+    """A model of discovery that serves polls one by one; it also spends time on those that have timed out."""
 
-    def __init__(self, work_ns: int, busy_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
-        self.work_ns = work_ns
-        self.free_ns = busy_ns
+    def __init__(self, service_time_ns: int, busy_until_ns: int, max_wait_ns: int = 2 * SECOND) -> None:
+        self.service_time_ns = service_time_ns
+        self.busy_until_ns = busy_until_ns
         self.max_wait_ns = max_wait_ns
 
     def poll(self, now_ns: int) -> tuple[int, bool]:
         """Return the end of a poll, in ns, and whether it got a response."""
-        begin_ns = max(self.free_ns, now_ns)
-        self.free_ns = begin_ns + self.work_ns
+        begin_ns = max(self.busy_until_ns, now_ns)
+        self.busy_until_ns = begin_ns + self.service_time_ns
         is_too_late = begin_ns - now_ns > self.max_wait_ns
-        return (now_ns + self.max_wait_ns, False) if is_too_late else (begin_ns + self.work_ns, True)
+        return (now_ns + self.max_wait_ns, False) if is_too_late else (begin_ns + self.service_time_ns, True)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -108,7 +108,7 @@
 
 async def wait_for_drain(test_site: Site) -> None:
     """Wait until the worker is listed as draining, so that requests are rejected."""
-    await until(lambda: test_site.program.discovery.revision == 9)
+    await until(lambda: test_site.process.discovery.revision == 9)
     assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
 
 
@@ -139,7 +139,7 @@
         async with site(discovery=failing, group_size=dispatcher_count) as test_site:
             failing.worker_address = test_site.workers[0].address
             await wait_for_drain(test_site)
-            # 0.4 s by the table on the page; the rest allows for a busy machine.
+            # The table on the page gives 0.4 s; the limit allows for a busy machine.
             assert failing.poll_times[2] - failing.poll_times[1] < 2
             if failure_mode is older_revision:
                 assert failing.targets[2].endswith("since=0")
@@ -157,8 +157,8 @@
             failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
             await wait_for_drain(test_site)
-            assert time.monotonic() - started_at < 2  # 0.3 s by the table on the page
-            assert test_site.program.counters.counts["discovery_response_timeouts"] == 1
+            assert time.monotonic() - started_at < 2  # the table on the page gives 0.3 s
+            assert test_site.process.counters.counts["discovery_response_timeouts"] == 1
 
     asyncio.run(scenario())
 
@@ -174,12 +174,12 @@
             address = failing.address
             failing.stop()
             reserved_socket, _ = reserve_address(address)
-            test_site.program.discovery.watch()
-            await until(lambda: test_site.program.counters.counts["discovery_failures"] >= 4)
+            test_site.process.discovery.watch()
+            await until(lambda: test_site.process.counters.counts["discovery_failures"] >= 4)
             await failing.start_on(reserved_socket)
             started_at = time.monotonic()
             await wait_for_drain(test_site)
-            assert time.monotonic() - started_at < 2  # 0.36 s by the table on the page
+            assert time.monotonic() - started_at < 2  # the table on the page gives 0.36 s
 
     asyncio.run(scenario())
 
@@ -196,9 +196,9 @@
             new_discovery.worker_address = test_site.workers[0].address
             await until(lambda: old_discovery.poll_times)
             host, port = new_discovery.address.split(":")
-            config = test_site.program.config
+            config = test_site.process.config
             changed_config = replace(config, discovery=type(config.discovery)(host, int(port)))
-            test_site.program.discovery.reconfigure(changed_config)
+            test_site.process.discovery.reconfigure(changed_config)
             await wait_for_drain(test_site)
             started_at = time.monotonic()
             await until(lambda: time.monotonic() - started_at > 0.5)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,8 @@
-"""Tests with over a thousand workers and hundreds of dispatchers: complete lists, descriptors and memory."""
+"""Tests with over a thousand workers and hundreds of dispatchers.
+
+They cover complete endpoint lists, 700 changes of the list at once, subsets, hot restarts, stalls of the
+process, file descriptors and memory.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 from weldquay.policy.worker_table import MAX_REMOVED_WORKERS
 
 MAX_SOCKETS, MAX_MEMORY_MB = 576, 88  # the limits of a deployment
-RESERVED_DESCRIPTORS = 2  # left unused by the dispatcher
+RESERVED_DESCRIPTORS = 2  # descriptors below the limit that the dispatcher leaves unused
 READY, GONE = api.WorkerState.READY, api.WorkerState.GONE
 
 
@@ -102,7 +106,7 @@
     (sent,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND, 1.0, 0.0, None, 0, False)))
     drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL))
     assert not dispatcher.ready_workers
-    drive.step(drive.list_of(api.EndpointListKind.FULL))
+    drive.step(drive.complete_list(api.EndpointListKind.FULL))
     assert len(dispatcher.ready_workers) == count and dispatcher.workers[7].is_ejected
     drive.step(list_update(range(sent.worker, sent.worker + 1), GONE))
     for first in range(count + 1, count + 1 + 3 * MAX_REMOVED_WORKERS, 512):  # new ids, as after a restart
@@ -115,7 +119,7 @@
 
 
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sorting 1,400 workers again for each of 1,400 changes would take seconds."""
+    """A step with 700 changes sorts the workers once; 1,400 sorts of 1,400 workers would take seconds."""
     drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
     refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
     monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
@@ -148,8 +152,8 @@
 
     async def scenario() -> None:
         async with site(workers=6) as test_site:
-            pool, counts = test_site.program.workers.connections, test_site.program.counters.counts
-            await until(lambda: test_site.program.coordinator.is_endpoint_list_confirmed)
+            pool, counts = test_site.process.workers.connections, test_site.process.counters.counts
+            await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             pool.max_connections = 2
             for number in range(24):
                 assert (await test_site.post(f"c{number}")).body == b"TEXT"
@@ -173,10 +177,10 @@
             assert [(await task).body for task in response_tasks] == [b"late"] * 6
             assert not counts["attempts_connect_failed"] and not counts["probes_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.process.coordinator.dispatcher.workers.values()
             )
             # Another process uses the remaining connections.
-            test_site.program.workers.limit_connections(1 / pool.connection_limit)
+            test_site.process.workers.limit_connections(1 / pool.connection_limit)
             await until(lambda: pool.open_connections <= 1)
 
     asyncio.run(scenario())
@@ -220,13 +224,13 @@
     async def scenario() -> None:
         discovery = ReleasedDiscovery(batches)
         async with site(workers=0, discovery=discovery) as test_site:
-            dispatcher, clients = test_site.program.coordinator.dispatcher, test_site.program.workers
+            dispatcher, clients = test_site.process.coordinator.dispatcher, test_site.process.workers
             for ready, listed in ((1100, 1100), (0, 1100), (700, 1100), (0, 400), (1100, 1100)):
                 discovery.released.release()
                 await until(lambda: len(dispatcher.ready_workers) == ready)  # noqa: B023
                 assert len(clients.listed_endpoints()) == listed
             assert len(clients.workers) == len(dispatcher.workers) == 1100
-            assert test_site.program.counters.counts["discovery_failures"] == 0
+            assert test_site.process.counters.counts["discovery_failures"] == 0
 
     asyncio.run(scenario())
 
@@ -254,17 +258,18 @@
             await test_site.discovery.notify_watches()
             listed_ids = {member["id"] for member in test_site.discovery.members.values()}
             await until(
-                lambda: {worker.id for worker in test_site.program.workers.listed_endpoints()} == listed_ids
+                lambda: {worker.id for worker in test_site.process.workers.listed_endpoints()} == listed_ids
             )
             test_site.discovery.stop()
             async with newer_process(test_site) as newer:
                 assert {worker.id for worker in newer.workers.listed_endpoints()} == listed_ids
                 assert len(newer.coordinator.dispatcher.ready_workers) == len(listed_ids) == 1101
                 assert newer.counters.counts["hot_restart_worker_states"] == 1101
-                assert newer.phase is Phase.SERVING and test_site.program.phase is Phase.MIGRATING
+                assert newer.phase is Phase.SERVING and test_site.process.phase is Phase.MIGRATING
             fleet.stop()
 
-    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)  # also the wait for discovery
+    # A new process waits this long for discovery.
+    monkeypatch.setattr(readiness, "ENDPOINT_LIST_TIMEOUT_S", 0.2)
     asyncio.run(scenario())
 
 
@@ -276,23 +281,23 @@
 
     One that was not established in time counts as stalled, not as refused by the worker.
     """
-    stalls = [0.5]
+    pending_stalls_s = [0.5]
 
     async def connect_with_stall(host: str, port: int, limit: int) -> Any:
-        if stalls:
-            time.sleep(stalls.pop())  # noqa: ASYNC251  # the stalled event loop is tested here
+        if pending_stalls_s:
+            time.sleep(pending_stalls_s.pop())  # noqa: ASYNC251  # the stalled event loop is tested here
             await asyncio.sleep(connect_delay_s)
         return await connect(host, port, limit)
 
     async def scenario() -> None:
         async with site(workers=2) as test_site:
-            counts = test_site.program.counters.counts
+            counts = test_site.process.counters.counts
             assert (await test_site.post()).body == b"TEXT"
             await until(lambda: counts["worker_connections_stalled"] == expected_stalls)
             assert counts["worker_connections"] and counts["attempts_aborted_before_send"] <= expected_stalls
             assert not counts["worker_connections_failed"] and not counts["attempts_connect_failed"]
             assert not any(
-                worker.is_ejected for worker in test_site.program.coordinator.dispatcher.workers.values()
+                worker.is_ejected for worker in test_site.process.coordinator.dispatcher.workers.values()
             )
 
     monkeypatch.setattr(connection_pool, "connect", connect_with_stall)
