--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -32,7 +32,7 @@
 # flood, repeated discovery outages, and silent watches.
 SEEDS = [4, 5, 7, 17, 20]
 
-# Requests with status 200 that a round has to exceed, if the dispatchers hold valid leases all the time.
+# Each round must have more requests with status 200, if the dispatchers have valid leases all the time.
 MIN_COMPLETED_REQUESTS = 500
 
 
@@ -40,8 +40,8 @@
 def test_soak_round_violates_no_rule(seed: int) -> None:
     """A failed round prints its plan and its violations.
 
-    Clients that wait for requests held without a valid lease send fewer requests meanwhile; the minimum of
-    completed requests is reduced by this fraction of their time only.
+    Clients whose requests are held without a valid lease send fewer requests.  The minimum of completed
+    requests is reduced by the fraction of the time that they wait for these, and by nothing else.
     """
     plan = draw_plan(seed)
     result = asyncio.run(run_plan(plan))
@@ -85,7 +85,7 @@
 
 
 def test_intervals_without_a_lease_are_read_from_the_log() -> None:
-    """An interval without an end lasts until the last line; lines without a time belong to a record."""
+    """An interval whose end is not logged lasts until the last record; lines without a time are ignored."""
     now_s = time.time()
 
     def log_line(after_s: float, text: str) -> str:
--- a/weldquay/lab/soak/checks.py
+++ b/weldquay/lab/soak/checks.py
@@ -9,8 +9,10 @@
 from weldquay.lab.soak.processes import ProcessLog, SoakDispatcher
 from weldquay.lab.soak.stand_ins import JobLog, SoakDiscovery
 
-ANSWER_GRACE_S = 0.5  # after the client's timeout; a later response counts as missing
-MAX_STALENESS_S = 6.2  # from when discovery could report a drain; includes 0.2 s for delays of this process
+MAX_ANSWER_LATENESS_S = 0.5  # a response may come this long after the client's timeout
+# A worker may get jobs for this long after discovery could report its drain: 6 s, and 0.2 s for delays of
+# this process.
+MAX_STALENESS_S = 6.2
 
 
 @dataclass
@@ -34,7 +36,8 @@
         if request.outcome in (RequestOutcome.UNANSWERED, RequestOutcome.TRUNCATED):
             violations.append(f"{request.request_id}: {request.outcome.value} after {took_s:.2f} s")
         elif (
-            request.outcome is RequestOutcome.ANSWERED and took_s > records.client_timeout_s + ANSWER_GRACE_S
+            request.outcome is RequestOutcome.ANSWERED
+            and took_s > records.client_timeout_s + MAX_ANSWER_LATENESS_S
         ):
             violations.append(f"{request.request_id}: answered {request.status} after {took_s:.2f} s")
         elif request.outcome is RequestOutcome.ANSWERED and request.status not in (200, 429, 502, 503):
@@ -71,7 +74,7 @@
 
 
 def describe_loss(request: SentRequest, signals_at: list[float]) -> str:
-    """Return a description of a lost request; signals_at: when its dispatcher received SIGTERM (s)."""
+    """Return a description of a lost request; signals_at: monotonic times (s) of SIGTERM."""
     connection = "new" if request.is_new_connection else "reused"
     took_s = request.ended_at - request.sent_at
     seconds_after_signals = ", ".join(f"{request.sent_at - at:.2f}" for at in signals_at)
--- a/weldquay/lab/soak/clients.py
+++ b/weldquay/lab/soak/clients.py
@@ -13,8 +13,8 @@
 
 CLIENTS = 10
 PAUSE_S = 0.04  # mean time between two requests of a client
-RECONNECT_S = 0.05
-ANSWER_GRACE_S = 1.5  # after the client's timeout; a request without a response by then is lost
+RECONNECT_DELAY_S = 0.05  # before a client that cannot connect tries the next dispatcher
+ANSWER_GRACE_S = 1.5  # how long after its timeout a client still waits; the request is unanswered then
 CONNECT_TIMEOUT_S = 1.0
 IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH = "/lookup/a", "/import"
 NON_IDEMPOTENT_FRACTION = 0.3
@@ -41,7 +41,7 @@
     ended_at: float
     outcome: RequestOutcome
     status: int = 0
-    is_result_correct: bool = True  # for status 200: the body is the result of this job
+    is_result_correct: bool = True  # False if a response with status 200 has the result of another job
 
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -105,7 +105,7 @@
                     connection = await asyncio.open_connection(host, int(port))
             except OSError:  # includes TimeoutError
                 dispatcher_index += 1
-                await asyncio.sleep(RECONNECT_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             try:
                 await self._send_requests(address, connection)
--- a/weldquay/lab/soak/held_requests.py
+++ b/weldquay/lab/soak/held_requests.py
@@ -1,8 +1,8 @@
-"""Requests that were rejected because their dispatcher held no valid lease on the endpoint list.
+"""Requests that were rejected because their dispatcher had no valid lease on the endpoint list.
 
-A dispatcher that cannot know whether its list is out of date sends no jobs: it holds requests, and rejects
-them shortly before they time out. It does so in an outage of discovery in which discovery could be reached
-for a moment between two polls.
+Without a valid lease, a dispatcher cannot know whether its list is out of date, so it sends no jobs: it holds
+requests, and rejects them shortly before they time out.  This happens when discovery is down and could be
+reached for a moment between two polls.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from weldquay.lab.soak.clients import RequestOutcome, SentRequest
 
 REJECTED_STATUS = 503
-MAX_RECOVERY_S = 6.2  # from the end of an outage until the lease is valid again; includes 0.2 s for delays
+MAX_RECOVERY_S = 6.2  # longest time from the end of an outage to a valid lease: 6 s, and 0.2 s for delays
+# Parts of the messages that `net.endpoint_list_adapter` logs when it starts and stops holding requests.
 LEASE_EXPIRED_TEXT = "no valid lease on the endpoint list"
 LEASE_VALID_TEXT = "the lease on the endpoint list is valid again"
 LOG_TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A period of time; monotonic (s)."""
+    """A time interval; its bounds are monotonic times in seconds."""
 
     started_at: float
     ended_at: float
@@ -35,9 +36,9 @@
 
 
 def intervals_without_lease(log_lines: Iterable[str]) -> list[Interval]:
-    """Return when a process held no valid lease, according to its log.
+    """Return the intervals in which a process had no valid lease, read from its log.
 
-    An interval that the log does not end lasts until its last line.
+    An interval whose end is not logged lasts until the last record of the log.
     """
     monotonic_offset_s = time.monotonic() - time.time()
     intervals: list[Interval] = []
@@ -46,7 +47,7 @@
     for line in log_lines:
         try:
             logged_time = datetime.strptime(line[:LOG_TIME_LENGTH], LOG_TIME_FORMAT)
-        except ValueError:  # not the first line of a record
+        except ValueError:  # a further line of a record, such as a traceback
             continue
         logged_at = logged_time.timestamp() + monotonic_offset_s
         if LEASE_EXPIRED_TEXT in line:
@@ -60,9 +61,10 @@
 
 
 def is_held_request(request: SentRequest, without_lease: list[Interval], outages: list[Interval]) -> bool:
-    """Return whether a request was rejected for want of a valid lease, in or soon after a discovery outage.
+    """Return whether a request was rejected without a valid lease, in a discovery outage or soon after it.
 
-    without_lease: the intervals of the request's dispatcher; outages: of discovery.
+    without_lease: the intervals in which its dispatcher had no valid lease.
+    outages: the intervals in which discovery was down; each has an effect for up to MAX_RECOVERY_S more.
     """
     return (
         request.outcome is RequestOutcome.ANSWERED
@@ -73,8 +75,11 @@
 
 
 def held_time_fraction(requests: list[SentRequest], held: list[SentRequest], clients: int) -> float:
-    """Return the fraction of the clients' time, from first to last request, spent on held requests."""
+    """Return the fraction of the clients' total time that they waited for held requests.
+
+    The time counts from the first request to the end of the last one, for each of the `clients` clients.
+    """
     if not requests:
         return 0.0
-    round_s = max(each.ended_at for each in requests) - min(each.sent_at for each in requests)
-    return sum(each.ended_at - each.sent_at for each in held) / (clients * round_s)
+    duration_s = max(each.ended_at for each in requests) - min(each.sent_at for each in requests)
+    return sum(each.ended_at - each.sent_at for each in held) / (clients * duration_s)
--- a/weldquay/lab/soak/plan.py
+++ b/weldquay/lab/soak/plan.py
@@ -8,12 +8,12 @@
 
 DISPATCHERS = 2
 WORKERS = 4
-FAULT_PHASE_S = 9.0  # then all processes are terminated
-WARM_UP_S = 1.0  # load without faults, before the first fault
-CLIENT_TIMEOUTS_S = (0.6, 1.5, 3.0)  # SIGKILL follows SIGTERM by the longest timeout plus 0.7 s
-CONNECTION_FLOOD_FRACTION = 0.3  # of all rounds
+FAULT_PHASE_S = 9.0  # minimum duration of the phase in which faults occur
+WARM_UP_S = 1.0  # duration of the load before the fault phase
+CLIENT_TIMEOUTS_S = (0.6, 1.5, 3.0)  # one per round; SIGKILL follows SIGTERM after it plus 0.7 s
+CONNECTION_FLOOD_FRACTION = 0.3  # fraction of the rounds that have a connection flood
 CONNECTION_FLOOD_SIZE = 400  # idle connections to each dispatcher, above its connection limit
-BRIEF_RECOVERY_S = 0.7  # longer than a recovery of discovery can go unnoticed
+BRIEF_RECOVERY_S = 0.7  # longer than dispatchers may fail to notice that discovery is up (0.5 s)
 
 
 class ProcessFault(Enum):
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The plan of a round; discovery_durations_s: of the phases of the discovery fault."""
+    """The plan of a round; discovery_durations_s: durations of the phases of the discovery fault."""
 
     seed: int
     client_timeout_s: float
--- a/weldquay/lab/soak/processes.py
+++ b/weldquay/lab/soak/processes.py
@@ -18,7 +18,7 @@
 from weldquay.lab.soak.plan import ProcessFault, TimedFault
 
 MAX_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL further
-KILL_DELAY_S = 0.7  # from the client timeout to SIGKILL
+KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM after the client timeout plus this delay
 READY_TIMEOUT_S = 10.0
 POLL_S = 0.02
 SIGNAL_GAP_S = 0.15  # between two signals of a series
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnd:
-    """The exit of a process; elapsed_s: since SIGTERM, margin_s: left until SIGKILL was due."""
+    """The exit of a process; elapsed_s: time since SIGTERM; margin_s: time that was left until SIGKILL."""
 
     name: str
-    status: int | None  # None: killed by SIGKILL
+    status: int | None  # exit status; None if SIGKILL was sent
     elapsed_s: float
     margin_s: float
 
@@ -57,7 +57,7 @@
         self.kill_after_s = min(client_timeout_s, MAX_CLIENT_TIMEOUT_S) + KILL_DELAY_S
         self.log = log
         self.process: asyncio.subprocess.Process | None = None
-        self.terminations: list[tuple[float, float]] = []  # times of SIGTERM and of the exit
+        self.terminations: list[tuple[float, float]] = []  # monotonic times (s) of SIGTERM and exit
         self._starts = 0
         folder.mkdir(parents=True)
         (folder / "tmp").mkdir()
@@ -168,14 +168,14 @@
                 while newer.returncode is None and b"is serving" not in path.read_bytes():  # noqa: ASYNC110
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            self.log.not_ready.append(f"{self.name}: no hot restart after {READY_TIMEOUT_S} s")
+            self.log.not_ready.append(f"{self.name}: hot restart not completed after {READY_TIMEOUT_S} s")
 
     def count_tracebacks(self) -> int:
         """Return the number of tracebacks in the logs."""
         return sum(path.read_text().count("Traceback") for path in self.folder.glob("log-*"))
 
     def intervals_without_lease(self) -> list[Interval]:
-        """Return when a process of this dispatcher held no valid lease on the endpoint list."""
+        """Return the intervals in which a process of this dispatcher had no valid lease, from its logs."""
         return [
             interval
             for path in self.folder.glob("log-*")
--- a/weldquay/lab/soak/round.py
+++ b/weldquay/lab/soak/round.py
@@ -33,7 +33,7 @@
 
 CONFIG_PATH = Path(__file__).parents[3] / "example" / "config.json"
 ROUND_TIMEOUT_S = 90.0
-MIN_STALE_OUTAGE_S = 7.0  # outlasts the maximum staleness of the endpoint list
+MIN_STALE_OUTAGE_S = 7.0  # longer than the maximum staleness of the endpoint list (6 s)
 RECOVERY_POLL_S = 0.1
 SECOND = 1_000_000_000
 
@@ -45,17 +45,17 @@
     violations: list[str]
     requests: int
     statuses: Counter[int]
-    closed: int
+    closed_unanswered: int
     min_margin_s: float  # shortest time that a process had left before SIGKILL
-    held_fraction: float  # of the clients' time, on requests rejected for want of a valid lease
+    held_fraction: float  # fraction of the clients' time spent on requests held without a valid lease
 
     def summary(self) -> str:
         """Return the statistics on one line."""
         statuses = ", ".join(f"{status}: {count}" for status, count in sorted(self.statuses.items()))
         return (
-            f"{self.requests} requests ({statuses}), {self.closed} closed without a response, "
+            f"{self.requests} requests ({statuses}), {self.closed_unanswered} closed without a response, "
             f"minimum margin before SIGKILL {self.min_margin_s:.2f} s, "
-            f"held without a lease {self.held_fraction:.0%} of the time"
+            f"requests held without a valid lease {self.held_fraction:.0%} of the clients' time"
         )
 
 
@@ -100,7 +100,7 @@
             await worker.listen()
             self.discovery.put(worker.worker_id, [worker.address_for(n) for n in range(DISPATCHERS)])
         for number in range(DISPATCHERS):
-            document = self._document(number)
+            document = self._config_document(number)
             folder = self.folder / f"d{number}"
             self.dispatchers.append(
                 SoakDispatcher(folder, document, self.plan.client_timeout_s, self.processes)
@@ -123,7 +123,7 @@
         for server in (self.discovery, *self.workers):
             server.stop()
 
-    def _document(self, number: int) -> dict[str, Any]:
+    def _config_document(self, number: int) -> dict[str, Any]:
         document: dict[str, Any] = json.loads(CONFIG_PATH.read_text())
         document |= {
             "name": f"d{number}",
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -39,7 +39,7 @@
     """The jobs that all workers received, and the open attempts."""
 
     received: list[ReceivedJob] = field(default_factory=list)
-    open_attempts: dict[str, int] = field(default_factory=dict)  # by request
+    open_attempts: dict[str, int] = field(default_factory=dict)  # number by request id
 
     def begin(self, request_id: str, worker_id: str) -> None:
         """Record an attempt that was received completely."""
@@ -168,11 +168,11 @@
         self.addresses_by_caller: list[str] = []
         self._reserved_sockets: list[socket.socket] = []  # reserve the ports while discovery is down
         self.is_up = False
-        self.outages: list[Interval] = []  # those that have ended
+        self.outages: list[Interval] = []  # outages that have ended
         self._down_since = 0.0
-        self.drained: dict[str, float] = {}  # when each worker was listed as draining
-        self.drain_visible_at: dict[str, float] = {}  # when discovery could first report that
-        self._silenced_at = 0.0  # watches that began earlier send nothing
+        self.drained: dict[str, float] = {}  # monotonic time (s) when each worker was listed as draining
+        self.drain_visible_at: dict[str, float] = {}  # when discovery could first report each drain
+        self._silenced_at = 0.0  # watches opened before this time send nothing
 
     async def open(self, callers: int) -> None:
         """Listen at one address for each caller."""
