--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -50,8 +50,8 @@
         seed, DURATION_NS, capacity, load, dispatchers, job_classes, hints or loads.Hints()
     ).draw_arrivals()
     dispatcher_settings = [
-        decode_settings(FlatSettings.from_nested(loads.settings(dispatchers, job_classes, me)))[0]
-        for me in range(dispatchers)
+        decode_settings(FlatSettings.from_nested(loads.settings(dispatchers, job_classes, index)))[0]
+        for index in range(dispatchers)
     ]
     run = Simulation(
         Scenario(
--- a/weldquay/lab/load.py
+++ b/weldquay/lab/load.py
@@ -17,8 +17,10 @@
 class JobClass:
     """A class of jobs.
 
-    fraction: of all jobs.  mean_work_ns: mean running time at speed 1.  effect: a value of `effect` in the
-    settings file.  slot_probabilities: of 1, 2, 4 slots.  runtime_variation: standard deviation over mean.
+    fraction: the part of all jobs that belongs to the class.  mean_work_ns: mean running time at speed 1.
+    runtime_allowance: a job is in time up to the latency objective plus this multiple of its running time.
+    effect: a value of `effect` in the settings file.  slot_probabilities: that a job needs 1, 2 or 4 slots.
+    runtime_variation: standard deviation of the running time over its mean.
     """
 
     name: str
@@ -65,8 +67,8 @@
 class Hints:
     """Errors of the clients' runtime hints.
 
-    spread: standard deviation of the logarithm of a good hint.  wrong_factor: the factor by which wrong hints
-    are too long or too short.
+    spread: standard deviation of the logarithm of a good hint over the running time.  wrong_factor: the
+    factor by which wrong hints are too long or too short.
     """
 
     spread: float = 0.25
@@ -209,9 +211,9 @@
     name: str
     slots: int
     jobs: int
-    fractions: dict[RequestResult, float]  # of the total value of the jobs
-    rejections: float  # per job
-    wait_ms: tuple[float, float, float]  # 50th, 90th and 99th percentile of served jobs
+    fractions: dict[RequestResult, float]  # parts of the total job value, by result
+    rejections: float  # mean number per job
+    wait_ms: tuple[float, float, float]  # waiting times of served jobs: 50th, 90th and 99th percentile
 
 
 def summary(
--- a/weldquay/lab/model.py
+++ b/weldquay/lab/model.py
@@ -129,7 +129,7 @@
         self.has_failed = False
         self.recent_work: deque[tuple[int, float]] = deque()  # time and work of arrivals during slow start
         self.service_ms = 0.0
-        self.busy_ns = 0.0  # slot time used
+        self.busy_ns = 0.0  # slot time used so far
         self.starts_by_job: dict[str, int] = {}
         self.events: list[WorkerEvent] = []
         self.reports: deque[tuple[int, LoadReport]] = deque()
--- a/weldquay/lab/reservation_experiment.py
+++ b/weldquay/lab/reservation_experiment.py
@@ -63,7 +63,7 @@
 
     plan: Plan
     cells: dict[str, dict[str, float]]
-    busy: float  # used fraction of all slot time
+    busy_fraction: float  # used fraction of all slot time
     counters: dict[str, float]
     unanswered: int  # requests that did not get exactly one response
     repeated: int  # non-idempotent jobs that ran more than once
@@ -119,7 +119,7 @@
     return _summarize(
         plan,
         result.records,
-        result.busy,
+        result.busy_fraction,
         dict(result.counts),
         {str(job): times for job, times in result.starts_by_job.items()},
     )
@@ -130,15 +130,15 @@
     async with site(fleet(plan), plan.dispatchers, arguments=arguments) as running:
         start_s = asyncio.get_running_loop().time()
         await running.send_arrivals(arrivals(plan), plan.seed, RETRIES)
-        busy = running.busy_fraction(int((asyncio.get_running_loop().time() - start_s) * 1e9))
+        busy_fraction = running.busy_fraction(int((asyncio.get_running_loop().time() - start_s) * 1e9))
         starts = {str(int(job, 16)): times for job, times in running.starts_by_job().items()}
-    return _summarize(plan, running.records, busy, running.counters, starts)
+    return _summarize(plan, running.records, busy_fraction, running.counters, starts)
 
 
 def _summarize(
     plan: Plan,
     records: Sequence[loads.RequestRecord],
-    busy: float,
+    busy_fraction: float,
     counters: dict[str, float],
     starts_by_job: dict[str, int],
 ) -> RunResult:
@@ -162,7 +162,7 @@
     return RunResult(
         plan,
         cells,
-        busy,
+        busy_fraction,
         counters,
         sum(record.answers != 1 for record in records),
         sum(times > 1 for job, times in starts_by_job.items() if job in non_idempotent),
@@ -227,7 +227,7 @@
 
 def _arm_line(arm: str, results: Sequence[RunResult]) -> str:
     return (
-        f"- {arm}: workers' slots used {_median_and_range(result.busy for result in results)}; "
+        f"- {arm}: workers' slots used {_median_and_range(result.busy_fraction for result in results)}; "
         f"requests without exactly one response {sum(result.unanswered for result in results)}; "
         f"non-idempotent jobs run more than once {sum(result.repeated for result in results)}; "
         f"{_reservation_counts(results)}"
@@ -309,7 +309,7 @@
     return {
         "plan": asdict(result.plan),
         "cells": result.cells,
-        "busy": result.busy,
+        "busy": result.busy_fraction,
         "counters": result.counters,
     }
 
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -18,7 +18,7 @@
 
 
 class MatchWorker(Server):
-    """A server for a model worker, with one address per dispatcher; it sends call-backs to the dispatcher.
+    """A server for a model worker, with one address per dispatcher; it sends callbacks to the dispatcher.
 
     The body of a job has its requirements: {"work_ns": ..., "slots": ..., "memory": ...}.
     """
@@ -76,7 +76,7 @@
         self._process_events()
 
     def _process_events(self) -> None:
-        """Send the call-backs of the model's events, and schedule the next check."""
+        """Send the callbacks for the model's events, and schedule the next call at its next event."""
         for event in self.model.advance(time.monotonic_ns()):
             request_id = event.job.id
             callback: dict[str, Any] = {"id": request_id, "from": self.spec.name}
@@ -106,7 +106,7 @@
         return self.pools[caller]
 
     async def _send_callback(self, caller: int, callback: dict[str, Any]) -> None:
-        """Send a call-back until it is acknowledged, with a limited number of attempts."""
+        """Send a callback until it is acknowledged, with a limited number of attempts."""
         data = encode_message("POST /callback HTTP/1.1", json.dumps(callback).encode())
         for _ in range(MAX_CALLBACK_ATTEMPTS):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -116,7 +116,7 @@
         self.unanswered_callbacks += 1
 
     def stop(self) -> None:
-        """Close all connections and cancel all call-backs."""
+        """Close all connections and cancel all callbacks."""
         super().stop()
         if self.timer is not None:
             self.timer.cancel()
@@ -134,7 +134,7 @@
         self.revision = 1
         self.members: dict[str, dict[str, Any]] = {}
         self.addresses: dict[str, list[str]] = {}
-        self.changed = asyncio.Event()  # replaced after each change
+        self.changed = asyncio.Event()  # set at the next change of the list, then replaced
 
     def put(
         self,
@@ -167,9 +167,9 @@
         """Return the complete list document with the addresses for a caller."""
         members = []
         for worker_id, member in self.members.items():
-            # The member itself has the address of the first caller.
-            own = self.addresses.get(worker_id, [])[: caller + 1][1:]
-            members.append({**member, "host_port": own[-1]} if own else member)
+            # A member has the first caller's address; a later caller gets its own, or the last one there is.
+            later_addresses = self.addresses.get(worker_id, [])[: caller + 1][1:]
+            members.append({**member, "host_port": later_addresses[-1]} if later_addresses else member)
         return {"revision": self.revision, "complete": True, "members": members}
 
     async def answer(self, _: Message, writer: asyncio.StreamWriter) -> None:
--- a/weldquay/lab/site.py
+++ b/weldquay/lab/site.py
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """A running site."""
+    """The dispatcher processes and stand-ins that run, and the records of the requests sent to them."""
 
     nodes: list[Node]
     workers: list[MatchWorker]
--- a/weldquay/lab/virtual_time.py
+++ b/weldquay/lab/virtual_time.py
@@ -22,7 +22,7 @@
 from weldquay.policy.dispatcher import Dispatcher
 
 NETWORK_DELAY_NS = 250_000  # one-way network latency
-MIN_RETRY_PAUSE_NS = 50 * model.MS  # of clients; the maximum is twice as long
+MIN_RETRY_PAUSE_NS = 50 * model.MS  # minimum pause before a client's retry; the maximum is twice as long
 RUNTIME_NOISE = 0.1  # standard deviation of the logarithm of actual over expected running time
 
 
@@ -40,7 +40,7 @@
 
     arrivals: Sequence[loads.Arrival]
     specs: Sequence[model.WorkerSpec]
-    settings: Sequence[api.Settings]  # by dispatcher
+    settings: Sequence[api.Settings]  # one for each dispatcher
     seed: int = 1
     job_classes: Sequence[loads.JobClass] = loads.JOB_CLASSES
     retries: int = 0
@@ -53,7 +53,7 @@
 
     records: list[loads.RequestRecord]
     counts: Counter[str]
-    busy: float  # used fraction of all slot time
+    busy_fraction: float  # used fraction of all slot time
     starts_by_job: dict[int, int] = field(default_factory=dict)
 
 
@@ -88,7 +88,7 @@
     record: loads.RequestRecord
     arrival: loads.Arrival
     deadline_ns: int
-    sends: int = 0
+    sends: int = 0  # number of its attempts so far
     is_open: bool = True
 
 
@@ -184,7 +184,7 @@
         self.attempts: dict[tuple[int, int, int], _Attempt] = {}
         self.attempts_by_job: dict[str, _Attempt] = {}
         self.counts: Counter[str] = Counter()
-        self.sends: list[tuple[int, int]] = []  # time and worker of each send
+        self.sends: list[tuple[int, int]] = []  # virtual time (ns) and worker of each send
         self._send_endpoint_list(api.EndpointListKind.CACHED)
         self.clients = Clients(scenario, self.timeline, self.random, self._enqueue_event)
         for fault in scenario.faults:
@@ -202,8 +202,8 @@
             self.timeline.run_next()
             if end_ns is None and not self.attempts and self.clients.are_all_answered():
                 break
-        busy = self.fleet.busy_fraction(self.start_ns)
-        return SimulationResult(self.clients.records, self.counts, busy, self.fleet.starts_by_job())
+        busy_fraction = self.fleet.busy_fraction(self.start_ns)
+        return SimulationResult(self.clients.records, self.counts, busy_fraction, self.fleet.starts_by_job())
 
     # --- dispatchers ---
 
