--- a/weldquay/lab/scale/__main__.py
+++ b/weldquay/lab/scale/__main__.py
@@ -18,7 +18,7 @@
 from weldquay.lab.scale.fleet import Measurement, measure_point
 from weldquay.lab.scale.points import CHECK, SWEEPS, Point
 
-RUN_TIMEOUT_S = 240.0  # for all points of a run; those not begun by then are skipped and reported
+RUN_TIMEOUT_S = 240.0  # time limit of a run; points that have not begun by then are skipped and reported
 FILE_PATH = click.Path(path_type=Path, dir_okay=False)
 json_option = click.option(
     "--json", "target", type=FILE_PATH, help="Write the figures to this file; other parts of it stay."
@@ -43,7 +43,7 @@
         raise click.ClickException(error.advice()) from None
 
 
-def _measure_steadily(point: Point, deadline_s: float) -> Measurement:
+def _measure_with_retry(point: Point, deadline_s: float) -> Measurement:
     """Measure a point, again if the machine was stalled and there is time; return the steadier result."""
     measurements = [_measure(point)]
     if len(checking.steady_windows(measurements[0])) < point.windows and time.monotonic() < deadline_s:
@@ -71,7 +71,7 @@
         if time.monotonic() - start_s > RUN_TIMEOUT_S:
             report_progress(f"skipped after {RUN_TIMEOUT_S:.0f} s: {point}")
             continue
-        measurements.append(_measure_steadily(point, start_s + RUN_TIMEOUT_S))
+        measurements.append(_measure_with_retry(point, start_s + RUN_TIMEOUT_S))
         report_progress(
             f"{len(measurements)} of {len(selected)}: {point.axis}: {point.dispatchers} dispatchers, "
             f"{point.workers} workers, {point.changes:g} changes/s, {point.real_rate:g} requests/s: "
@@ -112,10 +112,10 @@
     except checking.MachineStalled as error:
         raise click.ClickException(error.advice()) from None
     for row in rows:
-        word = "ok" if row.passed else "DIFFERS"
+        verdict = "ok" if row.passed else "DIFFERS"
         click.echo(
             f"{row.name:28} real {row.real:10.3f}  hollow {row.hollow:10.3f}  "
-            f"{row.relative_difference:.3f} {word}"
+            f"{row.relative_difference:.3f} {verdict}"
         )
     if target:
         result = results.read_result(target)
--- a/weldquay/lab/scale/budget.py
+++ b/weldquay/lab/scale/budget.py
@@ -22,7 +22,7 @@
     find_point,
 )
 
-CONTROL_PARTS = 4  # returned by `control_parts` if all were measured
+CONTROL_PARTS = 4  # number that `control_parts` returns if all of them were measured
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -24,7 +24,7 @@
 
 MAX_LIFETIME_S = 120.0  # longer than any point takes
 LOOP_CHECK_PERIOD_S = 0.25
-MAX_LINE_BYTES = 2**24  # of one command or response; the addresses of 1,400 workers need 1% of it
+MAX_LINE_BYTES = 2**24  # limit of a command or response; the addresses of 1,400 workers need 1% of it
 
 
 class Role(Protocol):
--- a/weldquay/lab/scale/counts.py
+++ b/weldquay/lab/scale/counts.py
@@ -13,7 +13,7 @@
 from weldquay.lab.http import Message, Pool
 
 HOLLOW_ADDRESS_PREFIX = "127.1."
-MAX_IDLE_CONNECTIONS = 2  # per address, as many as a dispatcher keeps to a worker
+MAX_IDLE_CONNECTIONS = 2  # kept open to each address, as a dispatcher does to each worker
 
 
 def hollow_address(number: int) -> str:
@@ -34,7 +34,7 @@
 
 
 def request_kind(data: bytes) -> str:
-    """Return the kind of a request, which its first bytes tell."""
+    """Return the kind of an encoded request, by its method and target."""
     if data.startswith(b"POST /callback "):
         return "callbacks"
     return {b"POST": "attempts", b"GET ": "probes"}.get(data[:4], "deletes")
--- a/weldquay/lab/scale/decisions.py
+++ b/weldquay/lab/scale/decisions.py
@@ -27,25 +27,26 @@
 from weldquay.settings import FlatSettings, decode_settings
 
 REQUESTS_PER_S = 20.0
-WORKERS = (10, 100, 400, 1400)
-DISPATCHERS = (1, 410)
-REQUESTS = 200  # ten seconds at this rate
+WORKER_COUNTS = (10, 100, 400, 1400)
+DISPATCHER_COUNTS = (1, 410)
+REQUESTS = 200  # simulated in each repeat: ten seconds at REQUESTS_PER_S
 ALL_REPORTED_REQUESTS = 9
 REPEATS = 5
 ProgressCallback = Callable[[str], None]
 
 
 class Cost(msgspec.Struct):
-    """The cost at one fleet size; each list has one figure per repeat, in microseconds of processor time."""
+    """The cost at one fleet size; each list has one figure per repeat; times are processor time."""
 
     workers: int
     dispatchers: int
-    requests: int  # in each repeat
-    request_us: list[float]  # all steps for a request, simulated
-    all_reported_us: list[float] = msgspec.field(name="told_us")  # where every worker has just reported
-    change_us: list[float]  # a step with a list change of one worker
-    list_us: list[float]  # a step with the whole list
-    probes: list[float]  # per request, not a time
+    requests: int  # number in each repeat
+    request_us: list[float]  # time of all steps for a request, simulated
+    # Time of all steps for a request when every worker has just reported its load.
+    all_reported_us: list[float] = msgspec.field(name="told_us")
+    change_us: list[float]  # time of a step with a list change of one worker
+    list_us: list[float]  # time of a step with the whole list
+    probes: list[float]  # mean number of probes per request
 
 
 class TimedDispatcher:
@@ -150,8 +151,8 @@
 
 
 def measure_all(
-    workers: Sequence[int] = WORKERS,
-    dispatchers: Sequence[int] = DISPATCHERS,
+    workers: Sequence[int] = WORKER_COUNTS,
+    dispatchers: Sequence[int] = DISPATCHER_COUNTS,
     report_progress: ProgressCallback = lambda _: None,
 ) -> list[Cost]:
     """Return the costs at all fleet sizes."""
--- a/weldquay/lab/scale/discovery.py
+++ b/weldquay/lab/scale/discovery.py
@@ -25,8 +25,8 @@
     def __init__(self, counter: MessageCounter) -> None:
         super().__init__()
         self.counter = counter
-        self.change_log: list[tuple[int, bytes]] = []  # each revision with its encoded line
-        self.encoded_list: tuple[int, bytes] = (0, b"")  # a revision and the whole list encoded at it
+        self.change_log: list[tuple[int, bytes]] = []  # each revision with the encoded change that led to it
+        self.encoded_list: tuple[int, bytes] = (0, b"")  # a revision and the encoded whole list of it
 
     def toggle_draining(self, worker_id: str) -> None:
         """Mark a serving worker as draining, or a draining one as serving, and notify all watches."""
@@ -41,7 +41,7 @@
     async def run_changes(self, rate: float, seed: int) -> None:
         """Make `rate` changes to the list per second, until cancelled.
 
-        Each second change returns to service the worker that the change before it drained.
+        Every other change marks as serving the worker that the change before it marked as draining.
         """
         rng, names = random.Random(seed), sorted(self.members)
         loop, draining = asyncio.get_running_loop(), ""
@@ -75,7 +75,7 @@
     def _send_line(
         self, side: str, name: str, writer: asyncio.StreamWriter, revision_line: tuple[int, bytes]
     ) -> int:
-        """Write one line, count it, and return the revision that its reader then has."""
+        """Write one line, count it, and return its revision."""
         write_line(writer, revision_line[1])
         self.counter.count_message(
             side, name, len(revision_line[1]) + len(f"{len(revision_line[1]) + 1:x}") + 5
--- a/weldquay/lab/scale/fleet.py
+++ b/weldquay/lab/scale/fleet.py
@@ -23,10 +23,10 @@
 from weldquay.lab.site import wait_for_exit
 
 RESPONSE_TIMEOUT_S, EXIT_TIMEOUT_S = 30.0, 25.0
-MAX_MEMORY_FRACTION = 0.5  # of the machine's memory; a run whose processes use more is stopped
-MAX_CORES = 4.0
-POINT_TIMEOUT_S = 60.0  # for one point, without the shutdown of its processes
-WATCH_TIMEOUT_S = 15.0  # until all dispatchers watch the list
+MAX_MEMORY_FRACTION = 0.5  # fraction of the machine's memory; a run whose processes use more is stopped
+MAX_CORES = 4.0  # used by all processes of a run together; a run that uses more is stopped
+POINT_TIMEOUT_S = 60.0  # time limit of one point, without the shutdown of its processes
+WATCH_TIMEOUT_S = 15.0  # time limit from the start until all dispatchers watch the list
 
 
 class ResourceLimitExceeded(OperatorError):
@@ -66,7 +66,7 @@
         return response
 
     async def stop(self) -> None:
-        """End its input so that it stops; kill it after a timeout."""
+        """Close its standard input, so that it exits; kill it after a timeout."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         await wait_for_exit(self.process, EXIT_TIMEOUT_S)
@@ -95,7 +95,7 @@
 
 
 class Window(msgspec.Struct):
-    """The figures of one window by name, as computed by `compute_figures`: rates per second and levels."""
+    """The figures of one window by name: rates per second, and values at its end (`compute_figures`)."""
 
     figures: dict[str, float]
 
@@ -106,8 +106,8 @@
     point: Point
     windows: list[Window]
     started_lists: dict[str, float]  # mean bytes of a whole list sent to one dispatcher at the start, by side
-    cores: float  # used by all processes together, maximum of the windows
-    memory_mb: float  # of all processes together, maximum
+    cores: float  # used by all processes together, maximum over the windows
+    memory_mb: float  # used by all processes together, maximum over the snapshots
 
 
 @dataclass(slots=True)
@@ -115,8 +115,8 @@
     """The counters and the resource use of all processes at one time."""
 
     taken_s: float
-    counts: dict[str, dict[str, Any]]
-    usage: dict[str, list[proc.Usage]]
+    counts: dict[str, dict[str, Any]]  # by role of the child process
+    usage: dict[str, list[proc.Usage]]  # by role; also `dispatcher`: the real ones, `parent`: this process
 
 
 @dataclass(slots=True)
@@ -124,8 +124,8 @@
     """The processes of a point."""
 
     point: Point
-    children: dict[str, ChildProcess]  # by role
-    pids: list[int] = field(default_factory=list)  # of the real dispatchers
+    children: dict[str, ChildProcess]  # child processes by role
+    pids: list[int] = field(default_factory=list)  # process ids of the real dispatchers
 
     async def start(self) -> None:
         """Start everything, wait until each dispatcher watches the list, then begin the load."""
--- a/weldquay/lab/scale/hollow.py
+++ b/weldquay/lab/scale/hollow.py
@@ -28,7 +28,7 @@
 from weldquay.policy.placement import MIN_FRESH_CANDIDATES
 from weldquay.policy.probing import MAX_PROBES
 
-ASK_WITHIN_NS = 10_000_000_000  # ask_within_ns in the settings
+MAX_POLL_DELAY_NS = 10_000_000_000  # as `ask_within_ns` in the settings of the real dispatchers
 MAX_ATTEMPTS = 5
 CALLBACK_RESPONSE = b"HTTP/1.1 204 No Content\r\n\r\n"
 
@@ -42,7 +42,7 @@
 
 @lru_cache(maxsize=4)
 def worker_keys(line: bytes) -> list[int]:
-    """Return a number for each worker of a whole list, the same for all hollow dispatchers."""
+    """Return a hash of the id of each worker of a whole list, the same for all hollow dispatchers."""
     return [zlib.crc32(member["id"].encode()) for member in parse_line(line)["members"]]
 
 
@@ -94,7 +94,7 @@
                 pass
             now_ns = time.monotonic_ns()
             wait_ns = self.backoff.retry_delay_ns(
-                now_ns, ASK_WITHIN_NS, now_ns - self.last_update_ns, failure
+                now_ns, MAX_POLL_DELAY_NS, now_ns - self.last_update_ns, failure
             )
             self.counter["watches_ended"] += 1
             await asyncio.sleep(wait_ns / 1e9)
--- a/weldquay/lab/scale/page.py
+++ b/weldquay/lab/scale/page.py
@@ -152,12 +152,12 @@
     return _table(head, rows)
 
 
-Column = tuple[str, str, float]
+Column = tuple[str, str, float]  # heading, name of the figure, factor from its unit to the unit shown
 CPU: Column = ("fraction of a core", "dispatcher.cpu", 1.0)
 MEMORY: Column = ("MB", "dispatcher.memory_mb", 1.0)
-FILES: Column = ("descriptors", "dispatcher.descriptors", 1.0)
+DESCRIPTORS: Column = ("descriptors", "dispatcher.descriptors", 1.0)
 PROBES: Column = ("probes/s", "real.probes", 1.0)
-WORKER_COLUMNS = (CPU, MEMORY, FILES, PROBES, ("p95, ms", "real.p95_ms", 1.0))
+WORKER_COLUMNS = (CPU, MEMORY, DESCRIPTORS, PROBES, ("p95, ms", "real.p95_ms", 1.0))
 REQUEST_COLUMNS = (
     *WORKER_COLUMNS,
     ("probes, B/s", "real.probes_bytes", 1.0),
--- a/weldquay/lab/scale/plot.py
+++ b/weldquay/lab/scale/plot.py
@@ -12,6 +12,7 @@
 from weldquay.lab.scale.points import Point
 from weldquay.lab.scale.results import Result, measurements_on_axis, summarize_windows
 
+# Axis, field of its points, name of the figure, label, and factor from its unit to the unit shown.
 PANELS = (
     ("workers", "workers", "dispatcher.cpu", "dispatcher, fraction of a core", 1.0),
     ("requests", "real_rate", "dispatcher.cpu", "dispatcher, fraction of a core", 1.0),
@@ -60,9 +61,9 @@
         rows = [cost for cost in result.decisions if cost.dispatchers == count]
         for kind, style in (("request_us", "-"), ("all_reported_us", "--")):
             times_us = [statistics.median(getattr(cost, kind)) for cost in rows]
-            word = "simulated" if kind == "request_us" else "all reported"
+            conditions = "simulated" if kind == "request_us" else "all reported"
             subplot.plot(
-                [cost.workers for cost in rows], times_us, style, marker="o", label=f"{count}, {word}"
+                [cost.workers for cost in rows], times_us, style, marker="o", label=f"{count}, {conditions}"
             )
     subplot.set(xscale="log", yscale="log", xlabel="workers", ylabel="decisions, us per request")
     if result.decisions:
--- a/weldquay/lab/scale/results.py
+++ b/weldquay/lab/scale/results.py
@@ -18,7 +18,7 @@
 
 
 class Stamp(msgspec.Struct):
-    """The origin of a part of the figures."""
+    """How a part of the figures was measured: by which command and commit, and on which machine."""
 
     command: str
     commit: str
--- a/weldquay/lab/scale/roles.py
+++ b/weldquay/lab/scale/roles.py
@@ -19,22 +19,22 @@
     find_point,
 )
 
-HEARTBEATS_PER_S = 0.5  # empty lines of a watch
+HEARTBEATS_PER_S = 0.5  # empty lines per second on each watch
 AT_FULL_SIZE = f"measured with {DISPATCHERS} dispatchers, {WORKERS:,} workers"
 
 
 @dataclass(frozen=True, slots=True)
 class Loads:
-    """The loads that the rows are computed from; slopes per request, listed worker, change or dispatcher."""
+    """The measured loads that the rows are computed from."""
 
-    full_size: Measurement  # all dispatchers and workers
-    many_dispatchers: Measurement  # all dispatchers, 100 workers
+    full_size: Measurement  # with all dispatchers and workers of the users' fleet
+    many_dispatchers: Measurement  # with all dispatchers of the users' fleet, but only 100 workers
     process: ProcessCost
-    attempts: float  # per request
-    callbacks: float  # per request
-    memory_kb: Line
-    change_bytes: float
-    discovery_us: float
+    attempts_per_request: float
+    callbacks_per_request: float
+    memory_kb: Line  # memory of a dispatcher by the number of listed workers
+    bytes_per_change: float
+    discovery_us_per_dispatcher: float  # processor time of discovery per second
 
     def at_full_size(self, name: str) -> float:
         """Return the median of a figure measured at the size of the users' fleet."""
@@ -66,11 +66,11 @@
         full_size,
         many_dispatchers,
         process,
-        attempts=attempts.slope if attempts else 0.0,
-        callbacks=callbacks.slope if callbacks else 0.0,
+        attempts_per_request=attempts.slope if attempts else 0.0,
+        callbacks_per_request=callbacks.slope if callbacks else 0.0,
         memory_kb=memory_kb,
-        change_bytes=changes.slope,
-        discovery_us=discovery.slope,
+        bytes_per_change=changes.slope,
+        discovery_us_per_dispatcher=discovery.slope,
     )
 
 
@@ -82,10 +82,15 @@
         [
             "dispatcher",
             "attempts",
-            f"{loads.attempts:.2f} {rate}",
-            f"{loads.attempts * REQUESTS_PER_S:.1f}/s",
+            f"{loads.attempts_per_request:.2f} {rate}",
+            f"{loads.attempts_per_request * REQUESTS_PER_S:.1f}/s",
+        ],
+        [
+            "",
+            "callbacks",
+            f"{loads.callbacks_per_request:.2f} {rate}",
+            f"{loads.callbacks_per_request * REQUESTS_PER_S:.1f}/s",
         ],
-        ["", "callbacks", f"{loads.callbacks:.2f} {rate}", f"{loads.callbacks * REQUESTS_PER_S:.1f}/s"],
         ["", "probes", AT_FULL_SIZE, f"{probes:.1f}/s"],
         [
             "",
@@ -119,8 +124,8 @@
         [
             "",
             "bytes of changes",
-            f"{loads.change_bytes:.0f} B x {LIST_CHANGES_PER_S:.4f}/s x {DISPATCHERS}",
-            f"{loads.change_bytes * LIST_CHANGES_PER_S * DISPATCHERS:,.0f} B/s",
+            f"{loads.bytes_per_change:.0f} B x {LIST_CHANGES_PER_S:.4f}/s x {DISPATCHERS}",
+            f"{loads.bytes_per_change * LIST_CHANGES_PER_S * DISPATCHERS:,.0f} B/s",
         ],
         [
             "",
@@ -131,8 +136,8 @@
         [
             "",
             "processor time of the stand-in, 1 change/s",
-            f"{loads.discovery_us:.0f} us x {DISPATCHERS}",
-            f"{loads.discovery_us * DISPATCHERS / 1e6:.1%} of a core",
+            f"{loads.discovery_us_per_dispatcher:.0f} us x {DISPATCHERS}",
+            f"{loads.discovery_us_per_dispatcher * DISPATCHERS / 1e6:.1%} of a core",
         ],
     ]
 
@@ -145,13 +150,13 @@
             "worker",
             "attempts",
             f"{FLEET_REQUESTS_PER_S:,.0f}/s / {WORKERS:,}",
-            f"{FLEET_REQUESTS_PER_S * loads.attempts / WORKERS:.1f}/s",
+            f"{FLEET_REQUESTS_PER_S * loads.attempts_per_request / WORKERS:.1f}/s",
         ],
         [
             "",
             "callbacks sent",
-            f"{loads.callbacks:.2f} x",
-            f"{FLEET_REQUESTS_PER_S * loads.callbacks / WORKERS:.1f}/s",
+            f"{loads.callbacks_per_request:.2f} x",
+            f"{FLEET_REQUESTS_PER_S * loads.callbacks_per_request / WORKERS:.1f}/s",
         ],
         [
             "",
--- a/weldquay/lab/scale/targets.py
+++ b/weldquay/lab/scale/targets.py
@@ -11,22 +11,23 @@
 DISPATCHERS = 410
 WORKERS = 1400
 FLEET_REQUESTS_PER_S = 8100.0
-REQUESTS_PER_S = FLEET_REQUESTS_PER_S / DISPATCHERS  # of one dispatcher
+REQUESTS_PER_S = FLEET_REQUESTS_PER_S / DISPATCHERS  # at each dispatcher
 # Failures and restarts of workers per day; each is a change when the worker leaves and one when it is back.
 LIST_CHANGES_PER_S = 2 * (16 + 520) / 86400
 
-CONTROL_CORES = 0.016  # these three limits are one dispatcher's budget for control
-MEMORY_MB = 256.0
-CONTROL_BYTES_PER_S = 2000.0
+# The budget of one dispatcher for its control work.
+CONTROL_CORES = 0.016  # fraction of one core
+MEMORY_MB = 256.0  # resident memory of the whole process
+CONTROL_BYTES_PER_S = 2000.0  # sent and received
 
 TENANTS = 2000
 MODELS = 23
 SESSIONS = 1_300_000
 PREFIXES = 15_000
 SETTINGS_CHANGES_PER_DAY = 700
-SETTINGS_DEADLINE_S = 5.0  # from a change of the settings until it takes effect at every dispatcher
-MIN_ENTRY_BYTES = 16  # of an entry of a planned mechanism: an id and a figure
-LIST_DEADLINE_S = 6.0  # from a change of the list until all dispatchers must have it
+SETTINGS_DEADLINE_S = 5.0  # time limit from a change of the settings to its effect at every dispatcher
+MIN_ENTRY_BYTES = 16  # smallest size of an entry of a planned mechanism: an id and a figure
+LIST_DEADLINE_S = 6.0  # time limit from a change of the list until all dispatchers have it
 
 TableRow = list[str]
 
