--- a/weldquay/lab/scale/child.py
+++ b/weldquay/lab/scale/child.py
@@ -22,7 +22,7 @@
 from weldquay.lab.scale.real import RealDispatchers
 from weldquay.lab.scale.workers import CountingWorker
 
-MAX_LIFETIME_S = 120.0  # longer than any point takes
+MAX_LIFETIME_S = 120.0  # maximum age of a child process, longer than any point takes
 LOOP_CHECK_PERIOD_S = 0.25
 MAX_LINE_BYTES = 2**24  # limit of a command or response; the addresses of 1,400 workers need 1% of it
 
--- a/weldquay/lab/soak/clients.py
+++ b/weldquay/lab/soak/clients.py
@@ -13,7 +13,7 @@
 
 CLIENTS = 10
 PAUSE_S = 0.04  # mean time between two requests of a client
-RECONNECT_DELAY_S = 0.05  # before a client that cannot connect tries the next dispatcher
+RECONNECT_DELAY_S = 0.05  # delay before a client that cannot connect tries the next dispatcher
 ANSWER_GRACE_S = 1.5  # how long after its timeout a client still waits; the request is unanswered then
 CONNECT_TIMEOUT_S = 1.0
 IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH = "/lookup/a", "/import"
--- a/weldquay/lab/soak/processes.py
+++ b/weldquay/lab/soak/processes.py
@@ -21,7 +21,7 @@
 KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM after the client timeout plus this delay
 READY_TIMEOUT_S = 10.0
 POLL_S = 0.02
-SIGNAL_GAP_S = 0.15  # between two signals of a series
+SIGNAL_GAP_S = 0.15  # pause between two signals of a series
 HEALTH_TIMEOUT_S = 1.0
 
 
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -171,7 +171,7 @@
         self.outages: list[Interval] = []  # outages that have ended
         self._down_since = 0.0
         self.drained: dict[str, float] = {}  # monotonic time (s) when each worker was listed as draining
-        self.drain_visible_at: dict[str, float] = {}  # when discovery could first report each drain
+        self.drain_visible_at: dict[str, float] = {}  # monotonic time (s) when discovery could report it
         self._silenced_at = 0.0  # watches opened before this time send nothing
 
     async def open(self, callers: int) -> None:
