--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -162,24 +162,24 @@
         idempotency_window_ns=SECOND,
         latency_objective_ns=8 * SECOND,
     )
-    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
-    (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    for worker in drive.worker_ids:  # no worker has capacity when the attempt is reset
-        drive.step(api.WorkerBanChanged(worker))
-    assert not sends(drive.end(first, api.Outcome.RESET))
-    actions = drive.run(2 * SECOND)
+    driver = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
+    (first,) = sends(driver.step(api.RequestReceived(1, 0, 9 * SECOND)))
+    for worker in driver.worker_ids:  # no worker has capacity when the attempt is reset
+        driver.step(api.WorkerBanChanged(worker))
+    assert not sends(driver.end(first, api.Outcome.RESET))
+    actions = driver.run(2 * SECOND)
     assert not sends(actions) and final_answers(actions) == [api.Fail(1)]
-    assert not sends(drive.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
+    assert not sends(driver.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
 
 
 def test_retry_has_latest_send_time() -> None:
     """The limit is 9/10 of the window after the first possible execution; a first attempt has none."""
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
-    drive = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
-    (first,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    first_sent_ns = drive.now
+    driver = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
+    (first,) = sends(driver.step(api.RequestReceived(1, 0, 9 * SECOND)))
+    first_sent_ns = driver.now
     (retry,) = sends(
-        drive.step(api.AttemptEnded(1, 0, first.worker, api.Outcome.RESET, MS, False), after=300 * MS)
+        driver.step(api.AttemptEnded(1, 0, first.worker, api.Outcome.RESET, MS, False), after=300 * MS)
     )
     assert first.send_before_ns == 0 and retry.send_before_ns == first_sent_ns + 900 * MS
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -152,9 +152,9 @@
 
 def test_slow_machine_is_not_reserved_when_a_faster_one_ends_sooner() -> None:
     """The slots of the slow machine are released first, but the request would end too late there."""
-    drive, _ = two_busy_workers(is_first_slow=True)
-    drive.step(large_request(), after=MS)
-    assert {reserved.worker for reserved in drive.dispatcher.scheduler.by_request.values()} == {2}
+    driver, _ = two_busy_workers(is_first_slow=True)
+    driver.step(large_request(), after=MS)
+    assert {reserved.worker for reserved in driver.dispatcher.scheduler.by_request.values()} == {2}
 
 
 FAULTS = {"drain": Simulation.drain, "restart": Simulation.restart, "vanish": Simulation.remove_worker}
@@ -196,7 +196,7 @@
     non_idempotent = job_class(
         idempotency=api.Idempotency.NON_IDEMPOTENT, priority_weight=8.0, runtime_allowance=2.0
     )
-    drive = DispatcherDriver(
+    driver = DispatcherDriver(
         settings(
             classes=(non_idempotent, job_class()),
             reports_start=True,
@@ -208,25 +208,25 @@
         workers=2,
     )
     if is_first_slow:
-        drive.dispatcher.components.runtimes.slowness[1] = (1.0, 1000)
+        driver.dispatcher.components.runtimes.slowness[1] = (1.0, 1000)
         entries = [api.WorkerEntry(w, api.WorkerState.READY, kind=2 - w) for w in (1, 2)]
-        drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries)))
-    for worker in drive.worker_ids:
-        drive.report(worker, 4.0)
+        driver.step(api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries)))
+    for worker in driver.worker_ids:
+        driver.report(worker, 4.0)
     started = []
     for number in range(4):
         started += sends(
-            drive.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=800 * MS, slots=2.0))
+            driver.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=800 * MS, slots=2.0))
         )
     assert len(started) == 4
     for send in started:
-        drive.step(api.AttemptProgress(send.request_id, 0, send.worker))
-    return drive, started
+        driver.step(api.AttemptProgress(send.request_id, 0, send.worker))
+    return driver, started
 
 
-def reservation(drive: DispatcherDriver) -> Any:
+def reservation(driver: DispatcherDriver) -> Any:
     """Return the only reservation."""
-    (only,) = drive.dispatcher.scheduler.by_request.values()
+    (only,) = driver.dispatcher.scheduler.by_request.values()
     return only
 
 
@@ -237,50 +237,50 @@
 
 def test_reserved_capacity_is_kept_and_used() -> None:
     """A small request does not use the reserved slots, and the large one is sent once they are free."""
-    drive, started = two_busy_workers()
-    assert not sends(drive.step(large_request(), after=MS))
-    worker = reservation(drive).worker
+    driver, started = two_busy_workers()
+    assert not sends(driver.step(large_request(), after=MS))
+    worker = reservation(driver).worker
     first, second = (send for send in started if send.worker == worker)
-    drive.now += 780 * MS
-    drive.end(first, api.Outcome.OK, request_finished=True)
-    other = drive.step(
+    driver.now += 780 * MS
+    driver.end(first, api.Outcome.OK, request_finished=True)
+    other = driver.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
     )
     assert not sends(other), "two slots are free, but reserved"
-    actions = drive.end(second, api.Outcome.OK, request_finished=True)
+    actions = driver.end(second, api.Outcome.OK, request_finished=True)
     assert api.Send(100, worker) in actions and end_reasons(actions) == ["placed"]
 
 
 def test_short_request_backfills_a_reservation() -> None:
     """The short request ends before the reserved start."""
-    drive, started = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    worker = reservation(drive).worker
-    drive.end(next(send for send in started if send.worker == worker), api.Outcome.OK, request_finished=True)
-    drive.dispatcher.scheduler.hint_bias = 0.0
+    driver, started = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    worker = reservation(driver).worker
+    driver.end(next(send for send in started if send.worker == worker), api.Outcome.OK, request_finished=True)
+    driver.dispatcher.scheduler.hint_bias = 0.0
     (send,) = sends(
-        drive.step(api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=100 * MS, slots=1.0), after=MS)
+        driver.step(api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=100 * MS, slots=1.0), after=MS)
     )
     assert send.worker == worker
 
 
 def test_reservation_ends_when_the_client_disconnects() -> None:
     """The reserved slots become available to other requests."""
-    drive, _ = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
-    assert not drive.dispatcher.scheduler.by_worker
+    driver, _ = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    assert end_reasons(driver.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
+    assert not driver.dispatcher.scheduler.by_worker
 
 
 def test_reserved_request_is_rejected_once_it_can_only_be_late() -> None:
     """The slots are not released in time."""
-    drive, _ = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    received_ns, answers = drive.now, list[api.Action]()
+    driver, _ = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    received_ns, answers = driver.now, list[api.Action]()
     while not answers:
-        answers = final_answers(drive.step(api.TimerDue(1), after=50 * MS))
+        answers = final_answers(driver.step(api.TimerDue(1), after=50 * MS))
     assert [type(answer) for answer in answers] == [api.Reject]
-    assert drive.now - received_ns <= 3 * SECOND and not drive.dispatcher.scheduler.by_request
+    assert driver.now - received_ns <= 3 * SECOND and not driver.dispatcher.scheduler.by_request
 
 
 @pytest.mark.parametrize(
@@ -298,52 +298,52 @@
 )
 def test_reservation_ends_at_once_when_its_worker_leaves(event: Callable[[int], api.Event]) -> None:
     """Nothing new is sent to a banned, draining or removed worker."""
-    drive, started = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    worker = reservation(drive).worker
-    actions = drive.step(event(worker), after=MS)
+    driver, started = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    worker = reservation(driver).worker
+    actions = driver.step(event(worker), after=MS)
     for send in started:
-        actions += drive.end(send, api.Outcome.OK, request_finished=True)
+        actions += driver.end(send, api.Outcome.OK, request_finished=True)
     assert "worker_out" in end_reasons(actions) and worker not in {send.worker for send in sends(actions)}
 
 
 def test_reserved_worker_that_restarts_gets_its_slow_start_budget_only() -> None:
     """A reservation does not exempt a worker from its slow-start budget."""
-    drive, _ = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    worker = reservation(drive).worker
-    fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=drive.now)
-    drive.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
-    drive.actions.clear()
-    drive.report(worker, 4.0)
+    driver, _ = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    worker = reservation(driver).worker
+    fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=driver.now)
+    driver.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
+    driver.actions.clear()
+    driver.report(worker, 4.0)
     for number in range(200, 240):
-        drive.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=SECOND), after=MS)
-    work = SECOND * sum(send.worker == worker for send in sends(drive.actions))
+        driver.step(api.RequestReceived(number, 1, 10 * SECOND, runtime_hint_ns=SECOND), after=MS)
+    work = SECOND * sum(send.worker == worker for send in sends(driver.actions))
     assert 0 < work <= 3.0 * 0.21 * 4 * 2 * SECOND
 
 
 def test_reload_ends_reservations_and_requests_keep_their_settings() -> None:
     """The request gets a new reservation by the class settings that it was accepted with."""
-    drive, _ = two_busy_workers()
-    drive.step(large_request(), after=MS)
-    new = replace(drive.dispatcher.settings, classes=(job_class(latency_objective_ns=MS), job_class()))
-    actions = drive.step(api.SettingsChanged(new), after=20 * MS)
-    assert end_reasons(actions) == ["reload"] and 100 in drive.dispatcher.scheduler.by_request
-    assert drive.dispatcher.jobs[100].class_settings.priority_weight == 8.0
+    driver, _ = two_busy_workers()
+    driver.step(large_request(), after=MS)
+    new = replace(driver.dispatcher.settings, classes=(job_class(latency_objective_ns=MS), job_class()))
+    actions = driver.step(api.SettingsChanged(new), after=20 * MS)
+    assert end_reasons(actions) == ["reload"] and 100 in driver.dispatcher.scheduler.by_request
+    assert driver.dispatcher.jobs[100].class_settings.priority_weight == 8.0
 
 
 def test_migrated_request_gets_a_new_reservation() -> None:
     """The newer process takes over the request without its reservation."""
-    drive, _ = two_busy_workers()
-    drive.step(large_request(), after=MS)
+    driver, _ = two_busy_workers()
+    driver.step(large_request(), after=MS)
     newer, _ = two_busy_workers()
-    newer.step(api.RequestMigrated(large_request(), drive.now - MS, 0), after=MS)
+    newer.step(api.RequestMigrated(large_request(), driver.now - MS, 0), after=MS)
     assert reservation(newer).request == 100
-    assert end_reasons(drive.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
+    assert end_reasons(driver.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
 
 
 def test_disabled_reservations_are_never_made() -> None:
     """No reservation is attempted."""
-    drive, _ = two_busy_workers(reservations=ReservationSettings(is_enabled=False))
-    drive.step(large_request(), after=MS)
-    assert not drive.dispatcher.scheduler.by_request and not drive.dispatcher.scheduler.counts
+    driver, _ = two_busy_workers(reservations=ReservationSettings(is_enabled=False))
+    driver.step(large_request(), after=MS)
+    assert not driver.dispatcher.scheduler.by_request and not driver.dispatcher.scheduler.counts
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -99,19 +99,19 @@
 
     Worker ids that change at each restart do not make the table of departed workers grow without bound.
     """
-    drive = DispatcherDriver(settings(may_probe=False), workers=count)
-    dispatcher = drive.dispatcher
-    drive.step(api.ProbeEnded(7, api.Outcome.CONNECT_FAILED, MS))
+    driver = DispatcherDriver(settings(may_probe=False), workers=count)
+    dispatcher = driver.dispatcher
+    driver.step(api.ProbeEnded(7, api.Outcome.CONNECT_FAILED, MS))
     assert len(dispatcher.ready_workers) == count and dispatcher.workers[7].is_ejected
-    (sent,) = sends(drive.step(api.RequestReceived(1, 0, 9 * SECOND, 1.0, 0.0, None, 0, False)))
-    drive.step(api.EndpointListUpdate(api.EndpointListKind.FULL))
+    (sent,) = sends(driver.step(api.RequestReceived(1, 0, 9 * SECOND, 1.0, 0.0, None, 0, False)))
+    driver.step(api.EndpointListUpdate(api.EndpointListKind.FULL))
     assert not dispatcher.ready_workers
-    drive.step(drive.complete_list(api.EndpointListKind.FULL))
+    driver.step(driver.complete_list(api.EndpointListKind.FULL))
     assert len(dispatcher.ready_workers) == count and dispatcher.workers[7].is_ejected
-    drive.step(list_update(range(sent.worker, sent.worker + 1), GONE))
+    driver.step(list_update(range(sent.worker, sent.worker + 1), GONE))
     for first in range(count + 1, count + 1 + 3 * MAX_REMOVED_WORKERS, 512):  # new ids, as after a restart
-        drive.step(list_update(range(first, first + 512), READY))
-        drive.step(list_update(range(first, first + 512), GONE))
+        driver.step(list_update(range(first, first + 512), READY))
+        driver.step(list_update(range(first, first + 512), GONE))
         assert len(dispatcher.workers) <= count + MAX_REMOVED_WORKERS
     assert sent.worker in dispatcher.workers and {
         worker.entry.worker for worker in dispatcher.ready_workers
@@ -120,12 +120,12 @@
 
 def test_changes_of_one_step_refresh_the_list_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A step with 700 changes sorts the workers once; 1,400 sorts of 1,400 workers would take seconds."""
-    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
-    drive.step(*(list_update(range(number, number + 1), GONE) for number in range(1, 701)))
-    assert refresh.call_count == 1 and len(drive.dispatcher.ready_workers) == 700
-    assert {worker.entry.worker for worker in drive.dispatcher.table.subset} <= set(range(701, 1401))
+    driver = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    refresh = Mock(side_effect=driver.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(driver.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
+    driver.step(*(list_update(range(number, number + 1), GONE) for number in range(1, 701)))
+    assert refresh.call_count == 1 and len(driver.dispatcher.ready_workers) == 700
+    assert {worker.entry.worker for worker in driver.dispatcher.table.subset} <= set(range(701, 1401))
 
 
 @pytest.mark.parametrize(
@@ -137,11 +137,11 @@
     kind: api.EndpointListKind, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery sends an empty line every 2 s, which must cost little."""
-    drive = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
-    refresh = Mock(side_effect=drive.dispatcher.components.endpoint_list.refresh_ready_workers)
-    monkeypatch.setattr(drive.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
-    drive.step(api.EndpointListUpdate(kind))
-    assert refresh.call_count == 0 and len(drive.dispatcher.ready_workers) == 1400
+    driver = DispatcherDriver(settings(dispatcher_count=410, dispatcher_index=409), workers=1400)
+    refresh = Mock(side_effect=driver.dispatcher.components.endpoint_list.refresh_ready_workers)
+    monkeypatch.setattr(driver.dispatcher.components.endpoint_list, "refresh_ready_workers", refresh)
+    driver.step(api.EndpointListUpdate(kind))
+    assert refresh.call_count == 0 and len(driver.dispatcher.ready_workers) == 1400
 
 
 def test_more_workers_than_connections_are_all_served() -> None:
