--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.dispatcher = Dispatcher(dispatcher_settings or settings(), seed)
         self.now = 1000 * SECOND
-        self.worker_ids = list(range(1, workers + 1))
+        self.worker_numbers = list(range(1, workers + 1))
         self.actions: list[api.Action] = []
         self.step(self.complete_list())
 
@@ -58,7 +58,7 @@
         self, kind: api.EndpointListKind = api.EndpointListKind.CACHED
     ) -> api.EndpointListUpdate:
         """Return the complete endpoint list, with two workers per cell."""
-        entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
+        entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_numbers]
         return api.EndpointListUpdate(kind, tuple(entries))
 
     def step(self, *events: api.Event, after: int = 0) -> list[api.Action]:
@@ -106,7 +106,7 @@
         idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
     driver = DispatcherDriver(settings(classes=(class_settings,)), workers=4)
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.report(worker, 3.0)
     (send,) = sends(driver.step(api.RequestReceived(7, 0, 10 * SECOND)))
     return driver, send
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -160,7 +160,7 @@
 def test_overloaded_probes_stop_sends_to_workers_without_reports() -> None:
     """Rejected probes show that workers are full; without that, the old mean load would be used."""
     driver = DispatcherDriver(settings(dispatcher_count=150), workers=40)
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.step(api.ProbeEnded(worker, Outcome.OVERLOADED, MS))
     driver.actions.clear()
     driver.step(api.RequestReceived(1, 0, 10 * SECOND))
@@ -171,7 +171,7 @@
     """The clock may start at any value, so a worker without a report has to be probed near zero too."""
     driver = DispatcherDriver(workers=0)
     driver.dispatcher = Dispatcher(settings(), 1)
-    driver.worker_ids = [1, 2, 3]
+    driver.worker_numbers = [1, 2, 3]
     driver.dispatcher.step(0, [driver.complete_list()])
     actions = driver.dispatcher.step(1000, [api.RequestReceived(1, 0, 10 * SECOND)])
     assert any(isinstance(action, api.Probe) for action in actions) and not sends(actions)
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -164,7 +164,7 @@
     )
     driver = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(driver.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    for worker in driver.worker_ids:  # no worker has capacity when the attempt is reset
+    for worker in driver.worker_numbers:  # no worker has capacity when the attempt is reset
         driver.step(api.WorkerBanChanged(worker))
     assert not sends(driver.end(first, api.Outcome.RESET))
     actions = driver.run(2 * SECOND)
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -209,7 +209,7 @@
 def test_snapshots_restore_load_and_slow_start() -> None:
     """After a hot restart, the newer process has the loads and slow start budgets of the older one."""
     driver = DispatcherDriver(workers=2)
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.report(worker, 4.0)
     driver.step(api.WorkerBanChanged(2), api.WorkerBanChanged(2, False))
     for number in range(3):
@@ -234,7 +234,7 @@
 def test_requests_keep_the_settings_they_were_accepted_with() -> None:
     """Changed settings apply only to requests that arrive later."""
     driver = DispatcherDriver(settings(max_attempts=2), workers=2)
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.report(worker, 4.0)
     (old,) = sends(driver.step(api.RequestReceived(1, 0, 5 * SECOND)))
     non_idempotent = job_class(idempotency=Idempotency.NON_IDEMPOTENT)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -211,7 +211,7 @@
         driver.dispatcher.components.runtimes.slowness[1] = (1.0, 1000)
         entries = [api.WorkerEntry(w, api.WorkerState.READY, kind=2 - w) for w in (1, 2)]
         driver.step(api.EndpointListUpdate(api.EndpointListKind.FULL, tuple(entries)))
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.report(worker, 4.0)
     started = []
     for number in range(4):
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -92,7 +92,7 @@
     driver = DispatcherDriver(settings(reports_start=True), workers=3)
     slow: api.Send | None = None
     for number in range(60):
-        for worker in driver.worker_ids:
+        for worker in driver.worker_numbers:
             driver.report(worker, 4.0)
         (send,) = sends(driver.step(api.RequestReceived(number, 0, 10 * SECOND, runtime_hint_ns=100 * MS)))
         assert slow is None or number < 10 or send.worker != slow.worker
@@ -163,7 +163,7 @@
     """This is the order of events when a newer process starts."""
     driver = DispatcherDriver(workers=0)
     driver.step(api.WorkerBanChanged(1))
-    driver.worker_ids = [1]
+    driver.worker_numbers = [1]
     driver.step(driver.complete_list(), api.RequestReceived(1, 0, 5 * SECOND))
     driver.report(1, 4.0)
     assert not sends(driver.actions)
@@ -186,12 +186,12 @@
     """All dispatchers detect it from its load reports, without attempts of their own."""
     driver = DispatcherDriver(workers=4)
     for number in range(6):  # a report with unchanged figures would not count
-        for worker in driver.worker_ids:
+        for worker in driver.worker_numbers:
             driver.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(1, 9)]
     chosen = [send.worker for send in sends(driver.step(*jobs))]
     assert len(chosen) == 8 and 1 not in chosen
-    for worker in driver.worker_ids:  # it gets requests again once it is as fast as the others
+    for worker in driver.worker_numbers:  # it gets requests again once it is as fast as the others
         for number in range(6):
             driver.report(worker, 3.0, service_ms=500.0 + number)
     later = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(9, 40)]
@@ -217,11 +217,11 @@
     driver = DispatcherDriver(workers=4)
     entries = [
         api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=driver.now if w == 1 else 0)
-        for w in driver.worker_ids
+        for w in driver.worker_numbers
     ]
     driver.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, tuple(entries)))
     for number in range(6):
-        for worker in driver.worker_ids:
+        for worker in driver.worker_numbers:
             driver.report(worker, 3.0, service_ms=(4000.0 if worker == 1 else 500.0) + number)
     assert driver.dispatcher.workers[1].slowness[0] == 0.0
     assert driver.dispatcher.components.runtimes.service_time_logs[0][1] == 18  # 3 workers, 6 reports each
