--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -93,7 +93,7 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def final_answers(actions: list[api.Action]) -> list[api.Action]:
+def error_responses(actions: list[api.Action]) -> list[api.Action]:
     """Return the actions that reject or fail a request."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from example.toy import Message
-from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, error_responses, job_class, sends, settings
 from tests.site import ScriptedWorker, Site, site, until
 from weldquay import interface as api
 
@@ -168,7 +168,7 @@
         driver.step(api.WorkerBanChanged(worker))
     assert not sends(driver.end(first, api.Outcome.RESET))
     actions = driver.run(2 * SECOND)
-    assert not sends(actions) and final_answers(actions) == [api.Fail(1)]
+    assert not sends(actions) and error_responses(actions) == [api.Fail(1)]
     assert not sends(driver.step(api.WorkerBanChanged(first.worker, False), after=SECOND))
 
 
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -10,7 +10,7 @@
     MS,
     SECOND,
     DispatcherDriver,
-    final_answers,
+    error_responses,
     job_class,
     sends,
     settings,
@@ -55,8 +55,8 @@
     """
     driver, send = start_attempt(idempotency)
     actions = driver.end(send, outcome)
-    assert final_answers(actions) == [api.Fail(7)] and not sends(actions)
-    assert not final_answers(driver.run(12 * SECOND))
+    assert error_responses(actions) == [api.Fail(7)] and not sends(actions)
+    assert not error_responses(driver.run(12 * SECOND))
 
 
 def test_shutdown_accepts_only_requests_that_can_finish() -> None:
@@ -65,13 +65,13 @@
     driver.step(api.ShutdownStarted(3 * SECOND))
     driver.report(2, 4.0)
     long_request = driver.step(api.RequestReceived(8, 0, 10 * SECOND, runtime_hint_ns=5 * SECOND))
-    assert [type(action) for action in final_answers(long_request)] == [api.Reject] and not sends(
+    assert [type(action) for action in error_responses(long_request)] == [api.Reject] and not sends(
         long_request
     )
     assert sends(driver.step(api.RequestReceived(9, 0, 10 * SECOND, runtime_hint_ns=SECOND)))
     answered = [
         action.request_id
-        for action in final_answers(driver.run(3 * SECOND))
+        for action in error_responses(driver.run(3 * SECOND))
         if isinstance(action, api.Reject)
     ]
     assert sorted(answered) == [send.request_id, 9]
@@ -84,7 +84,7 @@
     (retry,) = sends(driver.end(send, outcome))
     assert retry.worker // 2 == send.worker // 2
     driver.run(4 * SECOND)
-    assert final_answers(driver.end(retry, outcome, attempt=1)) == [api.Fail(7)]
+    assert error_responses(driver.end(retry, outcome, attempt=1)) == [api.Fail(7)]
 
 
 def test_success_is_final() -> None:
@@ -92,7 +92,7 @@
     driver, send = start_attempt(Idempotency.IDEMPOTENT)
     driver.end(send, Outcome.OK, request_finished=True)
     later = driver.end(send, Outcome.ERROR) + driver.step(api.ClientDisconnected(7)) + driver.run(11 * SECOND)
-    assert not sends(later) and not final_answers(later)
+    assert not sends(later) and not error_responses(later)
 
 
 def test_unknown_ids_are_ignored() -> None:
@@ -115,7 +115,7 @@
 def test_request_is_answered_by_its_deadline(idempotency: Idempotency) -> None:
     """A request whose attempt hangs is answered in time; a non-idempotent one in flight is never rejected."""
     driver, _ = start_attempt(idempotency)
-    answers = final_answers(driver.run(10 * SECOND, interval_ns=5 * MS))
+    answers = error_responses(driver.run(10 * SECOND, interval_ns=5 * MS))
     assert len(answers) == 1
     assert idempotency is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
 
@@ -129,7 +129,7 @@
         if not retry:
             break
         send, count = retry[0], count + 1
-    assert count == 4 and len(final_answers(driver.actions)) == 1
+    assert count == 4 and len(error_responses(driver.actions)) == 1
 
 
 def test_queued_request_with_the_highest_weight_is_placed_first() -> None:
@@ -153,7 +153,7 @@
     driver = DispatcherDriver(workers=1)
     driver.report(1, 0.0)
     driver.step(api.RequestReceived(1, 0, 10 * SECOND))
-    assert final_answers(driver.run(4 * SECOND)) == [api.Reject(1)]
+    assert error_responses(driver.run(4 * SECOND)) == [api.Reject(1)]
 
 
 def test_failed_poll_is_repeated() -> None:
@@ -189,13 +189,13 @@
     driver.report(1, 1.0)
     (first,) = sends(driver.step(api.RequestReceived(1, 0, 10 * SECOND)))
     driver.step(api.RequestReceived(2, 0, 10 * SECOND, key=7))
-    (rejection,) = final_answers(driver.run(2 * SECOND))
+    (rejection,) = error_responses(driver.run(2 * SECOND))
     assert isinstance(rejection, api.Reject) and 0 < rejection.retry_after_ns <= 2 * SECOND
     driver.end(first, Outcome.OK, request_finished=True)
     actions = driver.step(
         api.RequestReceived(3, 0, 7 * SECOND, key=7), api.RequestReceived(4, 0, 7 * SECOND, key=8)
     )
-    assert [final.request_id for final in final_answers(actions) if isinstance(final, api.Reject)] == [3]
+    assert [final.request_id for final in error_responses(actions) if isinstance(final, api.Reject)] == [3]
     assert [send.request_id for send in sends(actions)] == [4]
 
 
@@ -203,7 +203,7 @@
     """A request that can only be late is answered at once, not at its deadline."""
     driver, send = start_attempt(Idempotency.IDEMPOTENT)
     driver.now += 3 * SECOND
-    assert final_answers(driver.end(send, Outcome.ERROR)) == [api.Reject(7)]
+    assert error_responses(driver.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
 
 def test_snapshots_restore_load_and_slow_start() -> None:
@@ -240,7 +240,7 @@
     non_idempotent = job_class(idempotency=Idempotency.NON_IDEMPOTENT)
     driver.step(api.SettingsChanged(settings(classes=(non_idempotent, job_class()), max_attempts=1)))
     (new,) = sends(driver.step(api.RequestReceived(2, 1, 5 * SECOND)))
-    assert final_answers(driver.end(new, Outcome.RESET))
+    assert error_responses(driver.end(new, Outcome.RESET))
     assert [send.request_id for send in sends(driver.end(old, Outcome.RESET))] == [1]
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, sends
+from tests.helpers import MS, SECOND, DispatcherDriver, error_responses, sends
 from weldquay import interface as api
 
 
@@ -10,7 +10,7 @@
     """Send a request while the only worker is full, and run until it can only be late and is rejected."""
     driver.report(1, 0.0)
     driver.step(request)
-    assert final_answers(driver.run(4 * SECOND)) == [api.Reject(request.request_id)]
+    assert error_responses(driver.run(4 * SECOND)) == [api.Reject(request.request_id)]
 
 
 def test_equal_requests_without_key_and_hint_are_not_repeats() -> None:
@@ -26,7 +26,7 @@
     driver = DispatcherDriver(workers=1)
     send_and_reject(driver, api.RequestReceived(1, 0, 10 * SECOND, runtime_hint_ns=200 * MS))
     driver.report(1, 1.0)
-    assert final_answers(driver.step(api.RequestReceived(2, 0, 10 * SECOND, runtime_hint_ns=200 * MS))) == [
+    assert error_responses(driver.step(api.RequestReceived(2, 0, 10 * SECOND, runtime_hint_ns=200 * MS))) == [
         api.Reject(2)
     ]
     other = api.RequestReceived(3, 0, 10 * SECOND, runtime_hint_ns=300 * MS)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, DispatcherDriver, final_answers, job_class, sends, settings
+from tests.helpers import MS, SECOND, DispatcherDriver, error_responses, job_class, sends, settings
 from weldquay import interface as api
 from weldquay.lab import load as loads
 from weldquay.lab import model
@@ -278,7 +278,7 @@
     driver.step(large_request(), after=MS)
     received_ns, answers = driver.now, list[api.Action]()
     while not answers:
-        answers = final_answers(driver.step(api.TimerDue(1), after=50 * MS))
+        answers = error_responses(driver.step(api.TimerDue(1), after=50 * MS))
     assert [type(answer) for answer in answers] == [api.Reject]
     assert driver.now - received_ns <= 3 * SECOND and not driver.dispatcher.scheduler.by_request
 
