--- a/tests/site.py
+++ b/tests/site.py
@@ -111,9 +111,11 @@
         self.process, self.discovery, self.workers = process, discovery, workers
         self.address = f"127.0.0.1:{process.server.port}"
 
-    async def post(self, request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> Message:
+    async def post(
+        self, request_id: str = "c1", path: str = "/lookup/a?b=1", timeout_ms: int = 5000
+    ) -> Message:
         """Send one request and return its response."""
-        return await request(self.address, job(request_id, path, left_ms))
+        return await request(self.address, job(request_id, path, timeout_ms))
 
     async def operate(self, operation: str, method: str = "POST") -> int:
         """Send an operator request and return the status of its response."""
@@ -136,10 +138,10 @@
         await asyncio.sleep(0.01)
 
 
-def job(request_id: str = "c1", path: str = "/lookup/a?b=1", left_ms: int = 5000) -> bytes:
+def job(request_id: str = "c1", path: str = "/lookup/a?b=1", timeout_ms: int = 5000) -> bytes:
     """Return the bytes of a client's request."""
     return encode_message(
-        f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {left_ms}"
+        f"POST {path} HTTP/1.1", b"text", f"X-Correlation-Id: {request_id}", f"X-Time-Left-Ms: {timeout_ms}"
     )
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "script", "left_ms", "status"),
+    ("path", "script", "timeout_ms", "status"),
     [
         ("/lookup", accept, 400, "503"),
         ("/import", accept, 400, "502"),
@@ -73,7 +73,7 @@
     ],
 )
 def test_silent_worker_does_not_delay_response_past_deadline(
-    path: str, script: Script, left_ms: int, status: str
+    path: str, script: Script, timeout_ms: int, status: str
 ) -> None:
     """One response is sent by the deadline: a failure if a non-idempotent job may have run, or a rejection.
 
@@ -84,7 +84,8 @@
     async def scenario() -> None:
         async with site() as test_site:
             test_site.workers[0].script = script
-            response = await test_site.post(path=path, left_ms=left_ms)  # site() asserts that it was not late
+            # site() asserts that the response was not late.
+            response = await test_site.post(path=path, timeout_ms=timeout_ms)
             assert response.start_line.split()[1] == status
             await test_site.workers[0].until("POST", "DELETE")
 
@@ -166,7 +167,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             test_site.workers[0].script = reject_as_overloaded
-            response = await test_site.post(left_ms=300)
+            response = await test_site.post(timeout_ms=300)
             assert response.start_line.split()[1] == "503"
             assert 0 < float(response.headers["retry-after"]) <= 2
 
@@ -254,7 +255,7 @@
     async def scenario() -> None:
         async with site() as test_site:
             test_site.workers[0].script = test_site.workers[0].accept
-            response = asyncio.create_task(test_site.post(left_ms=300))
+            response = asyncio.create_task(test_site.post(timeout_ms=300))
             await test_site.workers[0].until("POST")
             stall(0.5)
             assert (await response).start_line.split()[1] == "503"
--- a/tests/test_broken_answers.py
+++ b/tests/test_broken_answers.py
@@ -68,7 +68,7 @@
                 await script(message, writer)
 
             worker.script = run_script_once
-            assert (await test_site.post(path=path, left_ms=1500)).status == status
+            assert (await test_site.post(path=path, timeout_ms=1500)).status == status
             await until(
                 lambda: (
                     not test_site.process.coordinator.attempts
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -78,7 +78,7 @@
                 assert ready.status in (200, 503)
                 await failing.start_on(reserved_socket)
                 # Repeat until the new endpoint list reports the worker as draining.
-                while (await request(listen, job("late", left_ms=500))).status != 503:
+                while (await request(listen, job("late", timeout_ms=500))).status != 503:
                     idle_clients.append(socket.create_connection((host, int(port))))
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
                 assert open_descriptors <= MIN_SOCKETS - MIN_FREE_DESCRIPTORS
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -194,7 +194,7 @@
             # The second poll follows after 0.5 s unless this machine stalls.
             assert (first_target[-1], second_target[-1]) == ("1", "7") and second_s - first_s < 2
             assert test_site.process.counters.counts["discovery_heartbeat_timeouts"] == 1
-            assert (await test_site.post(left_ms=300)).status == 503
+            assert (await test_site.post(timeout_ms=300)).status == 503
 
     asyncio.run(scenario())
 
@@ -232,7 +232,7 @@
         discovery.lists, discovery.list_delay_s = [list_of_one_worker(9, "DRAINING", "127.0.0.1:1")], 0.1
         async with site(discovery=discovery, discovery_mode="push") as test_site:
             assert test_site.process.discovery.revision == 9
-            assert (await test_site.post(left_ms=300)).status == 503
+            assert (await test_site.post(timeout_ms=300)).status == 503
             assert test_site.workers[0].methods() == []
 
     asyncio.run(scenario())
@@ -246,7 +246,8 @@
         discovery = SilentDiscovery()
         async with site(discovery=discovery, discovery_mode="push", group_size=DISPATCHER_COUNT) as test_site:
             # The configured list may be of any age, so no attempt is sent to its worker.
-            assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
+            assert (await test_site.post(timeout_ms=300)).status == 503
+            assert test_site.workers[0].methods() == []
             polls_before = len(discovery.polls)
             discovery.lists.append(list_of_one_worker(9, "DRAINING", test_site.workers[0].address))
             await until(lambda: test_site.process.discovery.revision == 9)
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -231,7 +231,7 @@
     statuses = set()
     end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
-        statuses.add((await test_site.post(left_ms=1000)).status)
+        statuses.add((await test_site.post(timeout_ms=1000)).status)
     return statuses
 
 
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -50,7 +50,7 @@
 async def start_retry_that_waits_for_delete(test_site: Any) -> DelayedDelete:
     """Start a request, and wait until its retry waits for the DELETE of its first attempt."""
     script = DelayedDelete(test_site.workers[0])
-    script.request = asyncio.create_task(test_site.post(left_ms=3000))
+    script.request = asyncio.create_task(test_site.post(timeout_ms=3000))
     requests = test_site.process.coordinator.requests.by_number
     await until(
         lambda: script.deletes and any(request.attempts_started == 2 for request in requests.values())
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -109,7 +109,7 @@
 async def wait_for_drain(test_site: Site) -> None:
     """Wait until the worker is listed as draining, so that requests are rejected."""
     await until(lambda: test_site.process.discovery.revision == 9)
-    assert (await test_site.post(left_ms=300)).status == 503 and test_site.workers[0].methods() == []
+    assert (await test_site.post(timeout_ms=300)).status == 503 and test_site.workers[0].methods() == []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_one_name_two_addresses.py
+++ b/tests/test_one_name_two_addresses.py
@@ -107,7 +107,7 @@
         first, second = (f"127.0.0.1:{free_port()}" for _ in range(2))
         async with first_process(tmp_path, first, "file") as (process, discovery, worker):
             worker.script = worker.accept
-            response_task = asyncio.create_task(request(first, job("c1", left_ms=3000)))
+            response_task = asyncio.create_task(request(first, job("c1", timeout_ms=3000)))
             await worker.until("POST")
             process.send_signal(signal.SIGTERM)
             async with start_dispatcher(tmp_path, second, "file", discovery) as other:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -68,6 +68,6 @@
             failing.worker_address = test_site.workers[0].address
             started_at = time.monotonic()
             await until(lambda: test_site.process.discovery.revision == 9)
-            assert time.monotonic() - started_at < 2 and (await test_site.post(left_ms=300)).status == 503
+            assert time.monotonic() - started_at < 2 and (await test_site.post(timeout_ms=300)).status == 503
 
     asyncio.run(scenario())
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -50,7 +50,7 @@
             except ConnectionRefusedError:  # the process has stopped
                 assert test_site.process.phase is Phase.STOPPED
             for number, (_, writer) in enumerate(clients):
-                writer.write(job(f"c{number}", "/import", left_ms=600))
+                writer.write(job(f"c{number}", "/import", timeout_ms=600))
             for number, (reader, _) in enumerate(clients):
                 try:
                     response = await read_message(reader)
@@ -193,7 +193,7 @@
 
     async def scenario() -> None:
         async with site(services=SHORT_TIMEOUTS) as test_site:
-            open_request = asyncio.create_task(test_site.post(left_ms=600))
+            open_request = asyncio.create_task(test_site.post(timeout_ms=600))
             await test_site.workers[0].until("POST")
             shutdown = asyncio.create_task(test_site.process.shut_down())
             for phase in (Phase.DRAINING, Phase.CLOSING):
@@ -222,7 +222,7 @@
                 await answer(message, writer)
 
             worker.script, worker.answer = worker.accept, hang_on_delete  # type: ignore[method-assign]
-            open_request = asyncio.create_task(test_site.post(left_ms=200))
+            open_request = asyncio.create_task(test_site.post(timeout_ms=200))
             await worker.until("POST")
             if pending == "delete":
                 assert (await open_request).status == 503
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -53,7 +53,7 @@
         discovery = DelayedDiscovery(phase)
         async with site(discovery=discovery, discovery_mode=mode, group_size=410, me=7) as test_site:
             discovery.worker_address = test_site.workers[0].address
-            response_task = asyncio.create_task(test_site.post(left_ms=3000))
+            response_task = asyncio.create_task(test_site.post(timeout_ms=3000))
             await until(lambda: discovery.polls)
             await asyncio.sleep(0.2)
             assert not response_task.done() and test_site.workers[0].methods() == []
@@ -115,12 +115,12 @@
         async with site(discovery=failing, group_size=3) as test_site:
             failing.worker_address = test_site.workers[0].address
             await wait_for_lease_to_expire(test_site)
-            assert (await test_site.post("after", left_ms=200)).status == 503
+            assert (await test_site.post("after", timeout_ms=200)).status == 503
             assert test_site.workers[0].methods() == ["POST"]
             assert test_site.process.counters.counts["endpoint_list_leases_expired"] == 1
             failing.failures_left = 0
             await until(lambda: test_site.process.discovery.revision == 9)
-            assert (await test_site.post("drained", left_ms=200)).status == 503
+            assert (await test_site.post("drained", timeout_ms=200)).status == 503
             assert test_site.workers[0].methods() == ["POST"]
 
     asyncio.run(scenario())
@@ -145,7 +145,7 @@
 
             monkeypatch.setattr(connections, "take_idle", lambda _worker: None)
             monkeypatch.setattr(connections, "connect", connect_slowly)
-            assert (await test_site.post(left_ms=300)).status == 503
+            assert (await test_site.post(timeout_ms=300)).status == 503
             assert test_site.workers[0].methods() == []
             assert test_site.process.counters.counts["attempts_not_started"] == 1
 
@@ -168,7 +168,8 @@
             )
             endpoint_list = test_site.process.coordinator.endpoint_list
             await until(lambda: endpoint_list.send_deadline_ns <= time.monotonic_ns())
-            assert (await test_site.post(left_ms=200)).status == 503 and test_site.workers[0].methods() == []
+            assert (await test_site.post(timeout_ms=200)).status == 503
+            assert test_site.workers[0].methods() == []
             unresponsive.worker_address = test_site.workers[0].address
             unresponsive.failures_left = 0
             await until(lambda: test_site.process.discovery.revision == 9)
@@ -222,7 +223,7 @@
                     lease.send_deadline_ns >= older_deadline_ns
                     and lease.may_have_missed_change == has_expired
                 )
-                assert (await test_site.post(left_ms=300)).status == (503 if has_expired else 200)
+                assert (await test_site.post(timeout_ms=300)).status == (503 if has_expired else 200)
                 assert test_site.workers[0].methods() == ([] if has_expired else ["POST"])
                 assert newer.counters.counts["requests"] == 1
         reserved_socket.close()
