--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -142,7 +142,7 @@
     for number in range(1, 400):
         driver.now += 100 * MS
         driver.report(1, 3.0 + number // 9 / 100)
-    assert 700 * MS < driver.dispatcher.components.report_interval.ns < 1100 * MS
+    assert 700 * MS < driver.dispatcher.components.report_interval.interval_ns < 1100 * MS
 
 
 def test_repeated_report_does_not_hide_own_sends() -> None:
@@ -221,4 +221,4 @@
     for number in range(40):
         driver.report(1, 3.0 + int(number * 0.8) * 0.001)
         driver.run(800 * MS)
-    assert 800 * MS < driver.dispatcher.components.report_interval.ns < 1200 * MS
+    assert 800 * MS < driver.dispatcher.components.report_interval.interval_ns < 1200 * MS
--- a/weldquay/estimators/report_interval.py
+++ b/weldquay/estimators/report_interval.py
@@ -17,13 +17,13 @@
     reports. A dispatcher that rarely gets reports of a worker has few short gaps, so a prior is added.
 
     Attributes:
-        ns: the estimated interval, in nanoseconds.
+        interval_ns: the estimated interval, in nanoseconds.
         gap_sum_ns: weighted sum of the gaps, in nanoseconds.
         new_report_count: weighted number of new reports.
     """
 
     def __init__(self) -> None:
-        self.ns = float(INITIAL_INTERVAL_NS)
+        self.interval_ns = float(INITIAL_INTERVAL_NS)
         self.gap_sum_ns = 0.0
         self.new_report_count = 0.0
 
@@ -34,10 +34,10 @@
             gap_ns: time since the worker's previous report; ignored if longer than the interval.
             is_new: the figures differ from those of the previous report.
         """
-        if gap_ns <= self.ns:
+        if gap_ns <= self.interval_ns:
             self.gap_sum_ns = DECAY_FACTOR * self.gap_sum_ns + gap_ns
             self.new_report_count = DECAY_FACTOR * self.new_report_count + is_new
-            interval_ns = (self.gap_sum_ns + PRIOR_WEIGHT * INITIAL_INTERVAL_NS) / (
+            estimate_ns = (self.gap_sum_ns + PRIOR_WEIGHT * INITIAL_INTERVAL_NS) / (
                 self.new_report_count + PRIOR_WEIGHT
             )
-            self.ns = min(max(interval_ns, MIN_INTERVAL_NS), MAX_INTERVAL_NS)
+            self.interval_ns = min(max(estimate_ns, MIN_INTERVAL_NS), MAX_INTERVAL_NS)
--- a/weldquay/policy/load_reports.py
+++ b/weldquay/policy/load_reports.py
@@ -63,7 +63,9 @@
     def _apply_new(self, worker: Worker, report: LoadReport, since_last_report_ns: int) -> None:
         now_ns, settings = self.context.now_ns, self.context.settings
         worker.report = report
-        report_lag_ns = MAX_REPORT_LAG_NS + min(since_last_report_ns, int(self.report_interval.ns)) // 2
+        report_lag_ns = (
+            MAX_REPORT_LAG_NS + min(since_last_report_ns, int(self.report_interval.interval_ns)) // 2
+        )
         worker.apply_load_report(now_ns, report, report_lag_ns, settings.workers_queue_in_order)
         if report.service_ms is None or self.slow_start.remaining_ns(worker) < math.inf:
             return  # a worker that is warming up is slower than it will be
--- a/weldquay/policy/open_requests.py
+++ b/weldquay/policy/open_requests.py
@@ -146,7 +146,7 @@
             self.rejected_first_received_ns[fingerprint] = job.first_received_ns
         if len(self.rejected_first_received_ns) > MAX_REMEMBERED_REJECTIONS:
             del self.rejected_first_received_ns[next(iter(self.rejected_first_received_ns))]
-        delay_ns = jittered_delay_ns(self.context.random, self.report_interval.ns)
+        delay_ns = jittered_delay_ns(self.context.random, self.report_interval.interval_ns)
         delay_ns = min(delay_ns, self.context.settings.max_retry_after_ns)
         self.context.actions.append(
             Reject(request.request_id, delay_ns) if may_client_retry else Fail(request.request_id)
--- a/weldquay/policy/placement.py
+++ b/weldquay/policy/placement.py
@@ -58,7 +58,7 @@
         """Return a worker for the request; None if none may take it or it waits for probe results."""
         settings = self.context.settings
         groups = self.index.reported_candidates(job, partial(self.eligibility.is_eligible, job))
-        arrivals = settings.dispatcher_count * self.send_rate.per_ns() * self.report_interval.ns
+        arrivals = settings.dispatcher_count * self.send_rate.per_ns() * self.report_interval.interval_ns
         individuals = [group for group in groups if group.is_individual]
         reinstated = self.table.reinstated
         # Reinstated workers come first: otherwise nearer or faster ones could keep them unused.
