--- a/tests/site.py
+++ b/tests/site.py
@@ -46,7 +46,7 @@
         await self.send_callback(request_id, state="done", result=body.decode().upper())
 
     async def accept(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """A script that accepts a job and sends no call-back."""
+        """A script that accepts a job and sends no callback."""
         writer.write(ACCEPTED)
 
     def completing_with(self, result: str) -> Script:
--- a/tests/test_connection_table.py
+++ b/tests/test_connection_table.py
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("state", [READING, IDLE, LINGERING])
 def test_a_connection_with_unsent_data_is_not_evicted(state: ConnectionState) -> None:
-    """An eviction would lose its answer."""
+    """An eviction would lose its response."""
     table, (connection,) = full_table(state)
     connection.is_unsent = True
     assert not table.evict_one() and not connection.is_aborted
--- a/tests/test_counter_names.py
+++ b/tests/test_counter_names.py
@@ -1,4 +1,4 @@
-"""Counter names by outcome, answer, failure or reason: every member has one, and the names are fixed."""
+"""Counter names by outcome, response, failure or reason: every member has one, and the names are fixed."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_answers_and_lists() -> None:
-    """Each answer to a client and each kind of endpoint list update has a counter."""
+    """Each response to a client and each kind of endpoint list update has a counter."""
     assert set(RESULT_COUNTERS) == set(get_args(RequestResult))
     assert sorted(RESULT_COUNTERS.values()) == ["requests_completed", "requests_failed", "requests_rejected"]
     assert set(LIST_COUNTERS) == set(api.EndpointListKind)
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to answer: attempts, retries, queue order and the final answer."""
+"""Requests from arrival to response: attempts, retries, queue order and the final response."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def test_success_is_final() -> None:
-    """Later events of an answered request cause neither a send nor another answer."""
+    """Later events of an answered request cause neither a send nor another response."""
     driver, send = start_attempt(Idempotency.IDEMPOTENT)
     driver.end(send, Outcome.OK, request_finished=True)
     later = driver.end(send, Outcome.ERROR) + driver.step(api.ClientDisconnected(7)) + driver.run(11 * SECOND)
@@ -115,13 +115,13 @@
 def test_request_is_answered_by_its_deadline(idempotency: Idempotency) -> None:
     """A request whose attempt hangs is answered in time; a non-idempotent one in flight is never rejected."""
     driver, _ = start_attempt(idempotency)
-    answers = error_responses(driver.run(10 * SECOND, interval_ns=5 * MS))
-    assert len(answers) == 1
-    assert idempotency is Idempotency.IDEMPOTENT or answers == [api.Fail(7)]
+    responses = error_responses(driver.run(10 * SECOND, interval_ns=5 * MS))
+    assert len(responses) == 1
+    assert idempotency is Idempotency.IDEMPOTENT or responses == [api.Fail(7)]
 
 
 def test_attempts_are_limited() -> None:
-    """After the maximum number of attempts, the request gets one final answer."""
+    """After the maximum number of attempts, the request gets one final response."""
     driver, send = start_attempt(Idempotency.IDEMPOTENT)
     count = 1
     for number in range(6):
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -39,8 +39,8 @@
 ) -> tuple[Simulation, SimulationResult]:
     """Simulate 15 s of load; return the simulation and its result.
 
-    Checks that each request gets one answer, that no non-idempotent request is executed twice, and that every
-    reservation ends.
+    Checks that each request gets one response, that no non-idempotent request is executed twice, and that
+    every reservation ends.
     """
     specs = [
         model.WorkerSpec(f"s{n}", speed=speed, kind=kind, **spec) for n, (kind, speed) in enumerate(FLEET)
@@ -276,10 +276,10 @@
     """The slots are not released in time."""
     driver, _ = two_busy_workers()
     driver.step(large_request(), after=MS)
-    received_ns, answers = driver.now, list[api.Action]()
-    while not answers:
-        answers = error_responses(driver.step(api.TimerDue(1), after=50 * MS))
-    assert [type(answer) for answer in answers] == [api.Reject]
+    received_ns, responses = driver.now, list[api.Action]()
+    while not responses:
+        responses = error_responses(driver.step(api.TimerDue(1), after=50 * MS))
+    assert [type(response) for response in responses] == [api.Reject]
     assert driver.now - received_ns <= 3 * SECOND and not driver.dispatcher.scheduler.by_request
 
 
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -27,17 +27,17 @@
 
 
 class DelayedDiscovery(Server):
-    """A discovery that responds with a list of one worker, after `may_answer` is set."""
+    """A discovery that responds with a list of one worker, after `may_respond` is set."""
 
     def __init__(self, phase: str) -> None:
         super().__init__()
         self.phase, self.worker_address, self.polls = phase, "127.0.0.1:1", 0
-        self.may_answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
 
     async def answer(self, _message: Message, writer: asyncio.StreamWriter) -> None:
-        """Send the list after `may_answer` is set."""
+        """Send the list after `may_respond` is set."""
         self.polls += 1
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         writer.write(WATCH_HEAD + chunk(list_of_one_worker(9, self.phase, self.worker_address) + b"\n"))
 
 
@@ -57,7 +57,7 @@
             await until(lambda: discovery.polls)
             await asyncio.sleep(0.2)
             assert not response_task.done() and test_site.workers[0].methods() == []
-            discovery.may_answer.set()
+            discovery.may_respond.set()
             assert (await response_task).status == status
             assert test_site.workers[0].methods() == (["POST"] if status == 200 else [])
 
@@ -71,7 +71,7 @@
         discovery = DelayedDiscovery("SERVING")
         async with site(discovery=discovery) as test_site:
             assert await test_site.health() == 503
-            discovery.may_answer.set()
+            discovery.may_respond.set()
             await until(lambda: test_site.process.coordinator.is_endpoint_list_confirmed)
             assert await test_site.health() == 200
 
--- a/weldquay/estimators/runtime.py
+++ b/weldquay/estimators/runtime.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterable
 
-LEARNING_RATE = 0.05  # weight of a new sample in a mean
+LEARNING_RATE = 0.05  # weight of a new sample in an exponentially weighted mean
 KIND_PRIOR_SAMPLES = 10  # the initial speed of a machine kind counts as this many samples
 MAX_WORK_RATIO = 10.0  # the work of a request is capped at this multiple of the mean
 UNKNOWN_KIND_SLOWNESS = 0.6  # a machine kind without samples may be slower than the mean by this fraction
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -28,7 +28,7 @@
         self.spec = spec
         self.model = model.Worker(spec, time.monotonic_ns())
         self.pools = [Pool(address) for address in dispatchers]
-        self.callers: dict[str, int] = {}
+        self.callers: dict[str, int] = {}  # index of the dispatcher that sent each open job, by request id
         self.timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.unanswered_callbacks = 0
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -53,11 +53,11 @@
     """
     values = dict(headers)
     facts = _parse_facts(values.get(FACTS, b""))
-    left_ms = _parse_time_left_ms(values.get(TIME_LEFT))
+    time_left_ms = _parse_time_left_ms(values.get(TIME_LEFT))
     hint_us = _parse_number("X-Weight-Hint", values.get(RUNTIME_HINT), MAX_TIME_LEFT_MS * US_PER_MS)
     return RequestMetadata(
         parse_correlation_id(values.get(CORRELATION_ID, b"")),
-        None if left_ms is None else left_ms * NS_PER_MS,
+        None if time_left_ms is None else time_left_ms * NS_PER_MS,
         slots=facts.get(SLOTS, facts.get(WIDTH, 1.0)),
         memory=facts.get(MEMORY, facts.get(RAM_UNITS, 0.0)),
         runtime_hint_ns=None if hint_us is None else int(hint_us * NS_PER_US),
@@ -86,10 +86,10 @@
     return path.removeprefix(b"/").split(b"/", 1)[0]
 
 
-def serialize_request(request: h11.Request, body: bytes, left_ns: int) -> bytes:
-    """Serialize a received request, with its body in one part and left_ns as its remaining time."""
+def serialize_request(request: h11.Request, body: bytes, time_left_ns: int) -> bytes:
+    """Serialize a received request, with its body in one part and time_left_ns as its remaining time."""
     replaced = {
-        TIME_LEFT: b"%d" % max(0, left_ns // NS_PER_MS),
+        TIME_LEFT: b"%d" % max(0, time_left_ns // NS_PER_MS),
         b"content-length": b"%d" % len(body),
     }
     dropped = {*replaced, b"transfer-encoding", b"expect"}
