--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -266,7 +266,7 @@
 
 @settings(deadline=None, max_examples=100, derandomize=True)
 @given(FAULTS, DISPATCHER_COUNTS, st.integers(0, 2**32))
-def test_no_attempt_is_sent_by_an_outdated_list_after_separate_faults(
+def test_no_attempt_is_based_on_an_outdated_list_after_separate_faults(
     drawn_faults: list[tuple[str, int, int]], dispatcher_count: int, seed: int
 ) -> None:
     """Discovery is healthy for at least 4 s between two faults."""
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize(("phase", "status"), [("DRAINING", 503), ("SERVING", 200)])
-def test_new_process_sends_nothing_by_its_cached_list(
+def test_new_process_sends_nothing_based_on_its_cached_list(
     mode: str, phase: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A cached list may be of any age.  The first request triggers a poll and is held until its response."""
