--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,7 +49,7 @@
         self, dispatcher_settings: api.Settings | None = None, workers: int = 3, seed: int = 1
     ) -> None:
         self.dispatcher = Dispatcher(dispatcher_settings or settings(), seed)
-        self.now = 1000 * SECOND
+        self.now_ns = 1000 * SECOND
         self.worker_numbers = list(range(1, workers + 1))
         self.actions: list[api.Action] = []
         self.step(self.complete_list())
@@ -63,8 +63,8 @@
 
     def step(self, *events: api.Event, after: int = 0) -> list[api.Action]:
         """Run one step, `after` nanoseconds after the last one."""
-        self.now += after
-        actions = self.dispatcher.step(self.now, list(events))
+        self.now_ns += after
+        actions = self.dispatcher.step(self.now_ns, list(events))
         self.actions += actions
         return actions
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -33,7 +33,7 @@
 def test_warming_worker_gets_its_budget_only() -> None:
     """A worker that has just started gets only the work of its slow start budget, later as much as others."""
     driver = DispatcherDriver(workers=1)
-    fresh = api.WorkerEntry(1, api.WorkerState.READY, started_ns=driver.now)
+    fresh = api.WorkerEntry(1, api.WorkerState.READY, started_ns=driver.now_ns)
     driver.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)))
     driver.report(1, 4.0)
     jobs = [api.RequestReceived(n, 0, 10 * SECOND) for n in range(4)]
@@ -130,7 +130,7 @@
     for number in range(1200):
         (send,) = sends(driver.step(api.RequestReceived(number, 0, 10 * SECOND), after=MS))
         driver.step(api.AttemptProgress(number, 0, send.worker), after=300 * MS)
-        driver.now += 500 * MS if send.worker % 2 else 1000 * MS
+        driver.now_ns += 500 * MS if send.worker % 2 else 1000 * MS
         driver.end(send, Outcome.OK, request_finished=True)
         counts[send.worker % 2] += number >= 200
     assert 1.6 < counts[1] / counts[0] < 2.5
@@ -140,7 +140,7 @@
     """The reported values change every 0.9 s, and a report arrives every 0.1 s."""
     driver = DispatcherDriver(workers=1)
     for number in range(1, 400):
-        driver.now += 100 * MS
+        driver.now_ns += 100 * MS
         driver.report(1, 3.0 + number // 9 / 100)
     assert 700 * MS < driver.dispatcher.components.report_interval.interval_ns < 1100 * MS
 
@@ -151,7 +151,7 @@
     driver.report(1, 1.0)
     (first,) = sends(driver.step(api.RequestReceived(1, 0, 10 * SECOND)))
     for _ in range(20):
-        driver.now += 50 * MS
+        driver.now_ns += 50 * MS
         assert not sends(driver.report(1, 1.0))
     assert not sends(driver.step(api.RequestReceived(2, 0, 10 * SECOND)))
     assert sends(driver.end(first, Outcome.OK, request_finished=True))
@@ -185,7 +185,7 @@
             settings(dispatcher_count=150, dispatcher_index=dispatcher_index, may_probe=False), workers=0
         )
         warming = tuple(
-            api.WorkerEntry(w, api.WorkerState.READY, started_ns=driver.now, start_id=7 * w)
+            api.WorkerEntry(w, api.WorkerState.READY, started_ns=driver.now_ns, start_id=7 * w)
             for w in range(1, 21)
         )
         warm = tuple(api.WorkerEntry(w, api.WorkerState.READY) for w in range(21, 31))
--- a/tests/test_draining_workers.py
+++ b/tests/test_draining_workers.py
@@ -177,7 +177,7 @@
     job_settings = job_class(idempotency=api.Idempotency.IDEMPOTENT_BY_KEY, idempotency_window_ns=SECOND)
     driver = DispatcherDriver(settings(classes=(job_settings,), may_probe=False), workers=2)
     (first,) = sends(driver.step(api.RequestReceived(1, 0, 9 * SECOND)))
-    first_sent_ns = driver.now
+    first_sent_ns = driver.now_ns
     (retry,) = sends(
         driver.step(api.AttemptEnded(1, 0, first.worker, api.Outcome.RESET, MS, False), after=300 * MS)
     )
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -202,7 +202,7 @@
 def test_late_request_that_may_have_run_is_not_queued_again() -> None:
     """A request that can only be late is answered at once, not at its deadline."""
     driver, send = start_attempt(Idempotency.IDEMPOTENT)
-    driver.now += 3 * SECOND
+    driver.now_ns += 3 * SECOND
     assert error_responses(driver.end(send, Outcome.ERROR)) == [api.Reject(7)]
 
 
@@ -215,7 +215,7 @@
     for number in range(3):
         driver.step(api.RequestReceived(number, 0, 5 * SECOND, runtime_hint_ns=100 * MS))
     later = DispatcherDriver(workers=2)
-    later.now = driver.now
+    later.now_ns = driver.now_ns
     snapshots = {
         worker: decode_worker_state(json.loads(json.dumps(encode_worker_state(snapshot))))
         for worker, snapshot in driver.dispatcher.snapshots().items()
@@ -258,13 +258,13 @@
     """It does not fall within half of the latency objective, nor with a runtime hint."""
     driver = DispatcherDriver(settings(classes=(job_class(),), may_probe=False), workers=1)
     driver.step(*[api.RequestReceived(n, 0, 10 * SECOND) for n in (90, 91)])  # they fill the worker
-    begun_ns = driver.now
+    begun_ns = driver.now_ns
     for number, wait_ms in enumerate(waits_ms, start=1):
-        driver.now = begun_ns + (waits_ms[0] - wait_ms) * MS
+        driver.now_ns = begun_ns + (waits_ms[0] - wait_ms) * MS
         driver.step(api.RequestReceived(number, 0, 10 * SECOND, runtime_hint_ns=hint_ns))
-    driver.now = begun_ns + waits_ms[0] * MS
+    driver.now_ns = begun_ns + waits_ms[0] * MS
     dispatcher = driver.dispatcher
-    dispatcher.context.now_ns = driver.now
+    dispatcher.context.now_ns = driver.now_ns
     ranked = sorted(
         dispatcher.components.requests.queued.values(),
         key=dispatcher.components.priorities.queue_priority,
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -241,7 +241,7 @@
     assert not sends(driver.step(large_request(), after=MS))
     worker = reservation(driver).worker
     first, second = (send for send in started if send.worker == worker)
-    driver.now += 780 * MS
+    driver.now_ns += 780 * MS
     driver.end(first, api.Outcome.OK, request_finished=True)
     other = driver.step(
         api.RequestReceived(101, 1, 10 * SECOND, runtime_hint_ns=2 * SECOND, slots=2.0), after=MS
@@ -276,11 +276,11 @@
     """The slots are not released in time."""
     driver, _ = two_busy_workers()
     driver.step(large_request(), after=MS)
-    received_ns, responses = driver.now, list[api.Action]()
+    received_ns, responses = driver.now_ns, list[api.Action]()
     while not responses:
         responses = error_responses(driver.step(api.TimerDue(1), after=50 * MS))
     assert [type(response) for response in responses] == [api.Reject]
-    assert driver.now - received_ns <= 3 * SECOND and not driver.dispatcher.scheduler.by_request
+    assert driver.now_ns - received_ns <= 3 * SECOND and not driver.dispatcher.scheduler.by_request
 
 
 @pytest.mark.parametrize(
@@ -312,7 +312,7 @@
     driver, _ = two_busy_workers()
     driver.step(large_request(), after=MS)
     worker = reservation(driver).worker
-    fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=driver.now)
+    fresh = api.WorkerEntry(worker, api.WorkerState.READY, started_ns=driver.now_ns)
     driver.step(api.EndpointListUpdate(api.EndpointListKind.DELTA, (fresh,)), after=MS)
     driver.actions.clear()
     driver.report(worker, 4.0)
@@ -337,7 +337,7 @@
     driver, _ = two_busy_workers()
     driver.step(large_request(), after=MS)
     newer, _ = two_busy_workers()
-    newer.step(api.RequestMigrated(large_request(), driver.now - MS, 0), after=MS)
+    newer.step(api.RequestMigrated(large_request(), driver.now_ns - MS, 0), after=MS)
     assert reservation(newer).request == 100
     assert end_reasons(driver.step(api.ClientDisconnected(100), after=MS)) == ["job_over"]
 
--- a/tests/test_worker_health.py
+++ b/tests/test_worker_health.py
@@ -69,11 +69,11 @@
     driver.report(1, 3.0)
     (send,) = sends(driver.step(api.RequestReceived(1, 0, 10 * SECOND)))
     for number in range(2):
-        since = driver.now
+        since = driver.now_ns
         driver.end(send, Outcome.OVERLOADED, attempt=number)
         while not (retry := sends(driver.step(api.TimerDue(1), after=20 * MS))):
             continue
-        backoffs.append(driver.now - since)
+        backoffs.append(driver.now_ns - since)
         send = retry[0]
     assert backoffs[0] >= 200 * MS and backoffs[1] >= 1.5 * backoffs[0]
 
@@ -216,7 +216,7 @@
     """A worker that has just started is expected to be slow."""
     driver = DispatcherDriver(workers=4)
     entries = [
-        api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=driver.now if w == 1 else 0)
+        api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2, started_ns=driver.now_ns if w == 1 else 0)
         for w in driver.worker_numbers
     ]
     driver.step(api.EndpointListUpdate(api.EndpointListKind.CACHED, tuple(entries)))
