--- a/example/toy.py
+++ b/example/toy.py
@@ -22,7 +22,7 @@
 
 SLOTS = 4  # number of job slots in the load report of a worker
 RUN_S = 0.2  # running time of a job
-NO_LOAD = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
+IDLE_LOAD_REPORT = {"svc_ms": RUN_S * 1000, "pending": 0, "x0": SLOTS, "x1": SLOTS}
 
 
 class Worker(Server):
@@ -53,7 +53,7 @@
     def load(self) -> dict[str, float]:
         """Return the load report."""
         return {
-            **NO_LOAD,
+            **IDLE_LOAD_REPORT,
             "x0": max(0, SLOTS - len(self.jobs)),
             "pending": max(0, len(self.jobs) - SLOTS),
         }
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -21,7 +21,7 @@
 
 import pytest
 
-from example.toy import NO_LOAD, Discovery, Message, Server, encode_message
+from example.toy import IDLE_LOAD_REPORT, Discovery, Message, Server, encode_message
 from tests.helpers import MS, SECOND, DispatcherDriver, sends, settings
 from tests.newer_process import newer_process
 from tests.processes import free_port, wait_until_serving
@@ -29,7 +29,7 @@
 from weldquay import interface as api
 from weldquay.fleet.subset import subset
 from weldquay.lab.http import Pool, write_line
-from weldquay.lab.servers import CALLBACK_RETRY_S, MAX_CALLBACK_ATTEMPTS
+from weldquay.lab.servers import CALLBACK_RETRY_DELAY_S, MAX_CALLBACK_ATTEMPTS
 from weldquay.net import connection_pool, readiness
 from weldquay.net.config import config_from_document
 from weldquay.net.lifecycle import Phase
@@ -78,12 +78,12 @@
                 await pool.send_request(data)
                 break
             except (OSError, asyncio.IncompleteReadError):  # the dispatcher evicted the connection
-                await asyncio.sleep(CALLBACK_RETRY_S)
+                await asyncio.sleep(CALLBACK_RETRY_DELAY_S)
         del self.jobs[request_id]
 
     def load(self) -> dict[str, float]:
         """Return a load report of a worker without jobs."""
-        return NO_LOAD
+        return IDLE_LOAD_REPORT
 
 
 def list_update(numbers: range, state: api.WorkerState) -> api.EndpointListUpdate:
--- a/weldquay/lab/servers.py
+++ b/weldquay/lab/servers.py
@@ -14,7 +14,7 @@
 
 HEARTBEAT_S = 2.0
 MAX_CALLBACK_ATTEMPTS = 10
-CALLBACK_RETRY_S = 0.05
+CALLBACK_RETRY_DELAY_S = 0.05
 
 
 class MatchWorker(Server):
@@ -112,7 +112,7 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await self.pool(caller).send_request(data)).status in (200, 204):
                     return
-            await asyncio.sleep(CALLBACK_RETRY_S)
+            await asyncio.sleep(CALLBACK_RETRY_DELAY_S)
         self.unanswered_callbacks += 1
 
     def stop(self) -> None:
--- a/weldquay/lab/soak/stand_ins.py
+++ b/weldquay/lab/soak/stand_ins.py
@@ -20,7 +20,7 @@
 RUN_S = 0.03  # running time of a job
 SLOTS = 8
 MAX_CALLBACK_ATTEMPTS = 10
-CALLBACK_RETRY_S = 0.1
+CALLBACK_RETRY_DELAY_S = 0.1
 CALLBACK_TIMEOUT_S = 3.0
 
 
@@ -151,7 +151,7 @@
                 async with asyncio.timeout(CALLBACK_TIMEOUT_S):
                     if (await request(dispatcher, data)).status in (200, 204):
                         return
-            await asyncio.sleep(CALLBACK_RETRY_S)
+            await asyncio.sleep(CALLBACK_RETRY_DELAY_S)
 
     def stop(self) -> None:
         """Close all connections and cancel all jobs."""
--- a/weldquay/net/messages/client_requests.py
+++ b/weldquay/net/messages/client_requests.py
@@ -27,7 +27,7 @@
 
 MAX_ID_LENGTH = 128  # characters; the id becomes part of a request path at the worker
 MAX_TIME_LEFT_MS = 24 * 3600 * 1000
-MAX_FACT = 1e9
+MAX_FACT_VALUE = 1e9
 NS_PER_US = 1000
 US_PER_MS = 1000
 
@@ -132,7 +132,7 @@
     for part in value.split(b","):
         if part.strip():
             name, _, number = part.partition(b"=")
-            facts[name.strip().decode("latin-1")] = _parse_number("X-Facts", number, MAX_FACT) or 0.0
+            facts[name.strip().decode("latin-1")] = _parse_number("X-Facts", number, MAX_FACT_VALUE) or 0.0
     return facts
 
 
