--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,8 +49,8 @@
         self, dispatcher_settings: api.Settings | None = None, workers: int = 3, seed: int = 1
     ) -> None:
         self.dispatcher = Dispatcher(dispatcher_settings or settings(), seed)
-        self.now = 1000 * SECOND
-        self.worker_ids = list(range(1, workers + 1))
+        self.now_ns = 1000 * SECOND
+        self.worker_numbers = list(range(1, workers + 1))
         self.actions: list[api.Action] = []
         self.step(self.complete_list())
 
@@ -58,13 +58,13 @@
         self, kind: api.EndpointListKind = api.EndpointListKind.CACHED
     ) -> api.EndpointListUpdate:
         """Return the complete endpoint list, with two workers per cell."""
-        entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_ids]
+        entries = [api.WorkerEntry(w, api.WorkerState.READY, cell=w // 2) for w in self.worker_numbers]
         return api.EndpointListUpdate(kind, tuple(entries))
 
     def step(self, *events: api.Event, after: int = 0) -> list[api.Action]:
         """Run one step, `after` nanoseconds after the last one."""
-        self.now += after
-        actions = self.dispatcher.step(self.now, list(events))
+        self.now_ns += after
+        actions = self.dispatcher.step(self.now_ns, list(events))
         self.actions += actions
         return actions
 
@@ -93,7 +93,7 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def final_answers(actions: list[api.Action]) -> list[api.Action]:
+def error_responses(actions: list[api.Action]) -> list[api.Action]:
     """Return the actions that reject or fail a request."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
@@ -106,7 +106,7 @@
         idempotency=idempotency, deduplication_scope=scope, idempotency_window_ns=4 * SECOND, **changes
     )
     driver = DispatcherDriver(settings(classes=(class_settings,)), workers=4)
-    for worker in driver.worker_ids:
+    for worker in driver.worker_numbers:
         driver.report(worker, 3.0)
     (send,) = sends(driver.step(api.RequestReceived(7, 0, 10 * SECOND)))
     return driver, send
