--- a/weldquay/lab/soak/clients.py
+++ b/weldquay/lab/soak/clients.py
@@ -75,11 +75,7 @@
 
     async def is_served(self, address: str) -> bool:
         """Send one request on a new connection to a dispatcher; return whether it was completed."""
-        host, port = address.split(":")
-        try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                connection = await asyncio.open_connection(host, int(port))
-        except OSError:  # includes TimeoutError
+        if (connection := await self._connect(address)) is None:
             return False
         try:
             request = await self._exchange(address, connection, is_new=True)
@@ -99,11 +95,7 @@
         dispatcher_index = number
         while not self.is_stopping:
             address = self.dispatchers[dispatcher_index % len(self.dispatchers)]
-            host, port = address.split(":")
-            try:
-                async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    connection = await asyncio.open_connection(host, int(port))
-            except OSError:  # includes TimeoutError
+            if (connection := await self._connect(address)) is None:
                 dispatcher_index += 1
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
@@ -113,6 +105,15 @@
                 connection[1].transport.abort()
             dispatcher_index += self.rng.random() < 0.5
 
+    async def _connect(self, address: str) -> Connection | None:
+        """Connect to a dispatcher; return None if that fails or takes too long."""
+        host, port = address.split(":")
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                return await asyncio.open_connection(host, int(port))
+        except OSError:  # includes TimeoutError
+            return None
+
     async def _send_requests(self, address: str, connection: Connection) -> None:
         """Send requests on a connection until it is closed."""
         is_new = True
